--- a/trefoilhook/inner/__init__.py
+++ b/trefoilhook/inner/__init__.py
@@ -1,4 +1,4 @@
-"""The protocol between instances."""
+"""Inter-instance protocol: calls, one-way messages and heartbeats between peers."""
 
 from trefoilhook.inner.calls import Call, CallHandler
 from trefoilhook.inner.core import InnerNode
--- a/trefoilhook/inner/core.py
+++ b/trefoilhook/inner/core.py
@@ -1,4 +1,4 @@
-"""An instance's place among its peers: calls, one-way messages and heartbeats."""
+"""Endpoint of the inter-instance protocol: calls, one-way messages and heartbeats."""
 
 import math
 import ssl
@@ -9,9 +9,9 @@
 
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import AnswerLostError, NotSentError
-from trefoilhook.inner.calls import Call, CallHandler, CallTable, OwnCall
+from trefoilhook.inner.calls import Call, CallHandler, CallTable, LocalCall
 from trefoilhook.inner.link import Link
-from trefoilhook.inner.links import LinkKeeper, LinkOptions
+from trefoilhook.inner.links import LinkManager, LinkOptions
 from trefoilhook.inner.messages_pb2 import Frame, Heartbeat
 from trefoilhook.inner.peers import PeerAddress, PeerState
 from trefoilhook.inner.settings import InnerSettings
@@ -20,36 +20,37 @@
 __all__ = ["InnerNode"]
 
 _MS_PER_S = 1000.0
-_FLUSH_CHECK_MS = 2.0
-_READ_BY_PEERS_MS = 250.0
+_FLUSH_POLL_INTERVAL_MS = 2.0
+_FINAL_READ_GRACE_MS = 250.0
 
 
 class InnerNode:
-    """The inner protocol of one instance.
+    """Endpoint of the inter-instance protocol for one instance.
 
-    Each instance dials one link to each peer and makes its own calls on it; calls of
-    the peer come in on the link that the peer dialled.
+    Each instance dials one link to each peer and sends its calls on it. Calls from the
+    peer arrive on the link that the peer dialled.
 
     Parameters
     ----------
     instance_id : str
-        Own instance id, unique to this run of the process.
+        Id of this instance, unique to this run of the process.
     host : str
-        Own address, an IP number.
+        IP address to listen on.
     port : int
-        Port to listen on; zero for any free one.
+        Port to listen on; zero selects a free port.
     clock : Clock
-        Time.
+        Time source.
     settings : InnerSettings
-        Intervals and caps.
+        Intervals and limits.
     tls_server, tls_client : ssl.SSLContext, optional
-        Contexts of the listening and of the dialling side; without them links are
+        TLS contexts for accepted and for dialled connections; without them links use
         plain TCP.
 
     Notes
     -----
-    The listener closes only when ``run`` ends. Peers take a refused connection as the
-    proof that this process is dead, so ``run`` must outlive all that acts for a shard.
+    The listener closes only when ``run`` ends. Peers treat a refused connection as
+    proof that this process has exited, so ``run`` must outlive every task that acts on
+    behalf of a shard.
     """
 
     def __init__(
@@ -66,10 +67,12 @@
         self.instance_id = instance_id
         self._clock = clock
         self._calls = CallTable(settings=settings)
-        self._read_heartbeat: Callable[[], Heartbeat] = Heartbeat
-        self._hear: Callable[[str, Heartbeat], None] = lambda _id, _heartbeat: None
+        self._build_heartbeat: Callable[[], Heartbeat] = Heartbeat
+        self._handle_heartbeat: Callable[[str, Heartbeat], None] = (
+            lambda _id, _heartbeat: None
+        )
         self._nursery: trio.Nursery | None = None
-        self._links = LinkKeeper(
+        self._links = LinkManager(
             options=LinkOptions(
                 instance_id=instance_id,
                 host=host,
@@ -79,45 +82,47 @@
                 tls_server=tls_server,
                 tls_client=tls_client,
             ),
-            receive=self._receive,
-            read_heartbeat=lambda: self._read_heartbeat(),
-            hear=lambda peer_id, heartbeat: self._hear(peer_id, heartbeat),
+            handle_frame=self._accept_frame,
+            build_heartbeat=lambda: self._build_heartbeat(),
+            handle_heartbeat=lambda peer_id, heartbeat: self._handle_heartbeat(
+                peer_id, heartbeat
+            ),
         )
 
     @property
     def port(self) -> int:
-        """Port that this instance listens on."""
+        """Port on which this instance listens."""
         return self._links.port
 
     @property
     def bytes_received(self) -> int:
-        """Bytes received so far on all connections."""
+        """Total number of bytes received on all connections."""
         return self._links.watch.bytes_received
 
     def handle(self, message_type: type[Message], handler: CallHandler) -> None:
-        """Let ``handler`` answer the calls that carry messages of a type.
+        """Register the handler for calls that carry messages of a type.
 
-        A handler may raise a ``TrefoilhookError``; the caller gets its code.
+        A handler may raise a ``TrefoilhookError``; its code is returned to the caller.
         """
         self._calls.register(message_type, handler)
 
     def set_heartbeat_source(self, source: Callable[[], Heartbeat]) -> None:
-        """Let ``source`` fill in the heartbeats that leave."""
-        self._read_heartbeat = source
+        """Set the function that builds outgoing heartbeats."""
+        self._build_heartbeat = source
 
-    def on_heartbeat(self, hear: Callable[[str, Heartbeat], None]) -> None:
-        """Call ``hear`` with the sender's id and each heartbeat that arrives.
+    def on_heartbeat(self, handler: Callable[[str, Heartbeat], None]) -> None:
+        """Set the handler called with the sender's id and each received heartbeat.
 
-        Both the links dialled here and those accepted bring heartbeats.
+        Heartbeats arrive on dialled and on accepted links.
         """
-        self._hear = hear
+        self._handle_heartbeat = handler
 
     def set_peers(self, peers: Iterable[PeerAddress]) -> None:
-        """Keep a link to each of the peers, and to no other instance."""
+        """Maintain links to exactly these peers."""
         self._links.set_peers(peers)
 
     def peer_state(self, instance_id: str) -> PeerState:
-        """Return what is known about a peer; ``DOWN`` for one that isn't kept."""
+        """Return the state of a peer; ``DOWN`` if the instance is not a peer."""
         peer = self._links.find_peer(instance_id)
         return PeerState.DOWN if peer is None else peer.state
 
@@ -129,28 +134,28 @@
         Parameters
         ----------
         instance_id : str
-            Whom to call; the own id runs the handler here.
+            Instance to call; the id of this instance runs the handler locally.
         message : Message
-            What to send.
+            Request message.
         timeout_ms : float
-            Longest time to wait for the reply, in ms.
+            Maximum time to wait for the reply, in ms.
 
         Returns
         -------
         Message
-            What the handler answered.
+            Reply from the handler.
 
         Raises
         ------
         NotSentError
-            If the message provably didn't leave.
+            If the message was certainly not sent.
         AnswerLostError
-            If it may have left, and no reply came.
+            If the message may have been sent and no reply was received.
         OutcomeError
-            If the handler refused; with its code.
+            If the handler raised an error; carries its code.
         """
         if instance_id == self.instance_id:
-            return await self._call_own(message, timeout_ms=timeout_ms)
+            return await self._call_local(message, timeout_ms=timeout_ms)
         peer = self._links.find_peer(instance_id)
         link = None if peer is None else peer.open_link
         if link is None:
@@ -158,36 +163,36 @@
         return await link.call(message, timeout_ms=timeout_ms)
 
     def tell(self, instance_id: str, message: Message) -> bool:
-        """Send a one-way message; tell whether it was queued.
+        """Send a one-way message; return whether it was queued.
 
-        It is dropped when the link is down, and may be lost when the link breaks.
+        The message is dropped if the link is down, and may be lost if the link breaks.
         """
         if instance_id == self.instance_id:
-            return self._start_own(message, timeout_ms=math.inf) is not None
+            return self._start_local_call(message, timeout_ms=math.inf) is not None
         peer = self._links.find_peer(instance_id)
         link = None if peer is None else peer.open_link
-        return link is not None and link.tell(message)
+        return link is not None and link.send_one_way(message)
 
     async def drain(self) -> None:
-        """Refuse new calls of peers and wait until those in progress are answered.
+        """Refuse new calls from peers and wait for those in progress to complete.
 
-        Returns when the replies have reached the peers' machines, or their links have
+        Returns once the replies have reached the peers' hosts, or their links have
         broken.
         """
         await self._calls.drain()
         while not self._links.is_flushed:
-            await self._clock.sleep_ms(_FLUSH_CHECK_MS)
-        # Guards against an end that overtakes the reply: the peer's machine has the
-        # bytes, its process has not read them all, and a connection that ends drops
-        # what grpclib has buffered and not yet handed on.
-        await self._clock.sleep_ms(_READ_BY_PEERS_MS)
+            await self._clock.sleep_ms(_FLUSH_POLL_INTERVAL_MS)
+        # Gives peers time to read their replies before the connections close. The
+        # bytes have been acknowledged by the peer's host but may not have been read by
+        # its process, and grpclib discards buffered data when a connection ends.
+        await self._clock.sleep_ms(_FINAL_READ_GRACE_MS)
 
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen, keep the links and answer calls until cancelled.
+        """Listen, maintain the links and serve calls until cancelled.
 
-        Reports the port once it listens.
+        Reports the port once the listener is open.
         """
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
@@ -198,27 +203,29 @@
             finally:
                 self._nursery = None
 
-    def _receive(self, link: Link, frame: Frame) -> None:
+    def _accept_frame(self, link: Link, frame: Frame) -> None:
         if self._nursery is not None:
             self._calls.accept(link, frame, self._nursery)
 
-    def _start_own(self, message: Message, *, timeout_ms: float) -> OwnCall | None:
+    def _start_local_call(
+        self, message: Message, *, timeout_ms: float
+    ) -> LocalCall | None:
         if self._nursery is None:
             return None
         call = Call(sender_id=self.instance_id, message=message, timeout_ms=timeout_ms)
-        own = OwnCall(call=call)
-        self._calls.accept_own(own, self._nursery)
-        return own
-
-    async def _call_own(self, message: Message, *, timeout_ms: float) -> Message:
-        own = self._start_own(message, timeout_ms=timeout_ms)
-        if own is None:
-            raise NotSentError("the inner protocol isn't running")
+        local_call = LocalCall(call=call)
+        self._calls.accept_local(local_call, self._nursery)
+        return local_call
+
+    async def _call_local(self, message: Message, *, timeout_ms: float) -> Message:
+        local_call = self._start_local_call(message, timeout_ms=timeout_ms)
+        if local_call is None:
+            raise NotSentError("the inter-instance protocol is not running")
         with trio.move_on_after(timeout_ms / _MS_PER_S):
-            await own.done.wait()
-        if own.error is not None:
-            raise own.error
-        if own.reply is None:
-            detail = "no answer from this instance in time"
+            await local_call.done.wait()
+        if local_call.error is not None:
+            raise local_call.error
+        if local_call.reply is None:
+            detail = "local handler did not reply before the call timed out"
             raise AnswerLostError(detail, code=ResultCode.DEADLINE_AFTER_SEND)
-        return own.reply
+        return local_call.reply
--- a/trefoilhook/inner/frames.py
+++ b/trefoilhook/inner/frames.py
@@ -1,4 +1,4 @@
-"""Frames: the envelopes in which messages travel."""
+"""Encoding of messages into frames and back."""
 
 from typing import Any
 
@@ -9,35 +9,35 @@
 
 __all__ = [
     "build_frame",
-    "build_refusal",
+    "build_error_reply",
     "find_body",
-    "find_body_name",
+    "find_body_field",
 ]
 
 _MAX_TIMEOUT_MS = 2**32 - 1
 
-_BODY_NAMES: dict[str, str] = {
+_BODY_FIELDS: dict[str, str] = {
     field.message_type.full_name: field.name
     for field in Frame.DESCRIPTOR.oneofs_by_name["body"].fields
 }
 
 
-def find_body_name(message_type: type[Message]) -> str:
-    """Return the name of the frame's field that carries messages of a type.
+def find_body_field(message_type: type[Message]) -> str:
+    """Return the name of the ``Frame`` field that holds messages of a type.
 
     Raises
     ------
     ValueError
-        If no frame carries that type.
+        If ``Frame`` has no field for that type.
     """
-    name = _BODY_NAMES.get(message_type.DESCRIPTOR.full_name)
+    name = _BODY_FIELDS.get(message_type.DESCRIPTOR.full_name)
     if name is None:
-        raise ValueError(f"no frame carries a {message_type.__name__}")
+        raise ValueError(f"Frame has no field for {message_type.__name__}")
     return name
 
 
 def find_body(frame: Frame) -> Message | None:
-    """Return the message in a frame; none when this version doesn't know it."""
+    """Return the message in a frame; None if its type is unknown to this version."""
     name = frame.WhichOneof("body")
     return None if name is None else getattr(frame, name)
 
@@ -49,26 +49,28 @@
     is_reply: bool = False,
     timeout_ms: float = 0.0,
 ) -> Frame:
-    """Put a message into a frame.
+    """Wrap a message in a frame.
 
     Parameters
     ----------
     message : Message
-        What to carry.
+        Body of the frame.
     call_id : int, optional
-        Number of the call; zero for a one-way message.
+        Id of the call; zero for a one-way message.
     is_reply : bool, optional
-        Whether the frame answers the call of that number.
+        Whether the frame is the reply to that call.
     timeout_ms : float, optional
-        Time that the sender still waits for the reply, in ms; zero for no limit.
+        Remaining time that the sender waits for the reply, in ms; zero for no limit.
     """
-    body: dict[str, Any] = {find_body_name(type(message)): message}
-    whole_ms = min(int(timeout_ms), _MAX_TIMEOUT_MS)
-    return Frame(call_id=call_id, is_reply=is_reply, timeout_ms=whole_ms, **body)
+    body: dict[str, Any] = {find_body_field(type(message)): message}
+    rounded_timeout_ms = min(int(timeout_ms), _MAX_TIMEOUT_MS)
+    return Frame(
+        call_id=call_id, is_reply=is_reply, timeout_ms=rounded_timeout_ms, **body
+    )
 
 
-def build_refusal(call_id: int, error: TrefoilhookError) -> Frame:
-    """Build the reply to a call whose handler raised ``error``."""
+def build_error_reply(call_id: int, error: TrefoilhookError) -> Frame:
+    """Build the reply to a call that failed with ``error``."""
     return Frame(
         call_id=call_id,
         is_reply=True,
--- a/trefoilhook/inner/link.py
+++ b/trefoilhook/inner/link.py
@@ -1,4 +1,4 @@
-"""One stream to a peer, the calls that wait on it and the frames it brought."""
+"""State of one stream to a peer: pending calls, outbound queue, received batches."""
 
 from collections.abc import Callable
 
@@ -25,17 +25,17 @@
     reply: Frame | None = None
 
 
-def _open_reply(reply: Frame) -> Message:
-    """Return a reply's message, or raise what the handler answered instead."""
+def _unwrap_reply(reply: Frame) -> Message:
+    """Return the message in a reply, or raise the error that the reply carries."""
     if reply.result_number:
-        raise OutcomeError(reply.detail, code=_find_code(reply.result_number))
+        raise OutcomeError(reply.detail, code=_decode_result_code(reply.result_number))
     body = find_body(reply)
     if body is None:
-        raise OutcomeError("the reply has no body that this version knows")
+        raise OutcomeError("the reply has no body known to this version")
     return body
 
 
-def _find_code(number: int) -> ResultCode:
+def _decode_result_code(number: int) -> ResultCode:
     try:
         return ResultCode.from_number(number)
     except ValueError:
@@ -43,64 +43,64 @@
 
 
 class Link:
-    """State of one stream, from its opening to its end.
+    """State of one open stream to a peer.
 
     Parameters
     ----------
     peer_id : str
-        Instance id of the other end.
+        Instance id of the remote end.
     settings : InnerSettings
-        Caps of queues.
-    cut : callable
-        Cuts the connection below at once.
+        Queue limits.
+    abort : callable
+        Aborts the underlying connection immediately.
     """
 
     def __init__(
-        self, *, peer_id: str, settings: InnerSettings, cut: Callable[[], None]
+        self, *, peer_id: str, settings: InnerSettings, abort: Callable[[], None]
     ) -> None:
         self.peer_id = peer_id
         self.queue = OutboundQueue(settings=settings)
         self.calls_in_progress = 0
         self.is_open = True
-        self._cut = cut
+        self._abort = abort
         self._pending: dict[int, _PendingCall] = {}
         self._last_call_id = 0
-        self._heartbeat: QueuedFrame | None = None
-        # Unbounded without harm: the dispatcher never waits for anything else, so it
-        # empties the channel each time that trio's scheduler comes round.
+        self._last_heartbeat: QueuedFrame | None = None
+        # Unbounded because the dispatcher waits on nothing else and drains the channel
+        # on every pass of trio's scheduler.
         self._inbound_send, self.inbound = trio.open_memory_channel[Batch](float("inf"))
 
     @property
     def pending_calls(self) -> int:
-        """Number of own calls that wait for their replies."""
+        """Number of outgoing calls that are waiting for a reply."""
         return len(self._pending)
 
     def deliver(self, batch: Batch) -> None:
-        """Pass on a batch that the stream brought; called from asyncio."""
+        """Hand a received batch to the dispatcher; called from asyncio."""
         self._inbound_send.send_nowait(batch)
 
     def close(self) -> None:
-        """Cut the connection and take no further calls."""
+        """Abort the connection and accept no further calls."""
         if not self.is_open:
             return
         self.is_open = False
-        self._cut()
+        self._abort()
         self._inbound_send.close()
 
     def fail_pending(self) -> None:
-        """Fail the calls that wait; called once the last batch was dispatched."""
+        """Fail all pending calls; called after the last batch was dispatched."""
         for pending in self._pending.values():
             pending.done.set()
         self._pending.clear()
 
-    def offer_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Queue a heartbeat, unless the previous one still waits."""
-        if self._heartbeat is not None and not self._heartbeat.is_taken:
+    def queue_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Queue a heartbeat, unless the previous one is still queued."""
+        if self._last_heartbeat is not None and not self._last_heartbeat.is_taken:
             return
-        self._heartbeat = self.queue.put(build_frame(heartbeat), is_bounded=False)
+        self._last_heartbeat = self.queue.put(build_frame(heartbeat), is_bounded=False)
 
-    def tell(self, message: Message) -> bool:
-        """Queue a one-way message; tell whether it was taken."""
+    def send_one_way(self, message: Message) -> bool:
+        """Queue a one-way message; return whether it was queued."""
         if not self.is_open:
             return False
         try:
@@ -110,12 +110,12 @@
         return True
 
     def reply(self, frame: Frame) -> None:
-        """Queue a reply, when there is still somebody to read it."""
+        """Queue a reply; dropped if the link is closed."""
         if self.is_open:
             self.queue.put(frame, is_bounded=False)
 
     def resolve(self, reply: Frame) -> None:
-        """Hand a reply to its call; one that nobody waits for is dropped."""
+        """Complete the call that a reply belongs to; drop it if no call is pending."""
         pending = self._pending.pop(reply.call_id, None)
         if pending is not None:
             pending.reply = reply
@@ -127,18 +127,18 @@
         Parameters
         ----------
         message : Message
-            What to send.
+            Request message.
         timeout_ms : float
-            Longest time to wait for the reply, in ms.
+            Maximum time to wait for the reply, in ms.
 
         Raises
         ------
         NotSentError
-            If the message provably didn't leave.
+            If the message was certainly not sent.
         AnswerLostError
-            If it may have left, and no reply came.
+            If the message may have been sent and no reply was received.
         OutcomeError
-            If the handler refused; with its code.
+            If the handler raised an error; carries its code.
         """
         if not self.is_open:
             raise NotSentError(f"the link to {self.peer_id} is down")
@@ -152,20 +152,22 @@
                 await pending.done.wait()
         finally:
             self._pending.pop(call_id, None)
-            is_proved_unsent = self.queue.withdraw(pending.queued)
+            is_proved_unsent = self.queue.cancel(pending.queued)
         if pending.reply is not None:
-            return _open_reply(pending.reply)
+            return _unwrap_reply(pending.reply)
         raise self._explain_failure(pending, is_proved_unsent=is_proved_unsent)
 
     def _explain_failure(
         self, pending: _PendingCall, *, is_proved_unsent: bool
     ) -> NotSentError | AnswerLostError:
-        # Guards against a second run: when a link dies with calls on it, a caller who
-        # is told "not run" sends again. Only a frame that the writer never took is
-        # proved not to have left; for any other the outcome is unknown.
+        # Prevents a request from running twice when a link breaks with calls pending:
+        # a caller that is told "not run" retries. Only a frame that the writer never
+        # took from the queue is certainly unsent; any other outcome is unknown.
         if is_proved_unsent:
-            return NotSentError(f"not sent to {self.peer_id}")
+            return NotSentError(f"the call to {self.peer_id} was not sent")
         if pending.done.is_set():
-            return AnswerLostError(f"the link to {self.peer_id} broke")
-        message = f"no answer from {self.peer_id} in time"
+            return AnswerLostError(
+                f"the link to {self.peer_id} closed before the reply"
+            )
+        message = f"no reply from {self.peer_id} before the call timed out"
         return AnswerLostError(message, code=ResultCode.DEADLINE_AFTER_SEND)
--- a/trefoilhook/inner/peers.py
+++ b/trefoilhook/inner/peers.py
@@ -1,4 +1,4 @@
-"""What is known about each peer."""
+"""Addresses and reachability state of peers."""
 
 import enum
 
@@ -11,11 +11,12 @@
 
 
 class PeerState(enum.Enum):
-    """What the last attempts to reach a peer have shown.
+    """Reachability of a peer, from the latest connection attempts.
 
-    ``REFUSED`` and ``STRANGER`` prove that the process with that instance id is dead:
-    it listened before its address was published and would still hold the port.
-    Silence and timeouts prove nothing: the peer may act behind a broken network.
+    ``REFUSED`` and ``STRANGER`` (another instance answers at the address) prove that
+    the process with that instance id has exited: it listened before its address was
+    published and would still hold the port. Lost connections and timeouts prove
+    nothing, because the peer may be running behind a network fault.
     """
 
     UP = "up"
@@ -26,19 +27,19 @@
 
 @attrs.frozen(kw_only=True)
 class PeerAddress:
-    """Where a peer listens.
+    """Address of a peer.
 
     Parameters
     ----------
     instance_id : str
-        Unique to one run of one process.
+        Id of the peer, unique to one run of one process.
     host : str
-        IP number.
+        IP address.
     port : int
-        Port of the inner protocol.
+        Port of the inter-instance protocol.
     is_seed : bool, optional
-        Only the address is known: whoever answers there is the peer. The instance id
-        is then a name of its own choosing, and nothing is proved by who answers.
+        Whether only the address is known. Any instance that answers there is accepted;
+        ``instance_id`` is then a placeholder and the identity proves nothing.
     """
 
     instance_id: str
@@ -49,53 +50,52 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Peer:
-    """A peer, the own link to it, and what is known about it.
+    """A peer, the dialled link to it, and its state.
 
     Parameters
     ----------
     address : PeerAddress
-        Where it listens.
-    evidence : PeerState, optional
-        What the attempts have shown, apart from a link that is open.
+        Address of the peer.
+    disconnected_state : PeerState, optional
+        State to report while no link is open.
     link : Link, optional
-        The last link that came up.
-    scope : trio.CancelScope, optional
-        Ends the task that keeps the link.
+        Most recently opened link.
+    cancel_scope : trio.CancelScope, optional
+        Cancels the task that maintains the link.
     """
 
     address: PeerAddress
-    evidence: PeerState = PeerState.DOWN
+    disconnected_state: PeerState = PeerState.DOWN
     link: Link | None = None
-    scope: trio.CancelScope = attrs.Factory(trio.CancelScope)
+    cancel_scope: trio.CancelScope = attrs.Factory(trio.CancelScope)
 
     @property
     def state(self) -> PeerState:
-        """What is known about the peer now."""
-        return self.evidence if self.open_link is None else PeerState.UP
+        """Current state of the peer."""
+        return self.disconnected_state if self.open_link is None else PeerState.UP
 
     @property
     def open_link(self) -> Link | None:
-        """The link, while it is open."""
+        """The link if it is open, else None."""
         if self.link is None or not self.link.is_open:
             return None
         return self.link
 
-    def record_up(self, link: Link) -> None:
-        """Note that the link is open."""
+    def record_connected(self, link: Link) -> None:
+        """Record that a link was opened."""
         self.link = link
-        self.evidence = PeerState.DOWN
+        self.disconnected_state = PeerState.DOWN
 
-    def record_end(self, evidence: PeerState) -> None:
-        """Note how an attempt or a link ended.
+    def record_disconnected(self, state: PeerState) -> None:
+        """Record how a connection attempt or a link ended.
 
-        A proof of death is kept when a later attempt merely times out: after a
-        process dies its whole machine may go, and the dead don't return under the
-        same instance id.
+        A proof that the process exited is kept when a later attempt only times out:
+        the host may fail after the process, and an instance id is never reused.
         """
         self.link = None
-        if evidence is not PeerState.DOWN:
-            self.evidence = evidence
+        if state is not PeerState.DOWN:
+            self.disconnected_state = state
 
-    def record_life(self) -> None:
-        """Note that the peer itself sent something; drop a proof that was wrong."""
-        self.evidence = PeerState.DOWN
+    def record_heartbeat(self) -> None:
+        """Record a heartbeat from the peer, which refutes any earlier proof of exit."""
+        self.disconnected_state = PeerState.DOWN
--- a/trefoilhook/inner/settings.py
+++ b/trefoilhook/inner/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the inner protocol."""
+"""Settings of the inter-instance protocol."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class InnerSettings:
-    """How an instance keeps its links to its peers."""
+    """Settings of the links between instances."""
 
     heartbeat_interval_ms: float = declare(
         default=1_000.0,
--- a/trefoilhook/inner/tests/__init__.py
+++ b/trefoilhook/inner/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the inner protocol."""
+"""Tests of the inter-instance protocol."""
--- a/trefoilhook/inner/tests/test_calls.py
+++ b/trefoilhook/inner/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Contract of calls between two instances."""
+"""Calls and one-way messages between two instances."""
 
 import ssl
 import unittest
@@ -27,11 +27,11 @@
 )
 from trefoilhook.inner.tests.net import (
     TIMEOUT_MS,
+    build_address,
     build_node,
-    catch,
-    find_address,
+    result_or_error,
+    run_cancellable,
     run_pair,
-    run_scoped,
     wait_for,
     wait_for_state,
 )
@@ -62,9 +62,9 @@
 
 
 class CallTest(unittest.TestCase):
-    """What becomes of a call, to a peer and to oneself."""
+    """Outcomes of calls to a peer and to the instance itself."""
 
-    def test_outcomes(self):
+    def test_call_outcomes(self):
         cases = (
             (StatusRequest(), TIMEOUT_MS, None, None),
             (JobQuery(), TIMEOUT_MS, OutcomeError, ResultCode.OVERLOADED),
@@ -80,7 +80,7 @@
                 for target in ("one", "two"):
                     for message, timeout_ms, error_type, code in cases:
                         with self.subTest(target=target, message=message):
-                            answer = await catch(
+                            answer = await result_or_error(
                                 one.call(target, message, timeout_ms=timeout_ms)
                             )
                             if error_type is None:
@@ -91,9 +91,9 @@
 
         trio.run(scenario)
 
-    def test_each_call_gets_its_own_answer(self):
-        # Answers come out of order: the later a call, the sooner its handler ends.
-        # Each caller must still get the answer to its own request, and the whole of it.
+    def test_out_of_order_replies_reach_their_calls(self):
+        # Later calls complete sooner, so replies arrive out of order. Each caller must
+        # still receive the complete reply to its own request.
         async def answer(call):
             await trio.sleep((200 - call.message.limit) / 5_000)
             return JobPage(next_after_job_id=f"{call.message.limit}" * 1_000)
@@ -111,9 +111,9 @@
 
         trio.run(scenario)
 
-    def test_an_answer_after_its_deadline_reaches_nobody(self):
-        # A caller gives up; the answer comes later. The next call on the link must not
-        # be given the late answer in place of its own.
+    def test_reply_after_timeout_is_discarded(self):
+        # A reply arrives after its caller timed out. It must not be returned to the
+        # next call on the link.
         release = trio.Event()
 
         async def answer(call):
@@ -124,7 +124,9 @@
         async def scenario():
             async with run_pair() as (one, two):
                 two.handle(JobQuery, answer)
-                late = await catch(one.call("two", JobQuery(limit=1), timeout_ms=20))
+                late = await result_or_error(
+                    one.call("two", JobQuery(limit=1), timeout_ms=20)
+                )
                 self.assertIsInstance(late, AnswerLostError)
                 release.set()
                 for number in (2, 3):
@@ -134,7 +136,7 @@
 
         trio.run(scenario)
 
-    def test_deadline_is_carried(self):
+    def test_timeout_is_sent_with_the_call(self):
         seen = []
 
         async def answer(call):
@@ -149,7 +151,7 @@
         trio.run(scenario)
         self.assertEqual(seen, [12_345.0])
 
-    def test_large_body_arrives_whole(self):
+    def test_large_body_is_received_intact(self):
         body = bytes(range(256)) * 20_000
 
         async def answer(call):
@@ -164,7 +166,7 @@
 
         trio.run(scenario)
 
-    def test_one_way_message_arrives(self):
+    def test_one_way_message_is_delivered(self):
         seen = []
 
         async def note(call):
@@ -182,10 +184,10 @@
 
         trio.run(scenario)
 
-    def test_drain_answers_the_call_in_progress(self):
-        # An instance leaves while a peer's call runs, and its process ends as soon as
-        # it may. The caller still gets its whole answer, although that is larger than
-        # what the connection buffers; a call that comes later is refused as not run.
+    def test_drain_completes_the_call_in_progress(self):
+        # An instance shuts down while a peer's call runs and exits as soon as the drain
+        # returns. The caller must still receive the complete reply, which is larger
+        # than the connection's buffers; a later call is refused as not run.
         entered = trio.Event()
         release = trio.Event()
         answers = []
@@ -197,7 +199,9 @@
 
         async def ask(one):
             request = StatusRequest()
-            answers.append(await catch(one.call("two", request, timeout_ms=TIMEOUT_MS)))
+            answers.append(
+                await result_or_error(one.call("two", request, timeout_ms=TIMEOUT_MS))
+            )
 
         async def leave(two, scope):
             await two.drain()
@@ -209,14 +213,14 @@
             two.handle(StatusRequest, answer)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
-                scope = await nursery.start(run_scoped, two)
-                one.set_peers([find_address(two)])
+                scope = await nursery.start(run_cancellable, two)
+                one.set_peers([build_address(two)])
                 await wait_for_state(one, "two", PeerState.UP)
                 nursery.start_soon(ask, one)
                 await entered.wait()
                 nursery.start_soon(leave, two, scope)
                 await trio.testing.wait_all_tasks_blocked()
-                late = await catch(
+                late = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
                 )
                 self.assertIs(late.code, ResultCode.SHUTTING_DOWN)
@@ -229,7 +233,7 @@
         self.assertIsInstance(answers[0], StatusAnswer)
         self.assertEqual(len(answers[0].burn), 12_000_000)
 
-    def test_more_calls_than_the_cap_are_refused(self):
+    def test_calls_over_the_limit_are_refused(self):
         async def scenario():
             settings = InnerSettings(max_calls_in_progress=2)
             async with (
@@ -239,7 +243,7 @@
                 _register(two)
                 for _ in range(2):
                     one.tell("two", ServiceRequest())
-                third = await catch(
+                third = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
                 )
                 self.assertIs(third.code, ResultCode.OVERLOADED)
@@ -266,7 +270,7 @@
                 self.assertEqual(answer.instance_id, "one")
                 plain = build_node("plain")
                 await nursery.start(plain.run)
-                plain.set_peers([find_address(two)])
+                plain.set_peers([build_address(two)])
                 await trio.sleep(0.1)
                 self.assertIs(plain.peer_state("two"), PeerState.DOWN)
                 nursery.cancel_scope.cancel()
@@ -274,23 +278,23 @@
         trio.run(scenario)
 
 
-class UnsentTest(unittest.TestCase):
-    """Calls on a link whose writer does nothing."""
+class OutboundQueueTest(unittest.TestCase):
+    """Calls on a link without a running writer."""
 
     def _build_link(self, **caps):
         settings = InnerSettings(**caps)
-        return Link(peer_id="two", settings=settings, cut=lambda: None)
+        return Link(peer_id="two", settings=settings, abort=lambda: None)
 
-    def test_frame_that_was_never_taken_is_proved_not_sent(self):
-        # A link dies with two calls on it. One had been handed to the transport: its
-        # outcome is unknown. The other still waited: it may be sent again.
+    def test_frame_not_taken_by_the_writer_is_proved_unsent(self):
+        # A link closes with two calls pending. The one handed to the transport has an
+        # unknown outcome; the one still queued is certainly unsent and may be retried.
         async def scenario():
             link = self._build_link()
             results = {}
 
             async def ask(name):
                 call = link.call(StatusRequest(), timeout_ms=TIMEOUT_MS)
-                results[name] = await catch(call)
+                results[name] = await result_or_error(call)
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask, "taken")
@@ -305,12 +309,12 @@
 
         trio.run(scenario)
 
-    def test_call_given_up_before_it_was_taken_never_leaves(self):
-        # A caller is told "not sent" at its deadline. Were the frame still sent
-        # afterwards, the request would run although the caller sends it again.
+    def test_call_timed_out_in_the_queue_is_never_sent(self):
+        # A call times out in the queue and is reported as not sent. If the frame were
+        # sent afterwards, a retry by the caller would run the request twice.
         async def scenario():
             link = self._build_link()
-            error = await catch(link.call(StatusRequest(), timeout_ms=1))
+            error = await result_or_error(link.call(StatusRequest(), timeout_ms=1))
             self.assertIsInstance(error, NotSentError)
             self.assertIsNone(link.queue.take_batch())
 
@@ -320,15 +324,17 @@
         for caps in ({"max_queued_frames": 1}, {"max_queued_bytes": 1}):
             with self.subTest(caps=caps):
                 link = self._build_link(**caps)
-                self.assertTrue(link.tell(JobQuery(limit=1)))
-                self.assertFalse(link.tell(JobQuery(limit=1)))
-                error = trio.run(catch, link.call(StatusRequest(), timeout_ms=1))
+                self.assertTrue(link.send_one_way(JobQuery(limit=1)))
+                self.assertFalse(link.send_one_way(JobQuery(limit=1)))
+                error = trio.run(
+                    result_or_error, link.call(StatusRequest(), timeout_ms=1)
+                )
                 self.assertIsInstance(error, NotSentError)
                 self.assertIs(error.code, ResultCode.OVERLOADED)
                 link.reply(Frame(call_id=1, is_reply=True))
                 self.assertEqual(len(link.queue.take_batch().frames), 2)
 
-    def test_batches_keep_to_their_caps(self):
+    def test_batches_respect_their_limits(self):
         cases = (
             ({"max_batch_frames": 3}, [3, 3, 1]),
             ({"max_batch_bytes": 1}, [1] * 7),
@@ -337,7 +343,7 @@
             with self.subTest(caps=caps):
                 link = self._build_link(**caps)
                 for _ in range(7):
-                    link.tell(JobQuery(limit=1))
+                    link.send_one_way(JobQuery(limit=1))
                 sizes = []
                 while (batch := link.queue.take_batch()) is not None:
                     sizes.append(len(batch.frames))
--- a/trefoilhook/inner/tests/test_links.py
+++ b/trefoilhook/inner/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links that break, go silent, or lead to somebody else."""
+"""Broken and silent links, connection faults, and the state of peers."""
 
 import asyncio
 import contextlib
@@ -14,15 +14,15 @@
 from trefoilhook.inner.messages_pb2 import Heartbeat, StatusAnswer, StatusRequest
 from trefoilhook.inner.peers import Peer
 from trefoilhook.inner.tests.net import (
-    FAST,
+    FAST_SETTINGS,
     HOST,
     TIMEOUT_MS,
     Relay,
+    build_address,
     build_node,
-    catch,
-    find_address,
+    result_or_error,
+    run_cancellable,
     run_pair,
-    run_scoped,
     wait_for,
     wait_for_state,
 )
@@ -39,12 +39,12 @@
 
 
 class SilentLinkTest(unittest.TestCase):
-    """Connections that something between the two ends lost track of."""
+    """Half-open connections, and links that must not be taken for such."""
 
     def test_silent_connection_is_replaced(self):
-        # Calls to a peer hang until their deadlines, for good, although the peer is
-        # well: the network between forgot the connection, and sends vanish without an
-        # error. The link must break by itself and a new one take its place.
+        # The network drops all data on a connection without an error to either end,
+        # as after a NAT or firewall lost its state. Without detection every call to the
+        # healthy peer would time out. The link must close and be replaced.
         async def scenario():
             one = build_node("one")
             two = build_node("two")
@@ -54,11 +54,11 @@
                 await nursery.start(two.run)
                 relay = Relay(target_port=two.port)
                 await nursery.start(relay.run)
-                one.set_peers([find_address(two, port=relay.port)])
+                one.set_peers([build_address(two, port=relay.port)])
                 await wait_for_state(one, "two", PeerState.UP)
-                relay.forget()
+                relay.blackhole()
                 with trio.fail_after(TIMEOUT_MS / 1_000):
-                    lost = await catch(
+                    lost = await result_or_error(
                         one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS * 10)
                     )
                 self.assertIsInstance(lost, AnswerLostError)
@@ -71,8 +71,8 @@
         trio.run(scenario)
 
     def test_silent_connection_with_a_full_send_buffer_is_replaced(self):
-        # As above, but megabytes wait unsent when the connection is cut. A teardown
-        # that waited for the buffer to drain would never end.
+        # As above, with megabytes of unsent data when the connection is aborted. A
+        # close that waits for the buffer to drain would never complete.
         async def scenario():
             one = build_node("one")
             two = build_node("two")
@@ -82,10 +82,10 @@
                 await nursery.start(two.run)
                 relay = Relay(target_port=two.port)
                 await nursery.start(relay.run)
-                one.set_peers([find_address(two, port=relay.port)])
+                one.set_peers([build_address(two, port=relay.port)])
                 await wait_for_state(one, "two", PeerState.UP)
-                relay.forget()
-                relay.is_stuck = True
+                relay.blackhole()
+                relay.is_stalled = True
                 for _ in range(12):
                     one.tell("two", StatusAnswer(burn="x" * 1_000_000))
                 await wait_for(lambda: relay.accepted == 2)
@@ -94,17 +94,20 @@
 
         trio.run(scenario)
 
-    def test_own_pause_is_not_taken_for_silence(self):
-        # The process is frozen for a minute and goes on. Its peers' heartbeats wait in
-        # its sockets; cutting every link for the minute gone by would fail all calls.
-        protocol = WatchedProtocol(inner=_build_inner(), watch=ConnectionWatch())
+    def test_process_pause_is_not_counted_as_silence(self):
+        # The process is paused for a minute and resumed, with its peers' heartbeats in
+        # the socket buffers. Aborting every link for the elapsed minute would fail all
+        # calls.
+        protocol = WatchedProtocol(
+            protocol=_build_base_protocol(), watch=ConnectionWatch()
+        )
         protocol.bytes_received = 1
-        protocol.count_silence()
-        self.assertEqual(protocol.count_silence(), 1)
+        protocol.update_silent_intervals()
+        self.assertEqual(protocol.update_silent_intervals(), 1)
         protocol.bytes_received = 2
-        self.assertEqual(protocol.count_silence(), 0)
+        self.assertEqual(protocol.update_silent_intervals(), 0)
 
-    def test_idle_link_stays(self):
+    def test_idle_link_stays_up(self):
         async def scenario():
             async with run_pair() as (one, two):
                 heard = []
@@ -121,24 +124,24 @@
 
 
 def _build_link():
-    return Link(peer_id="two", settings=InnerSettings(), cut=lambda: None)
+    return Link(peer_id="two", settings=InnerSettings(), abort=lambda: None)
 
 
-def _build_inner():
-    class _Inner:
+def _build_base_protocol():
+    class _BaseProtocol:
         handler = None
         config = None
         h2_config = None
 
-    return _Inner()
+    return _BaseProtocol()
 
 
-class FaultTest(unittest.TestCase):
-    """Faults of one connection that must stay with it."""
+class ConnectionFaultTest(unittest.TestCase):
+    """Faults of one connection that must not affect others."""
 
     def test_link_that_cannot_write_is_closed(self):
-        # Sends on a link fail, but the peer's heartbeats still come in. The link must
-        # not stay up: every call on it would hang until its deadline.
+        # Writes on a link fail while the peer's heartbeats still arrive. If the link
+        # stayed up, every call on it would time out.
         for error in (OSError("broken"), ValueError("can't encode")):
             with self.subTest(error=error):
 
@@ -147,14 +150,14 @@
                         raise error
 
                 link = _build_link()
-                link.tell(StatusRequest())
+                link.send_one_way(StatusRequest())
                 asyncio.run(write_batches(_Stream(), link))
                 self.assertFalse(link.is_open)
 
-    def test_bytes_in_the_kernel_are_not_delivered(self):
-        # An instance drains and ends while its last reply still waits in the kernel's
-        # send queue, with a heartbeat unread on the connection. The end resets the
-        # connection, the queue is dropped, and the caller never gets the reply.
+    def test_kernel_send_queue_counts_as_unacknowledged(self):
+        # An instance drains and exits while its last reply is still in the kernel's
+        # send queue and a heartbeat is unread. Closing then resets the connection and
+        # discards the queue, so the caller never receives the reply.
         async def scenario():
             listener = socket.socket()
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
@@ -165,32 +168,35 @@
             near.setblocking(False)
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_connection(asyncio.Protocol, sock=near)
-            protocol = WatchedProtocol(inner=_build_inner(), watch=ConnectionWatch())
-            protocol._raw = transport
+            protocol = WatchedProtocol(
+                protocol=_build_base_protocol(), watch=ConnectionWatch()
+            )
+            protocol._transport = transport
             transport.write(b"x" * 100_000)
             self.assertEqual(transport.get_write_buffer_size(), 0)
-            self.assertGreater(protocol.undelivered_bytes, 0)
+            self.assertGreater(protocol.unacknowledged_bytes, 0)
             transport.abort()
             listener.close()
 
         asyncio.run(scenario())
 
-    def test_neither_end_holds_small_writes_back(self):
-        # Under load answers take 40 ms instead of 1 ms: batches larger than an HTTP/2
-        # frame leave in two writes, and the second waits for a delayed acknowledgement.
+    def test_nagle_algorithm_is_off_at_both_ends(self):
+        # With Nagle's algorithm on, replies under load take 40 ms instead of 1 ms:
+        # batches larger than an HTTP/2 frame are sent in two writes, and the second
+        # waits for a delayed acknowledgement.
         async def scenario():
             async with run_pair() as pair:
                 for node in pair:
                     for protocol in node._links.watch._protocols:
-                        near = protocol._raw.get_extra_info("socket")
+                        near = protocol._transport.get_extra_info("socket")
                         option = near.getsockopt(socket.SOL_TCP, socket.TCP_NODELAY)
                         self.assertTrue(option)
 
         trio.run(scenario)
 
-    def test_garbage_at_the_port_harms_nobody(self):
-        # Something that doesn't speak the protocol connects: a scanner, a wrong port.
-        # Calls of peers go on.
+    def test_invalid_data_at_the_port_does_not_affect_peers(self):
+        # A client that does not use the protocol connects, such as a port scanner.
+        # Calls from peers must continue to work.
         async def scenario():
             async with run_pair() as (one, two):
                 two.handle(StatusRequest, _answer)
@@ -203,8 +209,8 @@
 
         trio.run(scenario)
 
-    def test_failing_callback_of_the_loop_is_contained(self):
-        # A callback on the asyncio loop raises. The instance goes on.
+    def test_exception_in_an_asyncio_callback_is_contained(self):
+        # An exception in a callback of the asyncio loop must not stop the instance.
         async def scenario():
             async with run_pair() as (one, two):
                 two.handle(StatusRequest, _answer)
@@ -215,28 +221,28 @@
         trio.run(scenario)
 
 
-class EvidenceTest(unittest.TestCase):
-    """What proves that the process behind a peer's id is dead, and what doesn't."""
+class PeerStateTest(unittest.TestCase):
+    """Events that prove that a peer's process has exited, and events that do not."""
 
-    def test_crash_is_proved_by_the_refused_connection(self):
-        # A peer's process dies with a call on it. The caller is told that the outcome
-        # is unknown; the owner's shards may be claimed at once, because nobody listens.
+    def test_refused_connection_proves_a_crash(self):
+        # A peer's process crashes during a call. The outcome is reported as unknown.
+        # The refused connection proves the exit, so its shards may be claimed at once.
         async def scenario():
             one = build_node("one")
             two = build_node("two")
             two.handle(StatusRequest, _hang)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
-                peers = await nursery.start(run_scoped, two)
-                one.set_peers([find_address(two)])
+                peers = await nursery.start(run_cancellable, two)
+                one.set_peers([build_address(two)])
                 await wait_for_state(one, "two", PeerState.UP)
                 nursery.start_soon(_cancel_soon, peers)
-                lost = await catch(
+                lost = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
                 )
                 self.assertIsInstance(lost, AnswerLostError)
                 await wait_for_state(one, "two", PeerState.REFUSED)
-                unsent = await catch(
+                unsent = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
                 )
                 self.assertIsInstance(unsent, NotSentError)
@@ -244,9 +250,9 @@
 
         trio.run(scenario)
 
-    def test_another_instance_at_the_address_is_a_stranger(self):
-        # A peer is replaced at its old address. Its successor must get no call that
-        # was meant for it, and its death is proved.
+    def test_another_instance_at_the_address_proves_exit(self):
+        # Another instance now listens at a peer's address. It must not receive calls
+        # addressed to that peer, whose process has provably exited.
         async def scenario():
             one = build_node("one")
             successor = build_node("successor")
@@ -256,15 +262,17 @@
                 old = PeerAddress(instance_id="old", host=HOST, port=successor.port)
                 one.set_peers([old])
                 await wait_for_state(one, "old", PeerState.STRANGER)
-                error = await catch(one.call("old", StatusRequest(), timeout_ms=50))
+                error = await result_or_error(
+                    one.call("old", StatusRequest(), timeout_ms=50)
+                )
                 self.assertIsInstance(error, NotSentError)
                 nursery.cancel_scope.cancel()
 
         trio.run(scenario)
 
-    def test_silence_proves_nothing(self):
-        # A peer's address accepts connections and says nothing: a frozen process, or a
-        # broken network. Claiming its shards at once could leave two owners.
+    def test_timeout_does_not_prove_exit(self):
+        # A peer accepts connections but sends nothing, because its process is paused or
+        # the network is faulty. Claiming its shards at once could leave two owners.
         async def scenario():
             one = build_node("one")
             listeners = await trio.open_tcp_listeners(0, host=HOST)
@@ -285,9 +293,9 @@
 
         trio.run(scenario)
 
-    def test_evidence_by_order_of_events(self):
-        # A machine that dies first refuses and then falls silent: the proof stays. A
-        # peer that is heard again was alive all the time: the proof goes.
+    def test_peer_state_by_order_of_events(self):
+        # A failing host first refuses connections and then times out: the proof of
+        # exit is kept. A heartbeat shows that the peer never exited: it is discarded.
         cases = (
             (["refused", "timeout"], PeerState.REFUSED),
             (["stranger", "timeout"], PeerState.STRANGER),
@@ -302,22 +310,30 @@
                 address = PeerAddress(instance_id="two", host=HOST, port=1)
                 peer = Peer(address=address)
                 steps = {
-                    "refused": lambda peer=peer: peer.record_end(PeerState.REFUSED),
-                    "stranger": lambda peer=peer: peer.record_end(PeerState.STRANGER),
-                    "timeout": lambda peer=peer: peer.record_end(PeerState.DOWN),
-                    "heard": peer.record_life,
-                    "up": lambda peer=peer: peer.record_up(_build_link()),
+                    "refused": lambda peer=peer: peer.record_disconnected(
+                        PeerState.REFUSED
+                    ),
+                    "stranger": lambda peer=peer: peer.record_disconnected(
+                        PeerState.STRANGER
+                    ),
+                    "timeout": lambda peer=peer: peer.record_disconnected(
+                        PeerState.DOWN
+                    ),
+                    "heard": peer.record_heartbeat,
+                    "up": lambda peer=peer: peer.record_connected(_build_link()),
                 }
                 for event in events:
                     steps[event]()
                 self.assertIs(peer.state, expected)
 
-    def test_a_peer_that_is_heard_is_not_dead(self):
-        # A peer's port was published wrongly, so connections to it are refused, but
-        # its own heartbeats arrive. Taking it for dead would leave two owners.
+    def test_heartbeat_refutes_a_proof_of_exit(self):
+        # A peer's published port is wrong, so connections to it are refused, but its
+        # heartbeats arrive. Treating it as exited would leave two owners of its shards.
         async def scenario():
-            patient = attrs.evolve(FAST, reconnect_min_ms=8e7, reconnect_max_ms=8e7)
-            one = build_node("one", settings=patient)
+            slow_reconnect = attrs.evolve(
+                FAST_SETTINGS, reconnect_min_ms=8e7, reconnect_max_ms=8e7
+            )
+            one = build_node("one", settings=slow_reconnect)
             two = build_node("two")
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
@@ -325,20 +341,22 @@
                 listeners = await trio.open_tcp_listeners(0, host=HOST)
                 closed_port = listeners[0].socket.getsockname()[1]
                 await listeners[0].aclose()
-                one.set_peers([find_address(two, port=closed_port)])
+                one.set_peers([build_address(two, port=closed_port)])
                 await wait_for_state(one, "two", PeerState.REFUSED)
-                two.set_peers([find_address(one)])
+                two.set_peers([build_address(one)])
                 await wait_for_state(one, "two", PeerState.DOWN)
                 nursery.cancel_scope.cancel()
 
         trio.run(scenario)
 
-    def test_dropped_peer_is_forgotten(self):
+    def test_removed_peer_is_down(self):
         async def scenario():
             async with run_pair() as (one, _):
                 one.set_peers([])
                 self.assertIs(one.peer_state("two"), PeerState.DOWN)
-                error = await catch(one.call("two", StatusRequest(), timeout_ms=50))
+                error = await result_or_error(
+                    one.call("two", StatusRequest(), timeout_ms=50)
+                )
                 self.assertIsInstance(error, NotSentError)
 
         trio.run(scenario)
--- a/trefoilhook/inner/transport.py
+++ b/trefoilhook/inner/transport.py
@@ -1,7 +1,7 @@
-"""The asyncio side: grpclib's streams, one of them to each peer.
+"""gRPC streams between instances, on asyncio with grpclib.
 
-Everything here runs on the trio-asyncio loop. It shares a thread with the trio side and
-talks with it through a link's queues only.
+All code in this module runs on the trio-asyncio loop. It shares a thread with the trio
+tasks and communicates with them only through the queues of a link.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 __all__ = [
     "LINK_ERRORS",
     "LinkServer",
-    "StrangerError",
+    "IdentityMismatchError",
     "run_dialled_link",
     "write_batches",
 ]
 
-# What a link may end with when its connection breaks.
+# Exceptions with which a link may end when its connection breaks.
 LINK_ERRORS = (
     GRPCError,
     ProtocolError,
@@ -39,43 +39,44 @@
     TransportError,
 )
 
-# Makes the link to the named peer over a connection that the callable cuts.
+# Creates the link to a peer from its instance id and a function that aborts the
+# connection.
 OpenLink = Callable[[str, Callable[[], None]], Link]
 
 
-class StrangerError(TransportError):
-    """Another instance answers at a peer's address."""
+class IdentityMismatchError(TransportError):
+    """A different instance answered at a peer's address."""
 
 
 class _LinkChannel(Channel):
-    """A channel that knows its connection, so that it can be cut at once."""
+    """A channel that keeps its connection so that it can be aborted."""
 
     def __init__(self, *, watch: ConnectionWatch, **options: Any) -> None:
         super().__init__(**options)
         self._watch = watch
-        self._made: WatchedProtocol | None = None
+        self._watched_protocol: WatchedProtocol | None = None
 
     def _protocol_factory(self) -> H2Protocol:
-        self._made = self._watch.wrap(super()._protocol_factory())
-        return self._made
+        self._watched_protocol = self._watch.wrap(super()._protocol_factory())
+        return self._watched_protocol
 
-    def cut(self) -> None:
-        """Cut the connection without waiting for anything."""
-        if self._made is not None:
-            self._made.cut()
+    def abort(self) -> None:
+        """Abort the connection immediately."""
+        if self._watched_protocol is not None:
+            self._watched_protocol.abort()
 
 
 class LinkServer(Server):
-    """The listening end of links.
+    """Server that accepts links from peers.
 
     Parameters
     ----------
     instance_id : str
-        Own instance id.
+        Id of this instance.
     watch : ConnectionWatch
-        Watches the accepted connections.
+        Tracks the accepted connections.
     open_link : callable
-        Makes the link for a peer that connected.
+        Creates the link for a peer that connected.
     """
 
     def __init__(
@@ -91,12 +92,12 @@
         return self._watch.wrap(super()._protocol_factory())
 
     async def listen(self, *, host: str, port: int, tls: ssl.SSLContext | None) -> int:
-        """Start to listen; return the port."""
+        """Start listening and return the port."""
         is_ipv6 = ":" in host
         family = socket.AF_INET6 if is_ipv6 else socket.AF_INET
-        # Guards against replies that are 40 ms late: asyncio switches Nagle's algorithm
-        # off only on sockets that name TCP as their protocol, and with it on, the end
-        # of a batch larger than one HTTP/2 frame waits for a delayed acknowledgement.
+        # IPPROTO_TCP must be explicit: asyncio sets TCP_NODELAY only on sockets created
+        # with that protocol. With Nagle's algorithm on, the end of a batch larger than
+        # one HTTP/2 frame waits 40 ms for a delayed acknowledgement.
         listener = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((host, port))
@@ -105,7 +106,7 @@
 
 
 class _LinkService(LinkBase):
-    """Accepts the streams that peers open."""
+    """gRPC service that handles the streams opened by peers."""
 
     def __init__(
         self, *, instance_id: str, watch: ConnectionWatch, open_link: OpenLink
@@ -115,19 +116,19 @@
         self._open_link = open_link
 
     async def Open(self, stream: Any) -> None:  # noqa: N802
-        """Serve one stream until it ends."""
+        """Handle one stream until it ends."""
         protocol = self._watch.find(stream.peer.addr())
         if protocol is None:
             return
         try:
             hello = _read_hello(await stream.recv_message())
-            link = self._open_link(hello.instance_id, protocol.cut)
+            link = self._open_link(hello.instance_id, protocol.abort)
             await stream.send_message(_build_hello(self._instance_id))
-            await _exchange(stream, link)
+            await _run_stream(stream, link)
         except LINK_ERRORS:
             pass
         finally:
-            protocol.cut()
+            protocol.abort()
 
 
 def _build_hello(instance_id: str) -> Batch:
@@ -136,15 +137,15 @@
 
 def _read_hello(batch: Batch | None) -> Hello:
     if batch is None or not batch.frames or not batch.frames[0].HasField("hello"):
-        raise TransportError("the peer didn't begin with its name")
+        raise TransportError("the first frame from the peer is not a Hello")
     return batch.frames[0].hello
 
 
 async def write_batches(stream: Any, link: Link) -> None:
-    """Send what is queued, as much as fits into each batch, until cancelled.
+    """Send queued frames in batches until cancelled.
 
-    Frames gather while a send waits for flow control or for its turn; an idle link
-    sends a single frame at once.
+    Frames accumulate while a send waits for flow control or for the event loop; on an
+    idle link a single frame is sent immediately.
     """
     try:
         while True:
@@ -158,13 +159,13 @@
     except Exception as error:
         log_event(Event.TASK_FAILED, task="link writer", error=repr(error))
     finally:
-        # Guards against a link that reads but can no longer write: the peer's
+        # A link that can still read but not write must be closed: the peer's
         # heartbeats would keep it up while every call on it times out.
         link.close()
 
 
-async def _exchange(stream: Any, link: Link) -> None:
-    """Pass batches both ways until the stream ends."""
+async def _run_stream(stream: Any, link: Link) -> None:
+    """Send and receive batches until the stream ends."""
     writer = asyncio.ensure_future(write_batches(stream, link))
     try:
         while (batch := await stream.recv_message()) is not None:
@@ -180,46 +181,49 @@
     host: str,
     port: int,
     expected_id: str,
-    is_any_welcome: bool,
+    is_any_id_accepted: bool,
     instance_id: str,
     tls: ssl.SSLContext | None,
     watch: ConnectionWatch,
     open_link: OpenLink,
 ) -> None:
-    """Connect to a peer and pass batches until the stream ends.
+    """Connect to a peer, then send and receive batches until the stream ends.
 
     Parameters
     ----------
     host, port : str, int
         Address of the peer.
     expected_id : str
-        Instance id that should answer there.
-    is_any_welcome : bool
-        Take whoever answers; ``expected_id`` is then only the link's name.
+        Instance id expected at that address.
+    is_any_id_accepted : bool
+        Whether to accept any instance; ``expected_id`` is then only used to label the
+        link.
     instance_id : str
-        Own instance id.
+        Id of this instance.
     tls : ssl.SSLContext or None
-        Client context.
+        Client TLS context.
     watch : ConnectionWatch
-        Watches the connection.
+        Tracks the connection.
     open_link : callable
-        Makes the link once the peer has told its name.
+        Creates the link once the peer has sent its instance id.
 
     Raises
     ------
-    StrangerError
-        If another instance answers.
+    IdentityMismatchError
+        If a different instance answers.
     ConnectionRefusedError
-        If nobody listens there.
+        If nothing listens at the address.
     """
     channel = _LinkChannel(watch=watch, host=host, port=port, ssl=tls)
     try:
         async with LinkStub(channel).Open.open() as stream:
             await stream.send_message(_build_hello(instance_id))
             hello = _read_hello(await stream.recv_message())
-            if hello.instance_id != expected_id and not is_any_welcome:
-                raise StrangerError(f"{hello.instance_id} is not {expected_id}")
-            await _exchange(stream, open_link(expected_id, channel.cut))
+            if hello.instance_id != expected_id and not is_any_id_accepted:
+                raise IdentityMismatchError(
+                    f"expected instance {expected_id} but {hello.instance_id} answered"
+                )
+            await _run_stream(stream, open_link(expected_id, channel.abort))
     finally:
-        channel.cut()
+        channel.abort()
         channel.close()
