--- a/trefoilhook/instances/__init__.py
+++ b/trefoilhook/instances/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the platform's instance list."""
+"""Client of the platform's instance list."""
 
 from trefoilhook.instances.client import InstanceListClient
 from trefoilhook.instances.core import (
--- a/trefoilhook/instances/client.py
+++ b/trefoilhook/instances/client.py
@@ -1,7 +1,7 @@
-"""Adapter to the platform's instance list.
+"""Client of the platform's instance list.
 
-The only module that knows how the list is spoken to: HTTP/1.1 with JSON bodies,
-described in ``docs/INTERFACES.md``.
+The only module that implements the protocol of the list, HTTP/1.1 with JSON bodies,
+which is described in ``docs/INTERFACES.md``.
 """
 
 from trefoilhook.clock import Clock
@@ -13,20 +13,20 @@
 
 
 class InstanceListClient:
-    """Calls to the instance list.
+    """Client of the instance list.
 
     Parameters
     ----------
     host : str
-        Address of the list, an IP number.
+        IP address of the list.
     port : int
         Port of the list.
     clock : Clock
-        Where time comes from.
+        Time source.
     timeout_ms : float
-        Longest time for one call, in ms.
+        Timeout of one request, in ms.
     token : str, optional
-        Bearer token sent with each call.
+        Bearer token sent with each request.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         Raises
         ------
         TransportError
-            If no readable answer came.
+            If the request failed or the response is invalid.
 
         Notes
         -----
-        The list lags: an instance on it may be gone, a new one may be missing, and
-        one that is leaving may still look live.
+        The list lags behind the actual state: it may contain instances that no longer
+        exist, omit new ones, and report instances that are shutting down as live.
         """
         response = await self._platform.exchange("GET", "/v1/instances")
         if response.status != 200:
-            raise AnswerLostError(f"the instance list answered {response.status}")
+            raise AnswerLostError(f"instance list returned status {response.status}")
         return decode_answer(response, BackendPage)
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         await self._platform.close()
--- a/trefoilhook/instances/core.py
+++ b/trefoilhook/instances/core.py
@@ -1,4 +1,4 @@
-"""Typed records of the platform's instance list."""
+"""Records of the platform's instance list."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class InstanceState(enum.Enum):
-    """Whether an instance stays."""
+    """Lifecycle state of an instance: live or shutting down."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -23,21 +23,21 @@
     Parameters
     ----------
     executor_id : str
-        Its name.
+        Id of the executor.
     team : str
-        Team that it belongs to.
+        Team that owns the executor.
     service : str
-        Service that it runs.
+        Service that the executor runs.
     host : str
-        Its address, an IP number.
+        IP address of the executor.
     port : int
-        Its port.
+        Port of the executor.
     failure_domain : str
-        Where it stands.
+        Failure domain of the executor.
     slots : int, optional
-        Requests that it can run at once.
+        Maximum number of concurrent requests.
     state : InstanceState, optional
-        Whether it stays.
+        Lifecycle state.
     """
 
     executor_id: str
@@ -52,24 +52,24 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerRecord:
-    """A worker.
+    """A worker of the platform.
 
     Parameters
     ----------
     worker_id : str
-        Its name.
+        Id of the worker.
     rack : str
-        Rack that it stands in.
+        Rack that contains the worker.
     failure_domain : str
         Failure domain of the rack.
     host : str
-        Its address, an IP number.
+        IP address of the worker.
     port : int
-        Its port.
+        Port of the worker.
     capacity : Resources
-        All that it has.
+        Total resources of the worker.
     state : InstanceState, optional
-        Whether it stays.
+        Lifecycle state.
     """
 
     worker_id: str
@@ -83,7 +83,7 @@
 
 @attrs.frozen(kw_only=True)
 class BackendPage:
-    """The list as it was some time ago.
+    """Snapshot of the instance list.
 
     Parameters
     ----------
@@ -92,7 +92,7 @@
     workers : tuple of WorkerRecord
         All workers.
     age_ms : float
-        How long ago this was true, in ms, as far as the list knows.
+        Age of the snapshot as reported by the list, in ms.
     """
 
     executors: tuple[ExecutorRecord, ...]
--- a/trefoilhook/instances/tests/__init__.py
+++ b/trefoilhook/instances/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the instances package."""
+"""Tests of ``trefoilhook.instances``."""
--- a/trefoilhook/instances/tests/test_contract.py
+++ b/trefoilhook/instances/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the instance list adapter with a list, faults included."""
+"""The instance list client against a stand-in list, including faults."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -50,7 +50,7 @@
 
 
 def run_with_list(scenario: _Scenario) -> None:
-    """Run ``scenario`` against a lagging list in virtual time."""
+    """Run ``scenario`` in virtual time against a list that lags by ``_LAG_MS``."""
 
     async def main() -> None:
         clock = build_system_clock()
@@ -67,14 +67,14 @@
 
 
 class InstanceListTest(unittest.TestCase):
-    """What the list tells, and when."""
+    """Content of the list, its lag, and errors under faults."""
 
-    def test_states_are_told_after_the_lag(self):
+    def test_state_changes_appear_after_the_lag(self):
         async def scenario(standin, client) -> None:
             standin.set_state("e1", InstanceState.LEAVING)
             standin.set_state("w1", InstanceState.LEAVING)
             page = await client.list_backends()
-            self.assertEqual((page.executors, page.workers), _told(_LISTS))
+            self.assertEqual((page.executors, page.workers), _get_records(_LISTS))
             self.assertEqual(page.age_ms, _LAG_MS)
             await trio.sleep(_LAG_MS / 1000 + 1)
             page = await client.list_backends()
@@ -83,7 +83,7 @@
 
         run_with_list(scenario)
 
-    def test_removed_instance_is_told_until_the_lag_is_over(self):
+    def test_removed_instance_is_listed_until_the_lag_has_passed(self):
         async def scenario(standin, client) -> None:
             standin.change(InstanceLists())
             self.assertEqual(len((await client.list_backends()).workers), 1)
@@ -112,5 +112,5 @@
                 run_with_list(scenario)
 
 
-def _told(lists: InstanceLists):
+def _get_records(lists: InstanceLists):
     return (lists.executors, lists.workers)
