--- a/trefoilhook/entry/__init__.py
+++ b/trefoilhook/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP API."""
+"""HTTP API for callers."""
 
 from trefoilhook.entry.core import build_entry_handler
 
--- a/trefoilhook/entry/core.py
+++ b/trefoilhook/entry/core.py
@@ -1,4 +1,4 @@
-"""From a caller's HTTP request to its answer.
+"""HTTP request handler for callers.
 
 ``POST /v1/teams/{team}/services/{service}/requests`` runs the body on an executor of
 the service.
@@ -23,36 +23,37 @@
 
 __all__ = ["build_entry_handler"]
 
-HandleCaller = Callable[[CallerRequest], Awaitable[CallerAnswer]]
+CallerHandler = Callable[[CallerRequest], Awaitable[CallerAnswer]]
 
-_PATH = re.compile(r"/v1/teams/([^/]+)/services/([^/]+)/requests")
+_PATH_PATTERN = re.compile(r"/v1/teams/([^/]+)/services/([^/]+)/requests")
 _BEARER = "bearer "
 _MS_PER_S = 1000.0
-_LONGEST_TIMEOUT_MS = 600_000.0
-_TOKEN_REFUSALS = {
+_MAX_TIMEOUT_MS = 600_000.0
+_TOKEN_ERROR_CODES = {
     TokenVerdict.UNKNOWN: ResultCode.UNAUTHENTICATED,
     TokenVerdict.FORBIDDEN: ResultCode.FORBIDDEN,
 }
 
 
 def build_entry_handler(
-    *, instance_id: str, teams: TeamView, handle_caller: HandleCaller
+    *, instance_id: str, teams: TeamView, handle_caller: CallerHandler
 ) -> Callable[[HttpRequest], Awaitable[HttpResponse]]:
-    """Build the handler of the callers' listener.
+    """Build the HTTP handler for callers' requests.
 
     Parameters
     ----------
     instance_id : str
-        This instance, named in each answer.
+        Id of this instance, sent in the response unless another instance owns the
+        request.
     teams : TeamView
-        What the configuration says.
+        Configuration of the teams.
     handle_caller : callable
-        Serves a request that was read and whose token was checked.
+        Handles a parsed and authorised request.
     """
 
     async def handle(request: HttpRequest) -> HttpResponse:
         try:
-            caller_request = _read_request(request, teams)
+            caller_request = _parse_request(request, teams)
         except RequestError as error:
             answer = CallerAnswer(code=error.code, detail=str(error))
         else:
@@ -60,8 +61,8 @@
         return _build_response(answer, instance_id)
 
     async def _serve(request: CallerRequest) -> CallerAnswer:
-        # Guards against a fault in serving one request that would end the listener
-        # and cut off all others. The caller hears that the outcome is unknown.
+        # An unexpected exception must not stop the listener and fail all other
+        # requests. The caller receives an error with an unknown outcome.
         try:
             return await handle_caller(request)
         except Exception as error:
@@ -71,8 +72,8 @@
     return handle
 
 
-def _read_request(request: HttpRequest, teams: TeamView) -> CallerRequest:
-    match = _PATH.fullmatch(request.path)
+def _parse_request(request: HttpRequest, teams: TeamView) -> CallerRequest:
+    match = _PATH_PATTERN.fullmatch(request.path)
     if match is None:
         raise RequestError("no such path", code=ResultCode.NOT_FOUND)
     team, service = match.group(1), match.group(2)
@@ -86,8 +87,8 @@
         key=parse_key(key) if key is not None else b"",
         content_type=request.get_header("content-type") or "",
         body=request.body,
-        timeout_ms=_read_timeout_ms(request),
-        attempt=_read_attempt(request),
+        timeout_ms=_parse_timeout_ms(request),
+        attempt=_parse_attempt(request),
     )
 
 
@@ -95,12 +96,12 @@
     header = request.get_header("authorization") or ""
     token = header[len(_BEARER) :] if header.lower().startswith(_BEARER) else ""
     verdict = teams.check_token(team, token.strip())
-    refusal = _TOKEN_REFUSALS.get(verdict)
-    if refusal is not None:
-        raise RequestError("the token does not allow this", code=refusal)
+    error_code = _TOKEN_ERROR_CODES.get(verdict)
+    if error_code is not None:
+        raise RequestError("the token does not allow this", code=error_code)
 
 
-def _read_timeout_ms(request: HttpRequest) -> float | None:
+def _parse_timeout_ms(request: HttpRequest) -> float | None:
     text = request.get_header("request-timeout-ms")
     if text is None:
         return None
@@ -108,12 +109,12 @@
         timeout_ms = float(text)
     except ValueError as error:
         raise RequestError("Request-Timeout-Ms is no number") from error
-    if not 0 < timeout_ms <= _LONGEST_TIMEOUT_MS:
+    if not 0 < timeout_ms <= _MAX_TIMEOUT_MS:
         raise RequestError("Request-Timeout-Ms is out of range")
     return timeout_ms
 
 
-def _read_attempt(request: HttpRequest) -> Attempt:
+def _parse_attempt(request: HttpRequest) -> Attempt:
     text = request.get_header("request-attempt")
     if text is None:
         return Attempt.NOT_SAID
@@ -137,12 +138,12 @@
         headers.append(("retry-after-ms", str(math.ceil(answer.retry_after_ms))))
     has_body = code.outcome is Outcome.EXECUTED and answer.status > 0
     if not has_body:
-        return _build_error(answer, tuple(headers))
+        return _build_error_response(answer, tuple(headers))
     headers.append(("content-type", answer.content_type or "application/octet-stream"))
     return HttpResponse(status=answer.status, headers=tuple(headers), body=answer.body)
 
 
-def _build_error(
+def _build_error_response(
     answer: CallerAnswer, headers: tuple[tuple[str, str], ...]
 ) -> HttpResponse:
     code = answer.code
--- a/trefoilhook/entry/tests/test_entry.py
+++ b/trefoilhook/entry/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Contract of the callers' HTTP API."""
+"""HTTP API for callers."""
 
 import math
 import unittest
@@ -23,11 +23,11 @@
 _VERDICTS = {"right": TokenVerdict.ALLOWED, "other": TokenVerdict.FORBIDDEN}
 
 
-def ask(answer=None, serve=None, **changes):
-    """Send one request; return the response and what reached the service."""
+def send_request(answer=None, serve=None, **changes):
+    """Send a request; return the response and the requests passed to the handler."""
     seen = []
 
-    async def answer_it(request):
+    async def return_answer(request):
         seen.append(request)
         return answer or CallerAnswer(
             code=ResultCode.OK,
@@ -44,7 +44,7 @@
         check_token=lambda team, token: _VERDICTS.get(token, TokenVerdict.UNKNOWN),
     )
     handler = build_entry_handler(
-        instance_id="i1", teams=teams, handle_caller=serve or answer_it
+        instance_id="i1", teams=teams, handle_caller=serve or return_answer
     )
     fields = {
         "method": "POST",
@@ -57,10 +57,10 @@
 
 
 class EntryTest(unittest.TestCase):
-    """What a caller sends and what it gets back."""
+    """Requests from callers and the responses to them."""
 
-    def test_whole_answer_with_its_headers(self):
-        response, seen = ask()
+    def test_response_body_and_headers(self):
+        response, seen = send_request()
         self.assertEqual((response.status, response.body), (200, b"whole"))
         self.assertEqual(response.get_header("Trefoilhook-Result"), "0")
         self.assertEqual(response.get_header("Trefoilhook-Outcome"), "executed")
@@ -69,7 +69,7 @@
         self.assertEqual(seen[0].key.hex(), _KEY.replace("-", ""))
         self.assertEqual((seen[0].team, seen[0].service), ("sky", "seats"))
 
-    def test_refusals_never_reach_the_service(self):
+    def test_rejected_requests_are_not_passed_to_the_handler(self):
         key = ("Idempotency-Key", _KEY)
         version_4 = "6f0c0c9e-6a8f-4b5f-9d53-0d5a2f1c7f11"
         table = (
@@ -103,7 +103,7 @@
         )
         for changes, code in table:
             with self.subTest(changes=changes):
-                response, seen = ask(**changes)
+                response, seen = send_request(**changes)
                 self.assertEqual(seen, [])
                 self.assertEqual(response.status, code.value.http_status)
                 value = response.parse_json()
@@ -113,35 +113,35 @@
                     response.get_header("Trefoilhook-Result"), str(code.number)
                 )
 
-    def test_headers_of_the_request_are_read(self):
+    def test_request_headers_are_parsed(self):
         extra = (("Request-Timeout-Ms", "250"), ("Request-Attempt", "2"))
-        _, seen = ask(headers=(_AUTH, ("Idempotency-Key", _KEY), *extra))
+        _, seen = send_request(headers=(_AUTH, ("Idempotency-Key", _KEY), *extra))
         self.assertEqual(seen[0].timeout_ms, 250.0)
         self.assertIs(seen[0].attempt, Attempt.REPEATED)
 
-    def test_fault_in_serving_is_told_as_unknown(self):
-        # A fault in the code hits one caller. It is told the truth, and the listener
-        # goes on for the others.
+    def test_handler_exception_is_reported_as_unknown_outcome(self):
+        # The handler raises an unexpected exception. The caller must receive an error
+        # with an unknown outcome, and the listener must keep running.
         async def fail(request):
             raise KeyError("fault")
 
-        response, _ = ask(serve=fail)
+        response, _ = send_request(serve=fail)
         self.assertEqual(response.status, 500)
         self.assertEqual(response.get_header("Trefoilhook-Outcome"), "unknown")
 
-    def test_refused_answer_says_when_to_come_back(self):
+    def test_refused_request_carries_retry_delay(self):
         answer = CallerAnswer(code=ResultCode.OVERLOADED, retry_after_ms=1200.5)
-        response, _ = ask(answer=answer)
+        response, _ = send_request(answer=answer)
         self.assertEqual(response.status, 503)
         self.assertEqual(response.get_header("Retry-After"), "2")
         self.assertEqual(response.get_header("Retry-After-Ms"), "1201")
         self.assertEqual(response.parse_json()["retry_after_ms"], 1201)
 
-    def test_body_of_a_failed_run_is_passed_on_whole(self):
+    def test_body_of_a_failed_run_is_returned_unchanged(self):
         answer = CallerAnswer(
             code=ResultCode.BACKEND_FAILED, status=500, body=b"why it failed"
         )
-        response, _ = ask(answer=answer)
+        response, _ = send_request(answer=answer)
         self.assertEqual((response.status, response.body), (500, b"why it failed"))
         self.assertEqual(response.get_header("Trefoilhook-Result"), "3")
 
