--- a/trefoilhook/exchange/__init__.py
+++ b/trefoilhook/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""What the adapters to the platform's services share: JSON over HTTP."""
+"""JSON over HTTP, shared by the clients of the platform's services."""
 
 from trefoilhook.exchange.core import (
     PlatformClient,
--- a/trefoilhook/exchange/core.py
+++ b/trefoilhook/exchange/core.py
@@ -1,4 +1,4 @@
-"""Exchange of typed JSON messages with one of the platform's services."""
+"""Typed JSON messages over HTTP for the platform's services."""
 
 import base64
 from collections.abc import Mapping
@@ -26,7 +26,7 @@
 
 
 def build_converter() -> cattrs.Converter:
-    """Build the converter between attrs classes and JSON; bytes become base64."""
+    """Build a converter between attrs classes and JSON; bytes are encoded as base64."""
     converter = cattrs.Converter()
     converter.register_unstructure_hook(
         bytes, lambda value: base64.b64encode(value).decode("ascii")
@@ -35,26 +35,28 @@
     return converter
 
 
-_converter = build_converter()
+_CONVERTER = build_converter()
 
 
 def decode_answer(response: HttpResponse, kind: type[_T]) -> _T:
-    """Read the body of an answer as an instance of ``kind``.
+    """Decode the body of a response into an instance of ``kind``.
 
     Raises
     ------
     AnswerLostError
-        If the body is not what the interface promises: its call was carried out, but
-        the answer can't be told.
+        If the body does not match the interface: the request may have been carried out,
+        but its result is unknown.
     """
     try:
-        return _converter.structure(response.parse_json(), kind)
+        return _CONVERTER.structure(response.parse_json(), kind)
     except (ValueError, cattrs.BaseValidationError) as error:
-        raise AnswerLostError(f"unreadable answer, status {response.status}") from error
+        raise AnswerLostError(
+            f"response with status {response.status} cannot be decoded"
+        ) from error
 
 
 def read_error_name(response: HttpResponse) -> str:
-    """Return the name of the error that an answer carries; empty if it has none."""
+    """Return the error name in a response body; empty if there is none."""
     try:
         value = response.parse_json()
     except ValueError:
@@ -64,20 +66,20 @@
 
 
 class PlatformClient:
-    """Sends JSON to one service of the platform.
+    """HTTP client of one platform service.
 
     Parameters
     ----------
     host : str
-        Address of the service, an IP number.
+        IP address of the service.
     port : int
         Port of the service.
     timeout_ms : float
-        Longest time for one exchange, in ms.
+        Timeout of one request, in ms.
     token : str, optional
-        Bearer token sent with each call.
+        Bearer token sent with each request.
     max_connections : int, optional
-        Most connections open at once; further calls wait.
+        Maximum number of open connections; further requests wait.
     """
 
     def __init__(
@@ -104,37 +106,38 @@
         body: object = None,
         extra_ms: float = 0.0,
     ) -> HttpResponse:
-        """Send one call and return its answer, whatever its status.
+        """Send a request and return the response, regardless of its status.
 
         Parameters
         ----------
         method : str
-            Method, in capitals.
+            HTTP method, in upper case.
         path : str
-            Path, without its query.
+            Path without the query.
         query : mapping, optional
             Query parameters.
         body : object, optional
             An attrs instance, sent as JSON.
         extra_ms : float, optional
-            Time that the call may take on purpose, over the timeout, in ms.
+            Time added to the timeout for requests that the service holds open, such as
+            long polls, in ms.
 
         Raises
         ------
         NotSentError
-            If no byte of the call left.
+            If no byte of the request was sent.
         AnswerLostError
-            If the call left and no whole answer came back.
+            If the request may have been sent and no complete response was received.
         """
         return await self._client.exchange(
             method,
             path,
             query=query,
-            body=_converter.unstructure(body) if body is not None else None,
+            body=_CONVERTER.unstructure(body) if body is not None else None,
             headers=self._headers,
             timeout_ms=self._timeout_ms + extra_ms,
         )
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         await self._client.close()
--- a/trefoilhook/exchange/tests/test_answers.py
+++ b/trefoilhook/exchange/tests/test_responses.py
@@ -1,4 +1,4 @@
-"""What every adapter makes of answers that its interface doesn't allow."""
+"""Handling of invalid responses by the clients of the platform's services."""
 
 import unittest
 
@@ -21,14 +21,14 @@
 )
 
 
-class UnexpectedAnswerTest(unittest.TestCase):
-    """Answers of a server that doesn't keep to its interface."""
+class UnexpectedResponseTest(unittest.TestCase):
+    """Responses that violate the interface of the service."""
 
-    def test_answers(self):
-        # A proxy or a broken service answers in the service's place. The call may or
-        # may not have been carried out: nothing else may be claimed. A plain refusal
-        # (4xx) is an error of its own.
-        junk = [
+    def test_error_by_response(self):
+        # A proxy or a faulty service returns an invalid response. The outcome must be
+        # reported as unknown, since the request may have been carried out. A rejection
+        # (4xx) is reported as a separate error.
+        malformed = [
             (200, b"<html>"),
             (200, b"[]"),
             (200, b'{"other": 1}'),
@@ -37,12 +37,18 @@
             (409, b'{"error": "conflict", "current": 5}'),
         ]
         table = [
-            *((status, body, "swap", StoreUnavailableError) for status, body in junk),
+            *(
+                (status, body, "swap", StoreUnavailableError)
+                for status, body in malformed
+            ),
             (400, b"{}", "swap", StoreError),
-            *((status, body, "command", AnswerLostError) for status, body in junk[:5]),
+            *(
+                (status, body, "command", AnswerLostError)
+                for status, body in malformed[:5]
+            ),
             (200, b'{"results": []}', "command", AnswerLostError),
             (400, b"", "command", RequestError),
-            *((status, body, "list", AnswerLostError) for status, body in junk),
+            *((status, body, "list", AnswerLostError) for status, body in malformed),
         ]
         for status, body, call, error in table:
             with self.subTest(status=status, body=body, call=call):
