--- a/trefoilhook/executors/__init__.py
+++ b/trefoilhook/executors/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the executors: the only module that knows their protocol."""
+"""Client of the executors; the only module that implements their protocol."""
 
 from trefoilhook.executors.core import ExecutorAnswer, ExecutorClient, ExecutorHealth
 
--- a/trefoilhook/executors/core.py
+++ b/trefoilhook/executors/core.py
@@ -1,7 +1,7 @@
-"""One executor, over plain HTTP.
+"""HTTP client of an executor.
 
-``POST /run`` runs a request and answers with its whole result. ``GET /health`` answers
-``{"slots": 8, "in_use": n}``. No other module knows these paths.
+``POST /run`` runs a request and returns its complete result. ``GET /health`` returns
+``{"slots": 8, "in_use": n}``. No other module uses these paths.
 """
 
 import math
@@ -20,22 +20,23 @@
 
 _REQUEST_ID_HEADER = "x-request-id"
 _DEFAULT_CONTENT_TYPE = "application/octet-stream"
-_HEALTH_CONNECTIONS = 2
-_DISCARD_ON_CLOSE = struct.pack("ii", 1, 0)
+_HEALTH_CHECK_CONNECTIONS = 2
+# SO_LINGER with a zero timeout: closing the socket sends a reset.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @attrs.frozen(kw_only=True)
 class ExecutorAnswer:
-    """The whole answer of an executor.
+    """Complete response of an executor.
 
     Parameters
     ----------
     status : int
         HTTP status.
     content_type : str
-        Type of the body.
+        Content type of the body.
     body : bytes
-        The whole body.
+        Response body.
     """
 
     status: int
@@ -45,14 +46,14 @@
 
 @attrs.frozen(kw_only=True)
 class ExecutorHealth:
-    """What an executor says about itself.
+    """Load reported by an executor.
 
     Parameters
     ----------
     slots : int
-        Requests that it may run at once.
+        Maximum number of concurrent requests.
     in_use : int
-        Requests that it runs now, whoever sent them.
+        Number of requests running now, from all senders.
     """
 
     slots: int
@@ -60,64 +61,65 @@
 
 
 @attrs.frozen(kw_only=True)
-class _GuardedRequest(HttpRequest):
+class _ConditionalRequest(HttpRequest):
     may_send: Callable[[], bool]
 
 
-class _GuardedHttpClient(HttpClient):
-    """A client that asks for leave in the same step in which the bytes leave."""
+class _ConditionalHttpClient(HttpClient):
+    """Client that checks the permission to send immediately before sending."""
 
     def _encode(self, connection: _Connection, request: HttpRequest) -> bytes:
-        # Guards against a sender that is frozen, or waits for a connection, after its
-        # right to act was checked: the request would leave long after another owner
-        # has taken over. Between this line and the socket's send no other task runs,
-        # so in the whole process at most one request can be past its check and unsent.
-        if isinstance(request, _GuardedRequest) and not request.may_send():
-            raise NotSentError("the right to send ended before the request left")
+        # Checked here because a process that is paused, or waits for a connection,
+        # after an earlier check could send the request long after another owner has
+        # taken over. No other task runs between this check and the socket's send, so at
+        # most one request in the process can be past its check and unsent.
+        if isinstance(request, _ConditionalRequest) and not request.may_send():
+            raise NotSentError("permission to send ended before the request was sent")
         return super()._encode(connection, request)
 
     async def _release(self, connection: _Connection, *, keep: bool) -> None:
-        # Guards against bytes that stay in the kernel after a failure and reach the
-        # executor minutes later, when their slot has long been given to another
-        # request. A reset on close throws them away.
+        # After a failure, bytes left in the kernel's send buffer could reach the
+        # executor minutes later, when their slot is in use by another request. Closing
+        # with a reset discards them.
         failed = connection.protocol.our_state is not h11.IDLE and not keep
         if failed:
             connection.socket.setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, _DISCARD_ON_CLOSE
+                socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
             )
         await super()._release(connection, keep=keep)
 
 
-def _allow() -> bool:
+def _always_allow() -> bool:
     return True
 
 
 class ExecutorClient:
-    """Connections to one executor.
+    """HTTP client of one executor.
 
     Parameters
     ----------
     executor_id : str
-        The executor.
+        Id of the executor.
     host : str
-        Its address, an IP number.
+        IP address of the executor.
     port : int
-        Its port.
+        Port of the executor.
     max_connections : int, optional
-        Most connections that the executor takes; two of them are kept for health.
+        Maximum number of connections that the executor accepts; two of them are
+        reserved for health checks.
     """
 
     def __init__(
         self, *, executor_id: str, host: str, port: int, max_connections: int = 64
     ) -> None:
         self.executor_id = executor_id
-        self._runs = _GuardedHttpClient(
+        self._run_client = _ConditionalHttpClient(
             host=host,
             port=port,
-            max_connections=max_connections - _HEALTH_CONNECTIONS,
+            max_connections=max_connections - _HEALTH_CHECK_CONNECTIONS,
         )
-        self._probes = HttpClient(
-            host=host, port=port, max_connections=_HEALTH_CONNECTIONS
+        self._health_client = HttpClient(
+            host=host, port=port, max_connections=_HEALTH_CHECK_CONNECTIONS
         )
 
     async def run(
@@ -127,32 +129,32 @@
         content_type: str,
         timeout_ms: float,
         request_id: str,
-        may_send: Callable[[], bool] = _allow,
+        may_send: Callable[[], bool] = _always_allow,
     ) -> ExecutorAnswer:
-        """Run one request and return its whole answer.
+        """Run a request on the executor and return the complete response.
 
         Parameters
         ----------
         body : bytes
-            Body of the request.
+            Request body.
         content_type : str
-            Type of the body; empty for plain bytes.
+            Content type of the body; empty for ``application/octet-stream``.
         timeout_ms : float
-            Longest time for the whole exchange, in ms.
+            Timeout of the whole exchange, in ms.
         request_id : str
-            Identifies the request in the executor's records.
+            Id of the request in the executor's records.
         may_send : callable, optional
-            Asked in the step in which the first byte would leave; on False nothing is
-            sent.
+            Called immediately before the first byte is sent, with no task switch in
+            between; if it returns False, nothing is sent.
 
         Raises
         ------
         NotSentError
-            If no byte can have left.
+            If no byte of the request was sent.
         AnswerLostError
-            If a byte may have left and no whole answer came.
+            If the request may have been sent and no complete response was received.
         """
-        request = _GuardedRequest(
+        request = _ConditionalRequest(
             method="POST",
             target="/run",
             headers=(
@@ -162,7 +164,7 @@
             body=body,
             may_send=may_send,
         )
-        response = await self._runs.send(request, timeout_ms=timeout_ms)
+        response = await self._run_client.send(request, timeout_ms=timeout_ms)
         return ExecutorAnswer(
             status=response.status,
             content_type=response.get_header("content-type") or "",
@@ -170,24 +172,26 @@
         )
 
     async def check_health(self, *, timeout_ms: float = math.inf) -> ExecutorHealth:
-        """Ask how many requests the executor runs.
+        """Return the load reported by the executor.
 
         Raises
         ------
         NotSentError, AnswerLostError
-            If it could not be asked, or gave no usable answer.
+            If the executor cannot be reached or its response is invalid.
         """
         request = HttpRequest(method="GET", target="/health")
-        response = await self._probes.send(request, timeout_ms=timeout_ms)
+        response = await self._health_client.send(request, timeout_ms=timeout_ms)
         try:
             value = response.parse_json()
             return ExecutorHealth(
                 slots=int(value["slots"]), in_use=int(value["in_use"])
             )
         except (ValueError, KeyError, TypeError) as error:
-            raise AnswerLostError("the health answer can't be read") from error
+            raise AnswerLostError(
+                "executor health response cannot be decoded"
+            ) from error
 
     async def close(self) -> None:
-        """Close the idle connections."""
-        await self._runs.close()
-        await self._probes.close()
+        """Close all idle connections."""
+        await self._run_client.close()
+        await self._health_client.close()
--- a/trefoilhook/executors/tests/test_contract.py
+++ b/trefoilhook/executors/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""The adapter against the executor's stand-in, over sockets."""
+"""The executor client against the stand-in executor, over sockets."""
 
 import unittest
 
@@ -10,11 +10,11 @@
 
 
 class ContractTest(unittest.TestCase):
-    """What one sends is what the other reads."""
+    """Agreement of the client and the stand-in on the protocol."""
 
-    def test_request_id_body_and_answer_arrive_whole(self):
-        # The executor did not read the request id that the adapter sent: a request run
-        # twice could not be told from two requests.
+    def test_request_id_body_and_response_are_received_intact(self):
+        # If the executor does not read the request id sent by the client, a request
+        # that runs twice cannot be distinguished from two requests.
         async def scenario():
             clock = build_system_clock()
             standin = ExecutorStandin(
--- a/trefoilhook/executors/tests/test_executors.py
+++ b/trefoilhook/executors/tests/test_executors.py
@@ -1,4 +1,4 @@
-"""Contract of the adapter to the executors, over real sockets."""
+"""The executor client over real sockets."""
 
 import socket
 import unittest
@@ -12,8 +12,8 @@
 _HOST = "127.0.0.1"
 
 
-class _Backend:
-    """A small executor that records what reached it."""
+class _FakeExecutor:
+    """Minimal executor that records the requests it receives."""
 
     def __init__(self):
         self.requests = []
@@ -28,15 +28,15 @@
 
 
 def run_with(scenario):
-    """Run a scenario against a backend and a client."""
+    """Run a scenario with a fake executor and a client."""
 
     async def body():
-        backend = _Backend()
-        server = HttpServer(handler=backend.handle, host=_HOST, port=0)
+        executor = _FakeExecutor()
+        server = HttpServer(handler=executor.handle, host=_HOST, port=0)
         async with trio.open_nursery() as nursery:
             port = await nursery.start(server.run)
             client = ExecutorClient(executor_id="e", host=_HOST, port=port)
-            await scenario(backend, client)
+            await scenario(executor, client)
             await client.close()
             nursery.cancel_scope.cancel()
 
@@ -44,43 +44,43 @@
 
 
 async def send(client, **changes):
-    """Send one request."""
+    """Send a request with default fields."""
     fields = {"content_type": "text/csv", "timeout_ms": 5_000, "request_id": "r1"}
     return await client.run(b"two", **{**fields, **changes})
 
 
 class ExecutorClientTest(unittest.TestCase):
-    """Requests, health and the leave to send."""
+    """Requests, health checks and the permission to send."""
 
-    def test_run_sends_the_id_and_returns_the_whole_answer(self):
-        async def scenario(backend, client):
+    def test_run_sends_the_request_id_and_returns_the_response(self):
+        async def scenario(executor, client):
             answer = await send(client)
             self.assertEqual((answer.status, answer.body), (200, b"ran two"))
             self.assertEqual(answer.content_type, "text/plain")
-            request = backend.requests[0]
+            request = executor.requests[0]
             self.assertEqual((request.method, request.path), ("POST", "/run"))
             self.assertEqual(request.get_header("x-request-id"), "r1")
             self.assertEqual(request.get_header("content-type"), "text/csv")
 
         run_with(scenario)
 
-    def test_withdrawn_request_never_leaves(self):
-        # An owner waits for a connection while its right to act ends. Asked in the
-        # step in which the bytes would leave, it sends nothing, and says so.
-        async def scenario(backend, client):
+    def test_request_without_permission_is_not_sent(self):
+        # An owner loses the right to act while it waits for a connection. The check
+        # immediately before sending must prevent the request and report it as not sent.
+        async def scenario(executor, client):
             await send(client)
             with self.assertRaises(NotSentError):
                 await send(client, may_send=lambda: False)
             await send(client, request_id="r2")
-            ids = [each.get_header("x-request-id") for each in backend.requests]
+            ids = [each.get_header("x-request-id") for each in executor.requests]
             self.assertEqual(ids, ["r1", "r2"])
 
         run_with(scenario)
 
     def test_no_other_task_runs_between_the_check_and_the_send(self):
-        # If a task could run in between, more than one request could be past its
-        # check when the process is frozen, and more would leave when it is thawed.
-        # The first task that runs after the check must find the bytes sent.
+        # If other tasks could run in between, several requests could be past their
+        # checks when the process is paused, and all would be sent when it resumes. The
+        # first task to run after the check must find the bytes already sent.
         async def scenario():
             listener = socket.create_server((_HOST, 0))
             listener.setblocking(False)
@@ -112,10 +112,10 @@
 
         trio.run(scenario)
 
-    def test_failed_request_leaves_nothing_behind_in_the_kernel(self):
-        # An executor takes no data, the exchange times out and the slot is asked
-        # for. Bytes still held by the kernel would start the request much later; a
-        # reset, unlike an orderly close, throws them away at both ends.
+    def test_failed_request_resets_the_connection(self):
+        # An executor reads no data, the request times out and its slot is reused. Bytes
+        # left in the kernel buffers would start the request much later. A reset, unlike
+        # an orderly close, discards them at both ends.
         async def scenario():
             listener = socket.create_server((_HOST, 0))
             port = listener.getsockname()[1]
@@ -131,11 +131,11 @@
         trio.run(scenario)
 
     def test_health(self):
-        async def scenario(backend, client):
+        async def scenario(executor, client):
             health = await client.check_health(timeout_ms=5_000)
             self.assertEqual((health.slots, health.in_use), (8, 3))
             for bad in (b"", b"[]", b'{"slots": 8}', b'{"slots": 8, "in_use": null}'):
-                backend.health = bad
+                executor.health = bad
                 with self.subTest(bad=bad), self.assertRaises(AnswerLostError):
                     await client.check_health(timeout_ms=5_000)
 
