--- a/trefoilhook/requests/admission.py
+++ b/trefoilhook/requests/admission.py
@@ -13,18 +13,20 @@
 from trefoilhook.requests.owned import Grant, OwnedExecutor
 from trefoilhook.requests.queueing import QueueRefusedError, ServiceQueue, Waiter
 from trefoilhook.requests.settings import RequestSettings
-from trefoilhook.requests.slots import Ending, ExecutorSlots
+from trefoilhook.requests.slots import AttemptOutcome, ExecutorSlots
 from trefoilhook.results import ResultCode
 
-__all__ = ["ExecutorPool", "LoadView"]
+__all__ = ["ExecutorPool", "ServiceLoad"]
 
 _MS_PER_S = 1000.0
-_LATELY_MS = 10_000.0
-_FAILURES = frozenset({Ending.FAILED, Ending.NOT_SENT, Ending.LOST})
+_RECENT_SUCCESS_MS = 10_000.0
+_FAILURE_OUTCOMES = frozenset(
+    {AttemptOutcome.FAILED, AttemptOutcome.NOT_SENT, AttemptOutcome.LOST}
+)
 
 
 @attrs.frozen(kw_only=True)
-class LoadView:
+class ServiceLoad:
     """What one service's executors here can take.
 
     Parameters
@@ -89,7 +91,7 @@
         shard_id: str,
         epoch: int,
         is_first_claim: bool,
-        handed_in_use: int | None,
+        handed_over_in_use: int | None,
     ) -> None:
         """Begin to count an executor's slots.
 
@@ -119,15 +121,15 @@
                 probation_successes=settings.probation_successes,
             ),
         )
-        if handed_in_use is not None:
-            slots.take_handed_over(handed_in_use, now_ms=now_ms)
+        if handed_over_in_use is not None:
+            slots.apply_handover(handed_over_in_use, now_ms=now_ms)
         elif not is_first_claim:
             # Guards against the requests of an earlier owner that died or is frozen:
             # without asking, their slots would be given away a second time. One more
             # is kept back for the request that it may have checked but not yet sent.
-            slots.is_taken_over = True
-            slots.ask_from_ms = now_ms + settings.settle_ms
-            slots.held_until_ms = now_ms + settings.predecessor_hold_ms
+            slots.is_count_unknown = True
+            slots.probe_from_ms = now_ms + settings.settle_ms
+            slots.reserved_until_ms = now_ms + settings.predecessor_hold_ms
         self._executors[target.executor_id] = OwnedExecutor(
             target=target,
             shard_id=shard_id,
@@ -160,12 +162,12 @@
             self.get_queue(service_name).refuse_all(ResultCode.NO_OWNER)
         return executor
 
-    def view_load(self, service_name: str) -> LoadView:
+    def get_service_load(self, service_name: str) -> ServiceLoad:
         """Return what a service's executors here can take."""
         now_ms = self.clock.monotonic_ms()
         slots = [each.slots for each in self._list_serving(service_name)]
         queue = self._queues.get(service_name)
-        return LoadView(
+        return ServiceLoad(
             free=sum(each.count_free(now_ms) for each in slots),
             usable=sum(each.count_usable(now_ms) for each in slots),
             queued=len(queue) if queue is not None else 0,
@@ -204,15 +206,15 @@
             executor = self._choose_free(service_name, avoid=avoid)
             if executor is not None:
                 return self._grant(executor)
-        view = self.view_load(service_name)
+        load = self.get_service_load(service_name)
         if not self._list_serving(service_name):
             raise RequestError("no executor is owned here", code=ResultCode.NO_OWNER)
-        if not view.usable:
+        if not load.usable:
             raise RequestError("no executor is usable", code=ResultCode.NO_EXECUTOR)
-        waiter = queue.enter(
+        waiter = queue.enqueue(
             deadline_ms=deadline_ms,
             now_ms=self.clock.monotonic_ms(),
-            slots=view.usable,
+            slots=load.usable,
             max_waiting=min(max_waiting, self.settings.executor_waiting),
         )
         timeout_ms = deadline_ms - self.clock.monotonic_ms()
@@ -223,24 +225,24 @@
             self._abandon(queue, waiter)
             raise
         if waiter.executor is None:
-            queue.leave(waiter)
+            queue.remove(waiter)
             raise QueueRefusedError(
                 "it waited in vain",
                 code=waiter.refusal,
-                retry_after_ms=queue.estimate_wait_ms(slots=view.usable),
+                retry_after_ms=queue.estimate_wait_ms(slots=load.usable),
             )
-        return Grant(executor=waiter.executor, granted_ms=self.clock.monotonic_ms())
+        return Grant(executor=waiter.executor, granted_at_ms=self.clock.monotonic_ms())
 
-    def release(self, grant: Grant, ending: Ending) -> None:
+    def release(self, grant: Grant, outcome: AttemptOutcome) -> None:
         """Give a slot back and let the next request that waits have it."""
         now_ms = self.clock.monotonic_ms()
         executor = grant.executor
-        executor.slots.give_back(ending, now_ms=now_ms)
+        executor.slots.release(outcome, now_ms=now_ms)
         service_name = executor.target.service_name
-        if ending is Ending.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             run_time = self.get_queue(service_name).run_time
-            run_time.note(now_ms - grant.granted_ms)
-        self._note_ending(executor, ending, now_ms)
+            run_time.add_sample(now_ms - grant.granted_at_ms)
+        self._record_outcome(executor, outcome, now_ms)
         self.serve_queue(service_name)
 
     def serve_queue(self, service_name: str) -> None:
@@ -254,7 +256,7 @@
             waiter = queue.pop(now_ms)
             if waiter is None:
                 return
-            executor.slots.take(now_ms)
+            executor.slots.acquire(now_ms)
             waiter.executor = executor
             waiter.woken.set()
 
@@ -304,46 +306,50 @@
             free = each.slots.count_free(now_ms)
             if free < 1:
                 continue
-            is_near = each.target.failure_domain == self.failure_domain
-            rank = (each.target.executor_id not in avoid, free, is_near)
+            is_same_domain = each.target.failure_domain == self.failure_domain
+            rank = (each.target.executor_id not in avoid, free, is_same_domain)
             if best_rank is None or rank > best_rank:
                 best, best_rank = each, rank
         return best
 
     def _grant(self, executor: OwnedExecutor) -> Grant:
         now_ms = self.clock.monotonic_ms()
-        executor.slots.take(now_ms)
-        return Grant(executor=executor, granted_ms=now_ms)
+        executor.slots.acquire(now_ms)
+        return Grant(executor=executor, granted_at_ms=now_ms)
 
     def _abandon(self, queue: ServiceQueue, waiter: Waiter) -> None:
         """Take a cancelled request out, and pass on the slot it was given."""
-        queue.leave(waiter)
+        queue.remove(waiter)
         executor = waiter.executor
         if executor is None:
             return
         now_ms = self.clock.monotonic_ms()
-        executor.slots.give_back(Ending.GIVEN_UP, now_ms=now_ms)
+        executor.slots.release(AttemptOutcome.WITHDRAWN, now_ms=now_ms)
         self.serve_queue(executor.target.service_name)
 
-    def _is_alone(self, executor: OwnedExecutor, now_ms: float) -> bool:
+    def _is_service_wide(self, executor: OwnedExecutor, now_ms: float) -> bool:
         """Tell whether no other executor of the service here succeeded lately."""
         others = self._list_serving(executor.target.service_name)
         return not any(
-            each is not executor and now_ms - each.succeeded_at_ms < _LATELY_MS
+            each is not executor and now_ms - each.succeeded_at_ms < _RECENT_SUCCESS_MS
             for each in others
         )
 
-    def _note_ending(
-        self, executor: OwnedExecutor, ending: Ending, now_ms: float
+    def _record_outcome(
+        self, executor: OwnedExecutor, outcome: AttemptOutcome, now_ms: float
     ) -> None:
         executor_id = executor.target.executor_id
         circuit = executor.slots.circuit
-        if ending is Ending.ANSWERED:
+        if outcome is AttemptOutcome.ANSWERED:
             executor.succeeded_at_ms = now_ms
-            if circuit.note_success():
+            if circuit.record_success():
                 log_event(Event.EXECUTOR_CLOSED, executor_id=executor_id)
             return
-        is_alone = ending is Ending.FAILED and self._is_alone(executor, now_ms)
-        is_failure = ending in _FAILURES
-        if is_failure and circuit.note_failure(now_ms=now_ms, is_alone=is_alone):
+        is_service_wide = outcome is AttemptOutcome.FAILED and self._is_service_wide(
+            executor, now_ms
+        )
+        is_failure = outcome in _FAILURE_OUTCOMES
+        if is_failure and circuit.record_failure(
+            now_ms=now_ms, is_service_wide=is_service_wide
+        ):
             log_event(Event.EXECUTOR_OPENED, executor_id=executor_id)
--- a/trefoilhook/requests/buckets.py
+++ b/trefoilhook/requests/buckets.py
@@ -119,18 +119,18 @@
 
     ratio: float
     reserve: float
-    _saved: float = attrs.field(init=False)
+    _available: float = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._saved = self.reserve
+        self._available = self.reserve
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Count a first attempt."""
-        self._saved = min(self.reserve, self._saved + self.ratio)
+        self._available = min(self.reserve, self._available + self.ratio)
 
     def take(self) -> bool:
         """Take leave for one retry."""
-        if self._saved < 1.0:
+        if self._available < 1.0:
             return False
-        self._saved -= 1.0
+        self._available -= 1.0
         return True
--- a/trefoilhook/requests/circuit.py
+++ b/trefoilhook/requests/circuit.py
@@ -5,7 +5,7 @@
 import attrs
 
 __all__ = ["Circuit", "CircuitState"]
-_ALONE_FACTOR = 4
+_SERVICE_WIDE_LIMIT_FACTOR = 4
 
 
 class CircuitState(enum.Enum):
@@ -39,7 +39,7 @@
     state: CircuitState = CircuitState.CLOSED
     _failures: int = attrs.field(default=0, init=False)
     _successes: int = attrs.field(default=0, init=False)
-    _openings: int = attrs.field(default=0, init=False)
+    _times_opened: int = attrs.field(default=0, init=False)
     _open_until_ms: float = attrs.field(default=0.0, init=False)
 
     def get_limit(self, *, now_ms: float, slots: int) -> int:
@@ -61,7 +61,7 @@
             self._successes = 0
         return 1
 
-    def note_success(self) -> bool:
+    def record_success(self) -> bool:
         """Count a success; True if it closed the circuit."""
         self._failures = 0
         if self.state is not CircuitState.PROBATION:
@@ -70,10 +70,10 @@
         if self._successes < self.probation_successes:
             return False
         self.state = CircuitState.CLOSED
-        self._openings = 0
+        self._times_opened = 0
         return True
 
-    def note_failure(self, *, now_ms: float, is_alone: bool = False) -> bool:
+    def record_failure(self, *, now_ms: float, is_service_wide: bool = False) -> bool:
         """Count a failure; True if it opened the circuit.
 
         Parameters
@@ -89,12 +89,14 @@
         # Guards against one caller whose requests always fail: it would open the
         # circuit of every executor, and so refuse all other callers. Where no other
         # executor does better, the requests are more likely at fault.
-        limit = self.failure_limit * (_ALONE_FACTOR if is_alone else 1)
+        limit = self.failure_limit * (
+            _SERVICE_WIDE_LIMIT_FACTOR if is_service_wide else 1
+        )
         is_failing = self._failures >= limit
         if self.state is CircuitState.CLOSED and not is_failing:
             return False
         self.state = CircuitState.OPEN
-        wait_ms = min(self.open_ms * 2.0**self._openings, self.open_limit_ms)
+        wait_ms = min(self.open_ms * 2.0**self._times_opened, self.open_limit_ms)
         self._open_until_ms = now_ms + wait_ms
-        self._openings += 1
+        self._times_opened += 1
         return True
--- a/trefoilhook/requests/coordination.py
+++ b/trefoilhook/requests/coordination.py
@@ -6,29 +6,29 @@
 import trio
 
 from trefoilhook.exceptions import AnswerLostError, NotSentError, TrefoilhookError
-from trefoilhook.requests.dispatch import MarkSent, run_here
+from trefoilhook.requests.dispatch import MarkSent, run_locally
 from trefoilhook.requests.models import CallerAnswer, ExecutorTarget
-from trefoilhook.requests.retry import MOVED
+from trefoilhook.requests.pending import (
+    Components,
+    PendingRequest,
+    decode_answer,
+    encode_request,
+)
+from trefoilhook.requests.retry import OWNER_MOVED_CODES
 from trefoilhook.requests.routing import (
     Candidate,
     ReportedLoad,
     Route,
     choose_route,
 )
-from trefoilhook.requests.work import (
-    Parts,
-    Work,
-    decode_answer,
-    encode_work,
-)
 from trefoilhook.results import Outcome, ResultCode
 
 __all__ = ["coordinate"]
 
 _MS_PER_S = 1000.0
-_MOST_ATTEMPTS = 5
-_FIRST_WAIT_MS = 10.0
-_HIDDEN = frozenset(
+_MAX_ATTEMPTS = 5
+_INITIAL_BACKOFF_MS = 10.0
+_OWNER_UNAVAILABLE_CODES = frozenset(
     {
         ResultCode.NO_OWNER,
         ResultCode.OWNER_UNREACHABLE,
@@ -38,14 +38,18 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class _Tried:
+class _Refusals:
     """Owners that refused this request."""
 
     owner_ids: set[str] = attrs.field(factory=set)
 
 
 async def coordinate(
-    parts: Parts, work: Work, *, mark_sent: MarkSent, entry_id: str
+    components: Components,
+    pending: PendingRequest,
+    *,
+    mark_sent: MarkSent,
+    entry_id: str,
 ) -> CallerAnswer:
     """Have a request run somewhere, once unless it is idempotent.
 
@@ -66,151 +70,179 @@
     executor's owner is told as NO_EXECUTOR, so that whoever asked this owner can tell
     it from "I don't own this key".
     """
-    parts.retries.note_request(work.service_name)
-    hedge_ms = parts.hedges.get_delay_ms(
-        work.service_name, is_idempotent=work.is_idempotent
+    components.retries.record_request(pending.service_name)
+    hedge_ms = components.hedges.get_delay_ms(
+        pending.service_name, is_idempotent=pending.is_idempotent
     )
-    begun_ms = parts.clock.monotonic_ms()
+    started_ms = components.clock.monotonic_ms()
     if math.isinf(hedge_ms):
-        answer = await _attempt(parts, work, mark_sent=mark_sent, entry_id=entry_id)
+        answer = await _run_with_retries(
+            components, pending, mark_sent=mark_sent, entry_id=entry_id
+        )
     else:
-        answer = await _attempt_hedged(
-            parts, work, mark_sent=mark_sent, entry_id=entry_id, delay_ms=hedge_ms
+        answer = await _run_hedged(
+            components,
+            pending,
+            mark_sent=mark_sent,
+            entry_id=entry_id,
+            delay_ms=hedge_ms,
         )
     if answer.code is ResultCode.OK:
-        run_ms = parts.clock.monotonic_ms() - begun_ms
-        parts.hedges.note(work.service_name, run_ms)
-    if answer.code in _HIDDEN:
+        run_ms = components.clock.monotonic_ms() - started_ms
+        components.hedges.add_sample(pending.service_name, run_ms)
+    if answer.code in _OWNER_UNAVAILABLE_CODES:
         return attrs.evolve(answer, code=ResultCode.NO_EXECUTOR)
     return answer
 
 
-async def _attempt(
-    parts: Parts, work: Work, *, mark_sent: MarkSent, entry_id: str
+async def _run_with_retries(
+    components: Components,
+    pending: PendingRequest,
+    *,
+    mark_sent: MarkSent,
+    entry_id: str,
 ) -> CallerAnswer:
-    tried = _Tried()
-    answer = parts.refuse(ResultCode.NO_EXECUTOR)
-    wait_ms = _FIRST_WAIT_MS
-    for _ in range(_MOST_ATTEMPTS):
-        route = _choose(parts, work, tried)
+    refusals = _Refusals()
+    answer = components.refuse(ResultCode.NO_EXECUTOR)
+    backoff_ms = _INITIAL_BACKOFF_MS
+    for _ in range(_MAX_ATTEMPTS):
+        route = _choose_route(components, pending, refusals)
         if route is None:
             return answer
         if route.owner_id:
-            answer = await _run_there(
-                parts, work, route, mark_sent=mark_sent, entry_id=entry_id
+            answer = await _run_remotely(
+                components, pending, route, mark_sent=mark_sent, entry_id=entry_id
             )
         else:
-            answer = await run_here(parts, work, mark_sent=mark_sent)
-        if parts.clock.monotonic_ms() >= work.deadline_ms:
+            answer = await run_locally(components, pending, mark_sent=mark_sent)
+        if components.clock.monotonic_ms() >= pending.deadline_ms:
             return answer
-        if not parts.retries.may_retry(
-            work.service_name, answer.code, is_idempotent=work.is_idempotent
+        if not components.retries.may_retry(
+            pending.service_name, answer.code, is_idempotent=pending.is_idempotent
         ):
             return answer
-        if answer.code in MOVED:
+        if answer.code in OWNER_MOVED_CODES:
             # Guards against refusing requests because instances learn of a moved
             # shard at different moments: each view is asked again a little later.
-            await parts.clock.sleep_ms(wait_ms)
-            wait_ms *= 2
+            await components.clock.sleep_ms(backoff_ms)
+            backoff_ms *= 2
         elif answer.code.outcome is Outcome.NOT_RUN:
-            tried.owner_ids.add(route.owner_id)
+            refusals.owner_ids.add(route.owner_id)
     return answer
 
 
-def _choose(parts: Parts, work: Work, tried: _Tried) -> Route | None:
+def _choose_route(
+    components: Components, pending: PendingRequest, refusals: _Refusals
+) -> Route | None:
     own = None
-    if "" not in tried.owner_ids:
+    if "" not in refusals.owner_ids:
         # The common case, decided without a look at everybody else's executors.
-        if parts.pool.has_free(work.service_name):
+        if components.pool.has_free(pending.service_name):
             return Route()
-        own = parts.pool.view_load(work.service_name)
+        own = components.pool.get_service_load(pending.service_name)
         is_present = own.usable or own.free or own.queued
-        own = own if is_present or parts.pool.owns_any(work.service_name) else None
+        own = (
+            own
+            if is_present or components.pool.owns_any(pending.service_name)
+            else None
+        )
     return choose_route(
         own=own,
-        candidates=_list_candidates(parts, work, tried),
-        generator=parts.generator,
+        candidates=_list_candidates(components, pending, refusals),
+        generator=components.generator,
     )
 
 
-def _list_candidates(parts: Parts, work: Work, tried: _Tried) -> list[Candidate]:
-    now_ms = parts.clock.monotonic_ms()
+def _list_candidates(
+    components: Components, pending: PendingRequest, refusals: _Refusals
+) -> list[Candidate]:
+    now_ms = components.clock.monotonic_ms()
     candidates: list[Candidate] = []
-    for target in parts.list_executors():
-        if target.service_name != work.service_name or target.is_leaving:
+    for target in components.list_executors():
+        if target.service_name != pending.service_name or target.is_leaving:
             continue
-        owner = parts.find_executor_owner(target)
-        if owner is None or owner.instance_id == parts.instance_id:
+        owner = components.find_executor_owner(target)
+        if owner is None or owner.instance_id == components.instance_id:
             continue
-        if owner.instance_id in tried.owner_ids:
+        if owner.instance_id in refusals.owner_ids:
             continue
-        load = parts.peer_loads.find(
+        load = components.peer_loads.find(
             target.executor_id, owner_id=owner.instance_id, now_ms=now_ms
         )
-        candidates.append(_describe(parts, target, owner.instance_id, load))
+        candidates.append(_build_candidate(components, target, owner.instance_id, load))
     return candidates
 
 
-def _describe(
-    parts: Parts, target: ExecutorTarget, owner_id: str, load: ReportedLoad | None
+def _build_candidate(
+    components: Components,
+    target: ExecutorTarget,
+    owner_id: str,
+    load: ReportedLoad | None,
 ) -> Candidate:
-    is_near = target.failure_domain == parts.failure_domain
+    is_same_domain = target.failure_domain == components.failure_domain
     if load is None or not load.is_usable:
         return Candidate(
             executor_id=target.executor_id,
             owner_id=owner_id,
             free=0,
-            wait=0.0,
-            is_near=is_near,
+            queued_per_slot=0.0,
+            is_same_domain=is_same_domain,
             is_known=False,
         )
-    free = load.slots - load.in_use - parts.peer_loads.count_sent(target.executor_id)
+    free = (
+        load.slots - load.in_use - components.peer_loads.count_sent(target.executor_id)
+    )
     return Candidate(
         executor_id=target.executor_id,
         owner_id=owner_id,
         free=max(0, free),
-        wait=(load.queued + max(0, -free)) / max(1, load.slots),
-        is_near=is_near,
+        queued_per_slot=(load.queued + max(0, -free)) / max(1, load.slots),
+        is_same_domain=is_same_domain,
     )
 
 
-async def _run_there(
-    parts: Parts, work: Work, route: Route, *, mark_sent: MarkSent, entry_id: str
+async def _run_remotely(
+    components: Components,
+    pending: PendingRequest,
+    route: Route,
+    *,
+    mark_sent: MarkSent,
+    entry_id: str,
 ) -> CallerAnswer:
     """Hand a request to the owner of the executor that was chosen."""
-    left_ms = work.deadline_ms - parts.clock.monotonic_ms()
-    if left_ms <= 0:
-        return parts.refuse(ResultCode.QUEUE_DEADLINE)
-    message = encode_work(
-        work, executor_id=route.executor_id, shard_epoch=0, entry_id=entry_id
+    remaining_ms = pending.deadline_ms - components.clock.monotonic_ms()
+    if remaining_ms <= 0:
+        return components.refuse(ResultCode.QUEUE_DEADLINE)
+    message = encode_request(
+        pending, executor_id=route.executor_id, shard_epoch=0, entry_id=entry_id
     )
-    load = parts.peer_loads.note_sent(route.executor_id)
+    load = components.peer_loads.record_sent(route.executor_id)
     mark_sent(True)
     try:
-        reply = await parts.inner.call(
+        reply = await components.inner.call(
             route.owner_id,
             message,
-            timeout_ms=left_ms + parts.settings.late_answer_ms,
+            timeout_ms=remaining_ms + components.settings.late_answer_ms,
         )
     except NotSentError as error:
         mark_sent(False)
-        return parts.refuse(ResultCode.OWNER_UNREACHABLE, str(error))
+        return components.refuse(ResultCode.OWNER_UNREACHABLE, str(error))
     except AnswerLostError as error:
-        return parts.refuse(ResultCode.ANSWER_LOST, str(error))
+        return components.refuse(ResultCode.ANSWER_LOST, str(error))
     except TrefoilhookError as error:
-        answer = parts.refuse(error.code, str(error))
+        answer = components.refuse(error.code, str(error))
     else:
         answer = decode_answer(reply)
     finally:
-        parts.peer_loads.note_ended(route.executor_id, load)
+        components.peer_loads.record_ended(route.executor_id, load)
     if answer.code.outcome is Outcome.NOT_RUN:
         mark_sent(False)
     return answer
 
 
-async def _attempt_hedged(
-    parts: Parts,
-    work: Work,
+async def _run_hedged(
+    components: Components,
+    pending: PendingRequest,
     *,
     mark_sent: MarkSent,
     entry_id: str,
@@ -226,19 +258,21 @@
     copies = 1
 
     async def run_copy() -> None:
-        answer = await _attempt(parts, work, mark_sent=mark_sent, entry_id=entry_id)
+        answer = await _run_with_retries(
+            components, pending, mark_sent=mark_sent, entry_id=entry_id
+        )
         answers.append(answer)
         if answer.code.outcome is Outcome.EXECUTED or len(answers) == copies:
             settled.set()
 
-    parts.start(run_copy)
+    components.start(run_copy)
     with trio.move_on_after(delay_ms / _MS_PER_S):
         await settled.wait()
     if not settled.is_set():
         code = ResultCode.ANSWER_LOST
-        if parts.retries.may_retry(work.service_name, code, is_idempotent=True):
+        if components.retries.may_retry(pending.service_name, code, is_idempotent=True):
             copies = 2
-            parts.start(run_copy)
+            components.start(run_copy)
     await settled.wait()
     executed = [each for each in answers if each.code.outcome is Outcome.EXECUTED]
     return (executed or answers)[0]
--- a/trefoilhook/requests/core.py
+++ b/trefoilhook/requests/core.py
@@ -22,10 +22,16 @@
 from trefoilhook.logs import Event, log_event
 from trefoilhook.requests.admission import ExecutorPool
 from trefoilhook.requests.buckets import TeamQuotas
-from trefoilhook.requests.callers import Journey, ask_owner, run_unkeyed, tell_truth
-from trefoilhook.requests.dispatch import run_here
+from trefoilhook.requests.dispatch import run_locally
+from trefoilhook.requests.forwarding import (
+    ForwardedRequest,
+    adjust_for_caller,
+    forward_to_key_owner,
+    run_unkeyed,
+)
 from trefoilhook.requests.handover import decode_keys, encode_handover
 from trefoilhook.requests.keyowner import KeyOwner
+from trefoilhook.requests.maintenance import Maintenance
 from trefoilhook.requests.models import (
     CallerAnswer,
     CallerRequest,
@@ -37,17 +43,16 @@
     OwnershipView,
     TeamView,
 )
+from trefoilhook.requests.pending import (
+    Components,
+    PendingRequest,
+    build_pending_request,
+    decode_request,
+    encode_answer,
+)
 from trefoilhook.requests.retry import HedgePolicy, RetryPolicy
 from trefoilhook.requests.routing import PeerLoads
 from trefoilhook.requests.settings import RequestSettings
-from trefoilhook.requests.upkeep import Upkeep
-from trefoilhook.requests.work import (
-    Parts,
-    Work,
-    build_work,
-    encode_answer,
-    read_work,
-)
 from trefoilhook.results import Outcome, ResultCode
 
 __all__ = ["RequestService", "open_executor"]
@@ -55,8 +60,8 @@
 Observe = Callable[[CallerRequest, CallerAnswer, float], None]
 
 _MS_PER_S = 1000.0
-_MARGIN_SHARE = 0.1
-_WITHOUT_OWNER = frozenset(
+_MAX_MARGIN_FRACTION = 0.1
+_RUN_WITHOUT_OWNER_CODES = frozenset(
     {
         ResultCode.KEY_TOO_OLD,
         ResultCode.KEY_AHEAD,
@@ -127,7 +132,7 @@
         self._busy = 0
         self._is_closed = False
         self._idle = trio.Event()
-        parts = Parts(
+        components = Components(
             instance_id=instance_id,
             failure_domain=failure_domain,
             clock=clock,
@@ -148,17 +153,17 @@
                 ratio=settings.retry_ratio, reserve=settings.retry_reserve
             ),
             hedges=HedgePolicy(
-                is_enabled=settings.is_hedging, quantile=settings.hedge_quantile
+                is_enabled=settings.is_hedging, percentile=settings.hedge_quantile
             ),
             generator=generator or random.Random(),
             start=self._start,
-            get_share=lambda: self._upkeep.share,
+            get_owned_share=lambda: self._maintenance.owned_share,
             serve_own=self._serve_own,
         )
-        self._parts = parts
-        self._key_owner = KeyOwner(parts=parts)
-        self._upkeep = Upkeep(
-            parts=parts, key_owner=self._key_owner, list_peers=list_peers
+        self._components = components
+        self._key_owner = KeyOwner(components=components)
+        self._maintenance = Maintenance(
+            components=components, key_owner=self._key_owner, list_peers=list_peers
         )
 
     @property
@@ -169,7 +174,7 @@
     @property
     def pool(self) -> ExecutorPool:
         """Executors owned here."""
-        return self._parts.pool
+        return self._components.pool
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -177,9 +182,9 @@
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             self._background = nursery
-            await self._upkeep.tick()
-            nursery.start_soon(self._upkeep.run)
-            nursery.start_soon(self._upkeep.run_summaries)
+            await self._maintenance.tick()
+            nursery.start_soon(self._maintenance.run)
+            nursery.start_soon(self._maintenance.run_load_summaries)
             task_status.started()
 
     async def drain(self, *, grace_ms: float) -> None:
@@ -207,26 +212,30 @@
         request : CallerRequest
             What the caller sent, its token already checked.
         """
-        parts = self._parts
-        settings = parts.teams.find_service(request.team, request.service)
+        components = self._components
+        settings = components.teams.find_service(request.team, request.service)
         if settings is None:
-            return parts.refuse(ResultCode.NOT_FOUND, "no such service")
+            return components.refuse(ResultCode.NOT_FOUND, "no such service")
         if not request.key and not settings.is_idempotent:
-            return parts.refuse(ResultCode.KEY_REQUIRED)
-        begun_ms = parts.clock.monotonic_ms()
-        work = build_work(parts, request, settings)
-        journey = Journey(request=request, work=work)
+            return components.refuse(ResultCode.KEY_REQUIRED)
+        started_ms = components.clock.monotonic_ms()
+        pending = build_pending_request(components, request, settings)
+        forwarded = ForwardedRequest(request=request, pending=pending)
         if self._is_closed:
-            answer = parts.refuse(ResultCode.SHUTTING_DOWN)
-            return tell_truth(parts, journey, answer) if request.key else answer
+            answer = components.refuse(ResultCode.SHUTTING_DOWN)
+            return (
+                adjust_for_caller(components, forwarded, answer)
+                if request.key
+                else answer
+            )
         with self._count():
             if not request.key:
-                answer = await run_unkeyed(parts, work)
+                answer = await run_unkeyed(components, pending)
             else:
-                answer = await ask_owner(parts, journey)
-                if self._may_run_again(work, answer):
-                    answer = await run_unkeyed(parts, work)
-        self._note_answer(request, work, answer, begun_ms)
+                answer = await forward_to_key_owner(components, forwarded)
+                if self._may_run_without_owner(pending, answer):
+                    answer = await run_unkeyed(components, pending)
+        self._report_answer(request, pending, answer, started_ms)
         return answer
 
     async def handle_inner(self, call: InnerCall) -> ServiceAnswer:
@@ -238,7 +247,7 @@
 
     async def handle_loads(self, call: InnerCall) -> Empty:
         """Take in a peer's summary of its executors."""
-        self._upkeep.hear_loads(call.sender_id, call.message)
+        self._maintenance.receive_load_summary(call.sender_id, call.message)
         return Empty()
 
     def export_handover(self, shard_id: str, epoch: int) -> ShardHandover:
@@ -246,24 +255,24 @@
 
         To be called in the step in which this instance stops acting for the shard.
         """
-        in_use = dict.fromkeys(self._upkeep.list_untouched(shard_id), 0)
+        in_use = dict.fromkeys(self._maintenance.list_never_used(shard_id), 0)
         in_use |= {
             each.target.executor_id: each.slots.in_progress + each.slots.unproved
-            for each in self._parts.pool.list_executors()
-            if each.shard_id == shard_id and not each.slots.is_taken_over
+            for each in self._components.pool.list_executors()
+            if each.shard_id == shard_id and not each.slots.is_count_unknown
         }
         return encode_handover(
             shard_id=shard_id,
             epoch=epoch,
-            handed=self._key_owner.export(shard_id, epoch),
+            handover=self._key_owner.export_keys(shard_id, epoch),
             in_use=in_use,
         )
 
     def take_handover(self, message: ShardHandover) -> None:
         """Take in what the previous owner of a shard told."""
-        self._key_owner.take_over(message.shard_id, decode_keys(message))
+        self._key_owner.import_keys(message.shard_id, decode_keys(message))
         in_use = {each.executor_id: each.in_use for each in message.in_use}
-        self._upkeep.take_handed_over(
+        self._maintenance.apply_handover(
             message.shard_id, epoch=message.epoch, in_use=in_use
         )
 
@@ -273,11 +282,11 @@
         The regular look comes too late: other instances route by the table of shards
         from the moment it changes, and would be told that nobody owns the executor.
         """
-        self._upkeep.sync()
+        self._maintenance.sync()
 
     def note_predecessor_gone(self, shard_id: str) -> None:
         """Take in that the earlier owner of a shard is proved dead."""
-        self._upkeep.release_hold(shard_id)
+        self._maintenance.release_reserved_slots(shard_id)
 
     async def _serve_own(
         self, request: ServiceRequest, timeout_ms: float
@@ -287,7 +296,7 @@
             return await self._serve_safely(request, timeout_ms=timeout_ms)
         except Exception as error:  # answered as a peer's fault would be
             log_event(Event.TASK_FAILED, task="own key", error=repr(error))
-            return self._parts.refuse(ResultCode.INTERNAL, "the handler failed")
+            return self._components.refuse(ResultCode.INTERNAL, "the handler failed")
 
     async def _serve_safely(
         self, request: ServiceRequest, *, timeout_ms: float
@@ -295,70 +304,78 @@
         try:
             return await self._serve(request, timeout_ms=timeout_ms)
         except TrefoilhookError as error:
-            return self._parts.refuse(error.code, str(error))
+            return self._components.refuse(error.code, str(error))
 
     async def _serve(
         self, request: ServiceRequest, *, timeout_ms: float
     ) -> CallerAnswer:
-        parts = self._parts
-        settings = parts.teams.find_service(request.team, request.service)
+        components = self._components
+        settings = components.teams.find_service(request.team, request.service)
         if settings is None:
-            return parts.refuse(ResultCode.NO_OWNER, "the service is not known yet")
-        now_ms = parts.clock.monotonic_ms()
+            return components.refuse(
+                ResultCode.NO_OWNER, "the service is not known yet"
+            )
+        now_ms = components.clock.monotonic_ms()
         wait_ms = timeout_ms
         if request.executor_id:
-            wait_ms -= parts.settings.late_answer_ms
+            wait_ms -= components.settings.late_answer_ms
         # Whoever waits for this answer gives up at its own deadline; a truthful "not
         # run" that comes a moment later would be told as "unknown".
-        wait_ms -= min(parts.settings.answer_margin_ms, _MARGIN_SHARE * wait_ms)
-        work = read_work(request, settings, deadline_ms=now_ms + wait_ms)
+        wait_ms -= min(
+            components.settings.answer_margin_ms, _MAX_MARGIN_FRACTION * wait_ms
+        )
+        pending = decode_request(request, settings, deadline_ms=now_ms + wait_ms)
         if not request.executor_id:
             return await self._key_owner.serve(
-                request, work=work, entry_id=request.entry_instance_id
+                request, pending=pending, entry_id=request.entry_instance_id
             )
-        self._upkeep.take_in(request.executor_id)
-        return await self._run_detached(work)
+        self._maintenance.add_if_owned(request.executor_id)
+        return await self._run_detached(pending)
 
-    async def _run_detached(self, work: Work) -> CallerAnswer:
+    async def _run_detached(self, pending: PendingRequest) -> CallerAnswer:
         """Run a request to its end, also if whoever sent it goes away."""
         answers: list[CallerAnswer] = []
         done = trio.Event()
 
         async def run() -> None:
             try:
-                answer = await run_here(self._parts, work, mark_sent=lambda _: None)
+                answer = await run_locally(
+                    self._components, pending, mark_sent=lambda _: None
+                )
                 answers.append(answer)
             finally:
                 done.set()
 
         self._start(run)
         await done.wait()
-        return answers[0] if answers else self._parts.refuse(ResultCode.INTERNAL)
+        return answers[0] if answers else self._components.refuse(ResultCode.INTERNAL)
 
-    def _note_answer(
+    def _report_answer(
         self,
         request: CallerRequest,
-        work: Work,
+        pending: PendingRequest,
         answer: CallerAnswer,
-        begun_ms: float,
+        started_ms: float,
     ) -> None:
         if self._observe is not None:
-            took_ms = self._parts.clock.monotonic_ms() - begun_ms
-            self._observe(request, answer, took_ms)
+            duration_ms = self._components.clock.monotonic_ms() - started_ms
+            self._observe(request, answer, duration_ms)
         if answer.code.outcome is not Outcome.EXECUTED:
             log_event(
                 Event.REQUEST_FAILED,
-                request_id=work.request_id,
+                request_id=pending.request_id,
                 code=answer.code.number,
                 team=request.team,
                 service=request.service,
             )
 
-    def _may_run_again(self, work: Work, answer: CallerAnswer) -> bool:
+    def _may_run_without_owner(
+        self, pending: PendingRequest, answer: CallerAnswer
+    ) -> bool:
         """Tell whether an idempotent request goes on without its key's owner."""
-        if not work.is_idempotent or answer.code not in _WITHOUT_OWNER:
+        if not pending.is_idempotent or answer.code not in _RUN_WITHOUT_OWNER_CODES:
             return False
-        return self._parts.clock.monotonic_ms() < work.deadline_ms
+        return self._components.clock.monotonic_ms() < pending.deadline_ms
 
     def _start(self, function: Callable[..., Awaitable[None]], *args: object) -> None:
         if self._background is None:
--- a/trefoilhook/requests/dedup.py
+++ b/trefoilhook/requests/dedup.py
@@ -148,7 +148,7 @@
         self._by_age: list[tuple[int, bytes]] = []  # finished ones only
         self._answers: dict[bytes, None] = {}
         self._size_bytes = 0
-        self._forgotten_until_ms = -math.inf
+        self._evicted_until_ms = -math.inf
         self._known_from_ms = math.inf
 
     @property
@@ -185,15 +185,15 @@
         window : ActingWindow
             Which keys the owner may let in.
         """
-        self._forget_old(wall_ms)
+        self._evict_expired(wall_ms)
         record = self._records.get(key)
         if record is not None:
-            return self._judge_known(record, digest)
-        refusal = self._judge_time(minted_ms, wall_ms, window)
+            return self._check_known_key(record, digest)
+        refusal = self._check_key_time(minted_ms, wall_ms, window)
         if refusal is not None:
             return refusal
         if self._size_bytes + _RECORD_BYTES > self._max_bytes:
-            self._make_room()
+            self._shrink()
         if self._size_bytes + _RECORD_BYTES > self._max_bytes:
             return _refuse(ResultCode.OVERLOADED, "too many keys are in progress")
         record = KeyRecord(key=key, minted_ms=minted_ms, digest=digest)
@@ -222,7 +222,7 @@
             heapq.heappush(self._by_age, (record.minted_ms, record.key))
         record.finished.set()
         if self._size_bytes > self._max_bytes:
-            self._make_room()
+            self._shrink()
 
     def list_records(self) -> tuple[KeyRecord, ...]:
         """Return the records, oldest key first, for a handover."""
@@ -235,9 +235,9 @@
         A successor that is given it with the records needs no other floor.
         """
         floor = min(window.floor_ms, self._known_from_ms)
-        return max(floor, self._forgotten_until_ms)
+        return max(floor, self._evicted_until_ms)
 
-    def take_over(self, *, known_from_ms: float, records: list[KeyRecord]) -> None:
+    def import_records(self, *, known_from_ms: float, records: list[KeyRecord]) -> None:
         """Take in what a leaving owner knows.
 
         Parameters
@@ -260,9 +260,9 @@
             if record.answer is not None:
                 self._answers[record.key] = None
         if self._size_bytes > self._max_bytes:
-            self._make_room()
+            self._shrink()
 
-    def _judge_known(self, record: KeyRecord, digest: bytes) -> Verdict:
+    def _check_known_key(self, record: KeyRecord, digest: bytes) -> Verdict:
         if record.digest != digest:
             return _refuse(ResultCode.KEY_REUSED, "")
         if record.state is KeyState.IN_PROGRESS:
@@ -276,7 +276,7 @@
         answer = attrs.evolve(record.answer, code=code)
         return Verdict(kind=VerdictKind.ANSWER, answer=answer)
 
-    def _judge_time(
+    def _check_key_time(
         self, minted_ms: int, wall_ms: float, window: ActingWindow
     ) -> Verdict | None:
         # Guards against a predecessor that was frozen between its check and its send,
@@ -295,24 +295,24 @@
         self._records[record.key] = record
         self._size_bytes += record.size_bytes
 
-    def _forget_old(self, wall_ms: float) -> None:
+    def _evict_expired(self, wall_ms: float) -> None:
         horizon_ms = wall_ms - self._max_age_ms
         while self._by_age and self._by_age[0][0] < horizon_ms:
-            self._forget_oldest()
+            self._evict_oldest()
         # Guards against a key whose fate was forgotten being run again: from the
         # first one forgotten on, everything of its age is refused. It never goes
         # back, also when the wall clock does.
-        self._forgotten_until_ms = max(self._forgotten_until_ms, horizon_ms)
+        self._evicted_until_ms = max(self._evicted_until_ms, horizon_ms)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         """Forget the finished record whose key was minted first."""
         minted_ms, key = heapq.heappop(self._by_age)
         record = self._records.pop(key)
         self._size_bytes -= record.size_bytes
         self._answers.pop(key, None)
-        self._forgotten_until_ms = max(self._forgotten_until_ms, minted_ms + 1)
+        self._evicted_until_ms = max(self._evicted_until_ms, minted_ms + 1)
 
-    def _make_room(self) -> None:
+    def _shrink(self) -> None:
         """Drop answers, the earliest finished first, then the oldest records."""
         while self._answers and self._size_bytes > self._max_bytes // 2:
             key = next(iter(self._answers))
@@ -326,4 +326,4 @@
                 record.state = KeyState.DROPPED
             self._size_bytes += record.size_bytes
         while self._by_age and self._size_bytes > self._max_bytes // 2:
-            self._forget_oldest()
+            self._evict_oldest()
--- a/trefoilhook/requests/dispatch.py
+++ b/trefoilhook/requests/dispatch.py
@@ -8,12 +8,12 @@
 from trefoilhook.executors import ExecutorAnswer
 from trefoilhook.requests.models import CallerAnswer
 from trefoilhook.requests.owned import Grant
+from trefoilhook.requests.pending import Components, PendingRequest
 from trefoilhook.requests.queueing import QueueRefusedError
-from trefoilhook.requests.slots import Ending
-from trefoilhook.requests.work import Parts, Work
+from trefoilhook.requests.slots import AttemptOutcome
 from trefoilhook.results import ResultCode
 
-__all__ = ["MarkSent", "run_here"]
+__all__ = ["MarkSent", "run_locally"]
 
 _FIRST_FAILURE_STATUS = 500
 
@@ -21,11 +21,11 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class _Sending:
+class _SendAttempt:
     """One request's way to one executor."""
 
-    parts: Parts
-    work: Work
+    components: Components
+    pending: PendingRequest
     grant: Grant
     mark_sent: MarkSent
     is_withdrawn: bool = False
@@ -39,9 +39,9 @@
         executor may be leaving, or the caller may have been told "not run".
         """
         executor = self.grant.executor
-        parts = self.parts
-        is_owner = parts.ownership.owns(executor.shard_id) == executor.epoch
-        is_in_time = parts.clock.monotonic_ms() < self.work.deadline_ms
+        components = self.components
+        is_owner = components.ownership.owns(executor.shard_id) == executor.epoch
+        is_in_time = components.clock.monotonic_ms() < self.pending.deadline_ms
         if not is_owner or not is_in_time or executor.slots.is_leaving:
             self.is_withdrawn = True
             return False
@@ -50,7 +50,9 @@
         return True
 
 
-async def run_here(parts: Parts, work: Work, *, mark_sent: MarkSent) -> CallerAnswer:
+async def run_locally(
+    components: Components, pending: PendingRequest, *, mark_sent: MarkSent
+) -> CallerAnswer:
     """Run a request on an executor owned here.
 
     Parameters
@@ -66,65 +68,77 @@
     tried: list[str] = []
     while True:
         try:
-            grant = await parts.pool.acquire(
-                work.service_name,
-                deadline_ms=work.deadline_ms,
-                max_waiting=work.max_waiting,
+            grant = await components.pool.acquire(
+                pending.service_name,
+                deadline_ms=pending.deadline_ms,
+                max_waiting=pending.max_waiting,
                 avoid=tried,
             )
         except QueueRefusedError as error:
-            return parts.refuse(
+            return components.refuse(
                 error.code, str(error), retry_after_ms=error.retry_after_ms
             )
         except RequestError as error:
-            return parts.refuse(error.code, str(error))
-        answer = await _send(parts, work, grant, mark_sent)
+            return components.refuse(error.code, str(error))
+        answer = await _send(components, pending, grant, mark_sent)
         tried.append(grant.executor.target.executor_id)
-        is_late = parts.clock.monotonic_ms() >= work.deadline_ms
+        is_late = components.clock.monotonic_ms() >= pending.deadline_ms
         if is_late or answer.code is ResultCode.NO_OWNER:
             return answer
-        if not parts.retries.may_retry(
-            work.service_name, answer.code, is_idempotent=work.is_idempotent
+        if not components.retries.may_retry(
+            pending.service_name, answer.code, is_idempotent=pending.is_idempotent
         ):
             return answer
 
 
 async def _send(
-    parts: Parts, work: Work, grant: Grant, mark_sent: MarkSent
+    components: Components, pending: PendingRequest, grant: Grant, mark_sent: MarkSent
 ) -> CallerAnswer:
-    sending = _Sending(parts=parts, work=work, grant=grant, mark_sent=mark_sent)
-    left_ms = max(0.0, work.deadline_ms - parts.clock.monotonic_ms())
-    ending = Ending.LOST
+    attempt = _SendAttempt(
+        components=components, pending=pending, grant=grant, mark_sent=mark_sent
+    )
+    remaining_ms = max(0.0, pending.deadline_ms - components.clock.monotonic_ms())
+    outcome = AttemptOutcome.LOST
     try:
         answer = await grant.executor.link.run(
-            work.body,
-            content_type=work.content_type,
-            timeout_ms=left_ms + parts.settings.late_answer_ms,
-            request_id=work.request_id,
-            may_send=sending.may_send,
+            pending.body,
+            content_type=pending.content_type,
+            timeout_ms=remaining_ms + components.settings.late_answer_ms,
+            request_id=pending.request_id,
+            may_send=attempt.may_send,
         )
-        ending = _judge_ending(answer)
-        return _build_answer(parts, grant, answer)
+        outcome = _classify_outcome(answer)
+        return _build_answer(components, grant, answer)
     except NotSentError as error:
-        ending = Ending.GIVEN_UP if sending.is_withdrawn else Ending.NOT_SENT
+        outcome = (
+            AttemptOutcome.WITHDRAWN
+            if attempt.is_withdrawn
+            else AttemptOutcome.NOT_SENT
+        )
         mark_sent(False)
-        return _explain_not_sent(parts, work, sending, str(error))
+        return _explain_not_sent(components, pending, attempt, str(error))
     except AnswerLostError as error:
-        return parts.refuse(ResultCode.ANSWER_LOST, str(error))
+        return components.refuse(ResultCode.ANSWER_LOST, str(error))
     except BaseException:
-        ending = Ending.CUT_OFF if sending.is_sent else Ending.GIVEN_UP
+        outcome = (
+            AttemptOutcome.CANCELLED_AFTER_SEND
+            if attempt.is_sent
+            else AttemptOutcome.WITHDRAWN
+        )
         raise
     finally:
-        parts.pool.release(grant, ending)
+        components.pool.release(grant, outcome)
 
 
-def _judge_ending(answer: ExecutorAnswer) -> Ending:
+def _classify_outcome(answer: ExecutorAnswer) -> AttemptOutcome:
     if answer.status >= _FIRST_FAILURE_STATUS:
-        return Ending.FAILED
-    return Ending.ANSWERED
+        return AttemptOutcome.FAILED
+    return AttemptOutcome.ANSWERED
 
 
-def _build_answer(parts: Parts, grant: Grant, answer: ExecutorAnswer) -> CallerAnswer:
+def _build_answer(
+    components: Components, grant: Grant, answer: ExecutorAnswer
+) -> CallerAnswer:
     is_failure = answer.status >= _FIRST_FAILURE_STATUS
     return CallerAnswer(
         code=ResultCode.BACKEND_FAILED if is_failure else ResultCode.OK,
@@ -132,17 +146,17 @@
         content_type=answer.content_type,
         body=answer.body,
         executor_id=grant.executor.target.executor_id,
-        owner_instance_id=parts.instance_id,
+        owner_instance_id=components.instance_id,
     )
 
 
 def _explain_not_sent(
-    parts: Parts, work: Work, sending: _Sending, detail: str
+    components: Components, pending: PendingRequest, attempt: _SendAttempt, detail: str
 ) -> CallerAnswer:
-    if not sending.is_withdrawn:
-        return parts.refuse(ResultCode.NO_EXECUTOR, detail)
-    if parts.clock.monotonic_ms() >= work.deadline_ms:
-        return parts.refuse(ResultCode.QUEUE_DEADLINE, detail)
-    if sending.grant.executor.slots.is_leaving:
-        return parts.refuse(ResultCode.NO_EXECUTOR, detail)
-    return parts.refuse(ResultCode.NO_OWNER, detail)
+    if not attempt.is_withdrawn:
+        return components.refuse(ResultCode.NO_EXECUTOR, detail)
+    if components.clock.monotonic_ms() >= pending.deadline_ms:
+        return components.refuse(ResultCode.QUEUE_DEADLINE, detail)
+    if attempt.grant.executor.slots.is_leaving:
+        return components.refuse(ResultCode.NO_EXECUTOR, detail)
+    return components.refuse(ResultCode.NO_OWNER, detail)
--- a/trefoilhook/requests/handover.py
+++ b/trefoilhook/requests/handover.py
@@ -5,26 +5,26 @@
 from trefoilhook.inner.messages_pb2 import ExecutorInUse, ShardHandover
 from trefoilhook.inner.messages_pb2 import KeyRecord as KeyRecordMessage
 from trefoilhook.requests.dedup import KeyRecord, KeyState
-from trefoilhook.requests.keyowner import HandedKeys
+from trefoilhook.requests.keyowner import KeyHandover
 from trefoilhook.requests.keys import read_minted_ms
 from trefoilhook.requests.models import CallerAnswer
-from trefoilhook.requests.work import decode_answer, encode_answer
+from trefoilhook.requests.pending import decode_answer, encode_answer
 from trefoilhook.results import Outcome, ResultCode
 
 __all__ = ["decode_keys", "encode_handover"]
 
-_MOST_BYTES = 2_000_000
+_MAX_ANSWER_BYTES = 2_000_000
 
 
 def encode_handover(
-    *, shard_id: str, epoch: int, handed: HandedKeys, in_use: dict[str, int]
+    *, shard_id: str, epoch: int, handover: KeyHandover, in_use: dict[str, int]
 ) -> ShardHandover:
     """Build the message; the newest answers go along whole as far as there is room."""
     records: list[KeyRecordMessage] = []
-    left_bytes = _MOST_BYTES
-    for record in reversed(handed.records):
-        is_whole = record.size_bytes <= left_bytes
-        left_bytes -= record.size_bytes if is_whole else 0
+    remaining_bytes = _MAX_ANSWER_BYTES
+    for record in reversed(handover.records):
+        is_whole = record.size_bytes <= remaining_bytes
+        remaining_bytes -= record.size_bytes if is_whole else 0
         records.append(_encode_record(record, is_whole=is_whole))
     message = ShardHandover(
         shard_id=shard_id,
@@ -35,17 +35,17 @@
             for executor_id, count in in_use.items()
         ],
     )
-    if handed.known_from_ms < math.inf:
-        message.known_from_wall_ms = handed.known_from_ms
+    if handover.known_from_ms < math.inf:
+        message.known_from_wall_ms = handover.known_from_ms
     return message
 
 
-def decode_keys(message: ShardHandover) -> HandedKeys:
+def decode_keys(message: ShardHandover) -> KeyHandover:
     """Read the keys; without a floor in the message no more than they are known."""
     has_floor = message.HasField("known_from_wall_ms")
     floor = message.known_from_wall_ms if has_floor else math.inf
     records = tuple(_decode_record(each) for each in message.keys)
-    return HandedKeys(epoch=message.epoch, known_from_ms=floor, records=records)
+    return KeyHandover(epoch=message.epoch, known_from_ms=floor, records=records)
 
 
 def _encode_record(record: KeyRecord, *, is_whole: bool) -> KeyRecordMessage:
--- a/trefoilhook/requests/keys.py
+++ b/trefoilhook/requests/keys.py
@@ -24,7 +24,7 @@
 _KEY_VERSION = 7
 _KEY_BYTES = 16
 _DIGEST_BYTES = 16
-_MOST_EXECUTORS = 4_096
+_EXECUTOR_CACHE_SIZE = 4_096
 
 
 def mint_key() -> bytes:
@@ -82,7 +82,7 @@
     return format_shard_id(xxhash.xxh3_64_intdigest(key) % shard_count)
 
 
-@functools.lru_cache(maxsize=_MOST_EXECUTORS)
+@functools.lru_cache(maxsize=_EXECUTOR_CACHE_SIZE)
 def compute_executor_shard(executor_id: str, *, shard_count: int) -> str:
     """Return the request shard that counts an executor's slots."""
     return format_shard_id(xxhash.xxh3_64_intdigest(executor_id.encode()) % shard_count)
--- a/trefoilhook/requests/models.py
+++ b/trefoilhook/requests/models.py
@@ -21,11 +21,11 @@
     "ServiceSettings",
     "TeamView",
     "TokenVerdict",
-    "name_service",
+    "build_service_name",
 ]
 
 
-def name_service(team: str, service: str) -> str:
+def build_service_name(team: str, service: str) -> str:
     """Return the name of a team's service that is unique over all teams."""
     return f"{team}/{service}"
 
@@ -136,7 +136,7 @@
 
     @service_name.default
     def _build_service_name(self) -> str:
-        return name_service(self.team, self.service)
+        return build_service_name(self.team, self.service)
 
 
 @attrs.frozen(kw_only=True)
--- a/trefoilhook/requests/owned.py
+++ b/trefoilhook/requests/owned.py
@@ -54,4 +54,4 @@
     """
 
     executor: OwnedExecutor
-    granted_ms: float
+    granted_at_ms: float
--- a/trefoilhook/requests/work.py
+++ b/trefoilhook/requests/pending.py
@@ -25,7 +25,7 @@
     OwnershipView,
     ServiceSettings,
     TeamView,
-    name_service,
+    build_service_name,
 )
 from trefoilhook.requests.retry import HedgePolicy, RetryPolicy
 from trefoilhook.requests.routing import PeerLoads
@@ -33,17 +33,17 @@
 from trefoilhook.results import ResultCode
 
 __all__ = [
-    "Parts",
-    "Work",
-    "build_work",
+    "Components",
+    "PendingRequest",
+    "build_pending_request",
     "decode_answer",
     "encode_answer",
-    "encode_work",
-    "read_work",
+    "encode_request",
+    "decode_request",
 ]
 
-_LONGEST_RETRY_AFTER_MS = 3_600_000.0
-_RETRY_AFTER_MS = {
+_MAX_RETRY_AFTER_MS = 3_600_000.0
+_DEFAULT_RETRY_AFTER_MS = {
     ResultCode.NO_OWNER: 500.0,
     ResultCode.OWNER_UNREACHABLE: 500.0,
     ResultCode.SHUTTING_DOWN: 50.0,
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Work:
+class PendingRequest:
     """A request that is to be run.
 
     Parameters
@@ -88,11 +88,11 @@
     @property
     def service_name(self) -> str:
         """Name of the service, unique over all teams."""
-        return name_service(self.team, self.service)
+        return build_service_name(self.team, self.service)
 
 
 @attrs.frozen(kw_only=True, eq=False)
-class Parts:
+class Components:
     """What every role of the request path uses.
 
     Parameters
@@ -149,7 +149,7 @@
     hedges: HedgePolicy
     generator: random.Random
     start: Callable[..., None]
-    get_share: Callable[[], float]
+    get_owned_share: Callable[[], float]
     serve_own: Callable[[ServiceRequest, float], Awaitable[CallerAnswer]]
 
     def find_executor_owner(self, target: ExecutorTarget) -> Owner | None:
@@ -165,12 +165,12 @@
         self, code: ResultCode, detail: str = "", *, retry_after_ms: float = 0.0
     ) -> CallerAnswer:
         """Build an answer that this instance gives itself."""
-        wait_ms = retry_after_ms or _RETRY_AFTER_MS.get(code, 0.0)
+        wait_ms = retry_after_ms or _DEFAULT_RETRY_AFTER_MS.get(code, 0.0)
         return CallerAnswer(
             code=code,
             detail=detail,
             owner_instance_id=self.instance_id,
-            retry_after_ms=min(wait_ms, _LONGEST_RETRY_AFTER_MS),
+            retry_after_ms=min(wait_ms, _MAX_RETRY_AFTER_MS),
         )
 
 
@@ -209,24 +209,26 @@
     )
 
 
-def encode_work(
-    work: Work, *, executor_id: str, shard_epoch: int, entry_id: str
+def encode_request(
+    pending: PendingRequest, *, executor_id: str, shard_epoch: int, entry_id: str
 ) -> ServiceRequest:
     """Turn a request into its inner message."""
     return ServiceRequest(
-        team=work.team,
-        service=work.service,
-        key=work.key,
-        is_idempotent=work.is_idempotent,
-        body=work.body,
+        team=pending.team,
+        service=pending.service,
+        key=pending.key,
+        is_idempotent=pending.is_idempotent,
+        body=pending.body,
         executor_id=executor_id,
         shard_epoch=shard_epoch,
-        content_type=work.content_type,
+        content_type=pending.content_type,
         entry_instance_id=entry_id,
     )
 
 
-def build_work(parts: Parts, request: CallerRequest, settings: ServiceSettings) -> Work:
+def build_pending_request(
+    components: Components, request: CallerRequest, settings: ServiceSettings
+) -> PendingRequest:
     """Turn a caller's request into what is to be run.
 
     Raises
@@ -239,7 +241,7 @@
         timeout_ms = min(timeout_ms, request.timeout_ms)
     if request.key:
         read_minted_ms(request.key)
-    return Work(
+    return PendingRequest(
         team=request.team,
         service=request.service,
         key=request.key,
@@ -247,20 +249,20 @@
         is_idempotent=settings.is_idempotent,
         content_type=request.content_type,
         body=request.body,
-        deadline_ms=parts.clock.monotonic_ms() + timeout_ms,
+        deadline_ms=components.clock.monotonic_ms() + timeout_ms,
         max_waiting=settings.max_queue,
     )
 
 
-def read_work(
+def decode_request(
     request: ServiceRequest, settings: ServiceSettings, *, deadline_ms: float
-) -> Work:
+) -> PendingRequest:
     """Read what is to be run from its inner message.
 
     It counts as idempotent only if both instances' configurations say so: one of them
     may be behind.
     """
-    return Work(
+    return PendingRequest(
         team=request.team,
         service=request.service,
         key=request.key,
--- a/trefoilhook/requests/queueing.py
+++ b/trefoilhook/requests/queueing.py
@@ -11,9 +11,9 @@
 
 __all__ = ["QueueRefusedError", "RunTime", "ServiceQueue", "Waiter"]
 
-_WEIGHT = 0.05
-_FIRST_GUESS_MS = 50.0
-_LEAST_RETRY_AFTER_MS = 1.0
+_MEAN_WEIGHT = 0.05
+_INITIAL_MEAN_MS = 50.0
+_MIN_RETRY_AFTER_MS = 1.0
 
 
 class QueueRefusedError(RequestError):
@@ -33,21 +33,21 @@
         self, message: str, *, code: ResultCode, retry_after_ms: float
     ) -> None:
         super().__init__(message, code=code)
-        self.retry_after_ms = max(_LEAST_RETRY_AFTER_MS, retry_after_ms)
+        self.retry_after_ms = max(_MIN_RETRY_AFTER_MS, retry_after_ms)
 
 
 @attrs.define(kw_only=True)
 class RunTime:
     """Moving mean of how long a service's requests run."""
 
-    mean_ms: float = _FIRST_GUESS_MS
-    _is_learned: bool = attrs.field(default=False, init=False)
+    mean_ms: float = _INITIAL_MEAN_MS
+    _has_sample: bool = attrs.field(default=False, init=False)
 
-    def note(self, run_ms: float) -> None:
+    def add_sample(self, run_ms: float) -> None:
         """Take in one run's time, in ms."""
-        weight = _WEIGHT if self._is_learned else 1.0
+        weight = _MEAN_WEIGHT if self._has_sample else 1.0
         self.mean_ms += weight * (run_ms - self.mean_ms)
-        self._is_learned = True
+        self._has_sample = True
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -98,7 +98,7 @@
         """
         return (len(self._waiters) + 1) * self.run_time.mean_ms / max(1, slots)
 
-    def enter(
+    def enqueue(
         self, *, deadline_ms: float, now_ms: float, slots: int, max_waiting: int
     ) -> Waiter:
         """Put a request in the queue.
@@ -138,7 +138,7 @@
         self._waiters.append(waiter)
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Take a request out that no longer waits."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
--- a/trefoilhook/requests/retry.py
+++ b/trefoilhook/requests/retry.py
@@ -8,14 +8,14 @@
 from trefoilhook.requests.buckets import RetryBudget
 from trefoilhook.results import Outcome, ResultCode
 
-__all__ = ["MOVED", "HedgePolicy", "RetryPolicy", "is_elsewhere_useful"]
+__all__ = ["OWNER_MOVED_CODES", "HedgePolicy", "RetryPolicy", "may_succeed_elsewhere"]
 
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000
-_DIGITS = 2
+_MIN_RUN_US = 1
+_MAX_RUN_US = 600_000_000
+_SIGNIFICANT_DIGITS = 2
 _US_PER_MS = 1000.0
-_LEAST_RUNS = 100
-_ELSEWHERE = frozenset(
+_MIN_RUNS = 100
+_RETRY_ELSEWHERE_CODES = frozenset(
     {
         ResultCode.NO_OWNER,
         ResultCode.NO_EXECUTOR,
@@ -25,12 +25,12 @@
     }
 )
 # An owner that has just handed its executors over; retries of these add no load.
-MOVED = frozenset({ResultCode.NO_OWNER, ResultCode.SHUTTING_DOWN})
+OWNER_MOVED_CODES = frozenset({ResultCode.NO_OWNER, ResultCode.SHUTTING_DOWN})
 
 
-def is_elsewhere_useful(code: ResultCode) -> bool:
+def may_succeed_elsewhere(code: ResultCode) -> bool:
     """Tell whether another owner might run what this one refused."""
-    return code in _ELSEWHERE
+    return code in _RETRY_ELSEWHERE_CODES
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -49,9 +49,9 @@
     reserve: float
     _budgets: dict[str, RetryBudget] = attrs.field(factory=dict, init=False)
 
-    def note_request(self, service_name: str) -> None:
+    def record_request(self, service_name: str) -> None:
         """Count a first attempt."""
-        self._get(service_name).note_request()
+        self._get(service_name).record_request()
 
     def may_retry(
         self, service_name: str, code: ResultCode, *, is_idempotent: bool
@@ -74,9 +74,9 @@
         # again where running twice does no harm.
         if outcome is Outcome.UNKNOWN and not is_idempotent:
             return False
-        if outcome is Outcome.NOT_RUN and not is_elsewhere_useful(code):
+        if outcome is Outcome.NOT_RUN and not may_succeed_elsewhere(code):
             return False
-        if code in MOVED:
+        if code in OWNER_MOVED_CODES:
             return True
         return self._get(service_name).take()
 
@@ -101,25 +101,25 @@
     """
 
     is_enabled: bool
-    quantile: float
+    percentile: float
     _histograms: dict[str, HdrHistogram] = attrs.field(factory=dict, init=False)
 
-    def note(self, service_name: str, run_ms: float) -> None:
+    def add_sample(self, service_name: str, run_ms: float) -> None:
         """Take in one run's time, in ms."""
         if not self.is_enabled:
             return
         histogram = self._histograms.get(service_name)
         if histogram is None:
-            histogram = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+            histogram = HdrHistogram(_MIN_RUN_US, _MAX_RUN_US, _SIGNIFICANT_DIGITS)
             self._histograms[service_name] = histogram
-        histogram.record_value(max(_LOWEST_US, int(run_ms * _US_PER_MS)))
+        histogram.record_value(max(_MIN_RUN_US, int(run_ms * _US_PER_MS)))
 
     def get_delay_ms(self, service_name: str, *, is_idempotent: bool) -> float:
         """Return after what time a second copy is sent, in ms; infinite for never."""
         if not self.is_enabled or not is_idempotent:
             return math.inf
         histogram = self._histograms.get(service_name)
-        if histogram is None or histogram.get_total_count() < _LEAST_RUNS:
+        if histogram is None or histogram.get_total_count() < _MIN_RUNS:
             return math.inf
-        value = histogram.get_value_at_percentile(self.quantile)
+        value = histogram.get_value_at_percentile(self.percentile)
         return float(value) / _US_PER_MS
--- a/trefoilhook/requests/routing.py
+++ b/trefoilhook/requests/routing.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from trefoilhook.requests.admission import LoadView
+from trefoilhook.requests.admission import ServiceLoad
 
 __all__ = ["Candidate", "PeerLoads", "ReportedLoad", "Route", "choose_route"]
 
@@ -61,8 +61,8 @@
     executor_id: str
     owner_id: str
     free: int
-    wait: float
-    is_near: bool
+    queued_per_slot: float
+    is_same_domain: bool
     is_known: bool = True
 
 
@@ -101,7 +101,7 @@
     _loads: dict[str, ReportedLoad] = attrs.field(factory=dict, init=False)
     _sent: dict[str, int] = attrs.field(factory=dict, init=False)
 
-    def take(self, loads: dict[str, ReportedLoad], *, sender_id: str) -> None:
+    def replace(self, loads: dict[str, ReportedLoad], *, sender_id: str) -> None:
         """Replace what a peer told before."""
         for executor_id, load in list(self._loads.items()):
             if load.sender_id == sender_id:
@@ -124,12 +124,12 @@
         """Return the requests sent from here since the newest summary."""
         return self._sent.get(executor_id, 0)
 
-    def note_sent(self, executor_id: str) -> ReportedLoad | None:
+    def record_sent(self, executor_id: str) -> ReportedLoad | None:
         """Count a request sent from here; return the summary it was added to."""
         self._sent[executor_id] = self.count_sent(executor_id) + 1
         return self._loads.get(executor_id)
 
-    def note_ended(self, executor_id: str, load: ReportedLoad | None) -> None:
+    def record_ended(self, executor_id: str, load: ReportedLoad | None) -> None:
         """Take a request off the summary that it was added to.
 
         Guards against an idle executor that looks full: while its load does not
@@ -149,7 +149,7 @@
 
 def choose_route(
     *,
-    own: LoadView | None,
+    own: ServiceLoad | None,
     candidates: Sequence[Candidate],
     generator: random.Random,
 ) -> Route | None:
@@ -183,18 +183,18 @@
     if own is not None and own.free > 0:
         return Route()
     free = [each for each in candidates if each.free > 0]
-    near = [each for each in free if each.is_near]
-    drawn = _choose_two(near or free, generator)
+    same_domain = [each for each in free if each.is_same_domain]
+    drawn = _choose_two(same_domain or free, generator)
     if drawn:
         freest = max(drawn, key=lambda each: each.free)
         return Route(owner_id=freest.owner_id, executor_id=freest.executor_id)
     known = [each for each in candidates if each.is_known]
     drawn = _choose_two(known or candidates, generator)
-    best = min(drawn, key=lambda each: each.wait, default=None)
+    best = min(drawn, key=lambda each: each.queued_per_slot, default=None)
     if own is not None and own.usable > 0:
         if best is None or not best.is_known:
             return Route()
-        if own.queued / own.usable <= best.wait:
+        if own.queued / own.usable <= best.queued_per_slot:
             return Route()
     if best is None:
         return Route() if own is not None else None
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -7,21 +7,21 @@
 
 from trefoilhook.requests.circuit import Circuit
 
-__all__ = ["Ending", "ExecutorSlots", "Probe"]
+__all__ = ["AttemptOutcome", "ExecutorSlots", "Probe"]
 
-_QUIET_FIRST_MS = 250.0
-_QUIET_LIMIT_MS = 30_000.0
+_INITIAL_PAUSE_INTERVAL_MS = 250.0
+_MAX_PAUSE_INTERVAL_MS = 30_000.0
 
 
-class Ending(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How a request to an executor ended."""
 
     ANSWERED = "answered"
     FAILED = "answered with a failure"
     NOT_SENT = "not sent"
     LOST = "sent, answer lost"
-    CUT_OFF = "sent, then cut off from here"
-    GIVEN_UP = "not sent, for a reason that is not the executor's"
+    CANCELLED_AFTER_SEND = "sent, then cut off from here"
+    WITHDRAWN = "not sent, for a reason that is not the executor's"
 
 
 @attrs.frozen(kw_only=True)
@@ -38,9 +38,9 @@
         Lost requests that no byte can arrive of any more.
     """
 
-    is_quiet: bool
+    is_idle: bool
     started: int
-    eligible: int
+    releasable: int
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -77,16 +77,18 @@
     slots: int
     circuit: Circuit
     settle_ms: float
-    is_taken_over: bool = False
-    ask_from_ms: float = -math.inf
-    held_until_ms: float = -math.inf
+    is_count_unknown: bool = False
+    probe_from_ms: float = -math.inf
+    reserved_until_ms: float = -math.inf
     is_leaving: bool = False
     in_progress: int = 0
     unproved: int = 0
     _lost_at_ms: list[float] = attrs.field(factory=list, init=False)
     _started: int = attrs.field(default=0, init=False)
-    _quiet_at_ms: float = attrs.field(default=0.0, init=False)
-    _quiet_wait_ms: float = attrs.field(default=_QUIET_FIRST_MS, init=False)
+    _pause_at_ms: float = attrs.field(default=0.0, init=False)
+    _pause_interval_ms: float = attrs.field(
+        default=_INITIAL_PAUSE_INTERVAL_MS, init=False
+    )
 
     @property
     def started(self) -> int:
@@ -95,12 +97,12 @@
 
     def count_in_use(self, now_ms: float) -> int:
         """Return the slots that may be in use, with the one kept back."""
-        held = 1 if now_ms < self.held_until_ms else 0
+        held = 1 if now_ms < self.reserved_until_ms else 0
         return self.in_progress + self.unproved + held
 
     def count_free(self, now_ms: float) -> int:
         """Return how many requests may be sent now."""
-        if self.is_leaving or self.is_taken_over or self.is_quieting(now_ms):
+        if self.is_leaving or self.is_count_unknown or self.is_paused(now_ms):
             return 0
         limit = self.circuit.get_limit(now_ms=now_ms, slots=self.slots)
         by_circuit = limit - self.in_progress
@@ -118,11 +120,11 @@
         limit = self.circuit.get_limit(now_ms=now_ms, slots=self.slots)
         return min(limit, max(1, self.slots - self.unproved))
 
-    def is_quieting(self, now_ms: float) -> bool:
+    def is_paused(self, now_ms: float) -> bool:
         """Tell whether nothing new is sent so that unproved slots can be asked for."""
-        return self.unproved > 0 and now_ms >= self._quiet_at_ms
+        return self.unproved > 0 and now_ms >= self._pause_at_ms
 
-    def take(self, now_ms: float) -> None:
+    def acquire(self, now_ms: float) -> None:
         """Take a slot for a request.
 
         Raises
@@ -135,7 +137,7 @@
         self.in_progress += 1
         self._started += 1
 
-    def give_back(self, ending: Ending, *, now_ms: float) -> None:
+    def release(self, outcome: AttemptOutcome, *, now_ms: float) -> None:
         """Give a request's slot back, unless it may still run.
 
         Parameters
@@ -146,7 +148,7 @@
             Time now.
         """
         self.in_progress -= 1
-        if ending in (Ending.LOST, Ending.CUT_OFF):
+        if outcome in (AttemptOutcome.LOST, AttemptOutcome.CANCELLED_AFTER_SEND):
             # Guards against the slot of a request that still runs being given away:
             # the executor would run one more than it has slots.
             self._add_unproved(1, now_ms)
@@ -154,18 +156,18 @@
 
     def needs_probe(self, now_ms: float) -> bool:
         """Tell whether the executor's own count is wanted now."""
-        if self.is_taken_over:
-            return now_ms >= self.ask_from_ms
-        return self.is_quieting(now_ms) and self.in_progress == 0
+        if self.is_count_unknown:
+            return now_ms >= self.probe_from_ms
+        return self.is_paused(now_ms) and self.in_progress == 0
 
     def begin_probe(self, now_ms: float) -> Probe:
         """Note what is known when a look at the executor's health begins."""
         settled = [at for at in self._lost_at_ms if now_ms - at >= self.settle_ms]
         fresh = len(self._lost_at_ms) - len(settled)
         return Probe(
-            is_quiet=self.in_progress == 0,
+            is_idle=self.in_progress == 0,
             started=self._started,
-            eligible=max(0, self.unproved - fresh),
+            releasable=max(0, self.unproved - fresh),
         )
 
     def end_probe(self, probe: Probe, *, in_use: int, now_ms: float) -> None:
@@ -180,37 +182,41 @@
         now_ms : float
             Time now.
         """
-        if not probe.is_quiet or self._started != probe.started:
+        if not probe.is_idle or self._started != probe.started:
             return
-        if self.is_taken_over:
-            self.is_taken_over = False
+        if self.is_count_unknown:
+            self.is_count_unknown = False
             self.unproved = 0
             self._lost_at_ms.clear()
             self._add_unproved(min(in_use, self.slots), now_ms)
             return
-        gone = max(0, probe.eligible - in_use)
-        self.unproved = max(0, self.unproved - gone)
-        del self._lost_at_ms[: min(gone, len(self._lost_at_ms))]
+        released = max(0, probe.releasable - in_use)
+        self.unproved = max(0, self.unproved - released)
+        del self._lost_at_ms[: min(released, len(self._lost_at_ms))]
         is_mostly_unproved = 2 * self.unproved >= self.slots
-        if gone or is_mostly_unproved:
-            self._quiet_wait_ms = _QUIET_FIRST_MS
+        if released or is_mostly_unproved:
+            self._pause_interval_ms = _INITIAL_PAUSE_INTERVAL_MS
         else:
-            self._quiet_wait_ms = min(2 * self._quiet_wait_ms, _QUIET_LIMIT_MS)
-        self._quiet_at_ms = now_ms + self._quiet_wait_ms
+            self._pause_interval_ms = min(
+                2 * self._pause_interval_ms, _MAX_PAUSE_INTERVAL_MS
+            )
+        self._pause_at_ms = now_ms + self._pause_interval_ms
 
     def fail_probe(self, now_ms: float) -> None:
         """Note that the executor did not say; try again after a growing wait."""
-        self._quiet_wait_ms = min(2 * self._quiet_wait_ms, _QUIET_LIMIT_MS)
-        self._quiet_at_ms = now_ms + self._quiet_wait_ms
+        self._pause_interval_ms = min(
+            2 * self._pause_interval_ms, _MAX_PAUSE_INTERVAL_MS
+        )
+        self._pause_at_ms = now_ms + self._pause_interval_ms
 
-    def take_handed_over(self, in_use: int, *, now_ms: float) -> None:
+    def apply_handover(self, in_use: int, *, now_ms: float) -> None:
         """Take in what a leaving owner said was in use; it has been met."""
-        self.is_taken_over = False
-        self.held_until_ms = -math.inf
+        self.is_count_unknown = False
+        self.reserved_until_ms = -math.inf
         self._add_unproved(min(in_use, self.slots), now_ms)
 
     def _add_unproved(self, count: int, now_ms: float) -> None:
         if count and not self.unproved:
-            self._quiet_wait_ms = _QUIET_FIRST_MS
-            self._quiet_at_ms = now_ms + self._quiet_wait_ms
+            self._pause_interval_ms = _INITIAL_PAUSE_INTERVAL_MS
+            self._pause_at_ms = now_ms + self._pause_interval_ms
         self.unproved += count
--- a/trefoilhook/requests/tests/fakes.py
+++ b/trefoilhook/requests/tests/fakes.py
@@ -86,7 +86,7 @@
     silent: set[str] = attrs.field(factory=set)
     lost_answers: int = 0
     calls: int = 0
-    tells: int = 0
+    messages_sent: int = 0
 
     async def call(self, instance_id, message, *, timeout_ms):
         self.calls += 1
@@ -111,12 +111,14 @@
         return reply
 
     def tell(self, instance_id, message):
-        self.tells += 1
+        self.messages_sent += 1
         if not isinstance(message, ExecutorLoads) or instance_id in self.unreachable:
             return False
         copy = ExecutorLoads.FromString(message.SerializeToString())
         call = FakeCall(sender_id=self.instance_id, message=copy, timeout_ms=0.0)
-        self.services[instance_id]._upkeep.hear_loads(call.sender_id, call.message)
+        self.services[instance_id]._maintenance.receive_load_summary(
+            call.sender_id, call.message
+        )
         return True
 
 
@@ -132,7 +134,7 @@
     lose_answers: int = 0
     stall_before_send: trio.Event | None = None
     stalled: trio.Event = attrs.field(factory=trio.Event)
-    ghosts: int = 0
+    orphans: int = 0
     running: int = 0
     high_water: int = 0
     runs: list[str] = attrs.field(factory=list)
@@ -147,11 +149,11 @@
             raise NotSentError("withdrawn")
         self.runs.append(request_id)
         self.running += 1
-        self.high_water = max(self.high_water, self.running + self.ghosts)
+        self.high_water = max(self.high_water, self.running + self.orphans)
         if self.lose_answers > 0:
             self.lose_answers -= 1
             self.running -= 1
-            self.ghosts += 1
+            self.orphans += 1
             raise AnswerLostError("cut")
         try:
             with trio.fail_after(timeout_ms / 1000):
@@ -166,7 +168,7 @@
 
     async def check_health(self, *, timeout_ms):
         await trio.sleep(0.001)
-        return ExecutorHealth(slots=self.slots, in_use=self.running + self.ghosts)
+        return ExecutorHealth(slots=self.slots, in_use=self.running + self.orphans)
 
     async def close(self):
         pass
@@ -185,7 +187,7 @@
     quota_per_s: float = math.inf
     generator: random.Random = attrs.field(factory=lambda: random.Random(7))
     wall_offset_ms: float = 0.0
-    jump_ms: float = 0.0
+    wall_jump_ms: float = 0.0
     clock: object = attrs.field(init=False)
     clocks: dict[str, object] = attrs.field(factory=dict, init=False)
     owners: dict[str, FakeOwner] = attrs.field(factory=dict, init=False)
@@ -231,7 +233,7 @@
         offset_ms = sign * self.wall_offset_ms
         clock = attrs.evolve(
             self.clock,
-            wall_ms=lambda: self.clock.wall_ms() + offset_ms + self.jump_ms,
+            wall_ms=lambda: self.clock.wall_ms() + offset_ms + self.wall_jump_ms,
         )
         self.clocks[name] = clock
         self.ownerships[name] = ownership
--- a/trefoilhook/requests/tests/test_invariants.py
+++ b/trefoilhook/requests/tests/test_invariants.py
@@ -21,11 +21,11 @@
 
 
 @attrs.define(kw_only=True)
-class Chaos:
+class FaultInjector:
     """Faults and callers over one cluster, and what was seen."""
 
     cluster: Cluster
-    draws: random.Random
+    generator: random.Random
     violations: list[str] = attrs.field(factory=list)
     executed: int = 0
 
@@ -33,43 +33,43 @@
         """Return the ids of all requests that executors ran."""
         return [run for each in self.cluster.executors.values() for run in each.runs]
 
-    async def break_things(self):
+    async def inject_faults(self):
         """Move shards, with and without a handover; lose answers; end old runs."""
         cluster = self.cluster
         names = list(cluster.services)
         for _ in range(_FAULTS):
-            await trio.sleep(self.draws.uniform(0.01, 0.2))
-            shard_id = self.draws.choice(list(cluster.owners))
+            await trio.sleep(self.generator.uniform(0.01, 0.2))
+            shard_id = self.generator.choice(list(cluster.owners))
             owner = cluster.owners[shard_id]
-            old, new = owner.instance_id, self.draws.choice(names)
+            old, new = owner.instance_id, self.generator.choice(names)
             cluster.ownerships[old].rights.pop(shard_id, None)
-            if self.draws.random() < 0.5:
+            if self.generator.random() < 0.5:
                 service = cluster.services[old]
                 handover = service.export_handover(shard_id, owner.epoch)
                 cluster.services[new].take_handover(handover)
-            await trio.sleep(self.draws.choice((0.0, 0.05, 0.3)))
+            await trio.sleep(self.generator.choice((0.0, 0.05, 0.3)))
             cluster.claim_shard(shard_id, new)
-            executor = self.draws.choice(list(cluster.executors.values()))
-            executor.lose_answers = self.draws.choice((0, 0, 1))
-            executor.ghosts = max(0, executor.ghosts - 1)
-            inner = cluster.inners[self.draws.choice(names)]
-            inner.lost_answers = self.draws.choice((0, 0, 1))
+            executor = self.generator.choice(list(cluster.executors.values()))
+            executor.lose_answers = self.generator.choice((0, 0, 1))
+            executor.orphans = max(0, executor.orphans - 1)
+            inner = cluster.inners[self.generator.choice(names)]
+            inner.lost_answers = self.generator.choice((0, 0, 1))
 
     async def call(self, number):
         """Send one order, and again under the same key until its fate is known."""
-        await trio.sleep(self.draws.uniform(0.0, 8.0))
+        await trio.sleep(self.generator.uniform(0.0, 8.0))
         body = f"order {number}".encode()
-        wall_ms = self.cluster.clock.wall_ms() + self.draws.uniform(-900.0, 900.0)
-        key = mint_at(wall_ms, self.draws)
+        wall_ms = self.cluster.clock.wall_ms() + self.generator.uniform(-900.0, 900.0)
+        key = mint_at(wall_ms, self.generator)
         request = build_request(key, body=body, timeout_ms=1_000.0)
         for _ in range(4):
-            service = self.draws.choice(list(self.cluster.services.values()))
+            service = self.generator.choice(list(self.cluster.services.values()))
             answer = await service.handle_caller(request)
             self.check(request, answer)
             if answer.code.outcome is Outcome.EXECUTED:
                 self.executed += 1
                 return
-            await trio.sleep(self.draws.uniform(0.0, 0.5))
+            await trio.sleep(self.generator.uniform(0.0, 0.5))
 
     def check(self, request, answer):
         """Compare what a caller is told with what the executors ran."""
@@ -94,28 +94,28 @@
         executed = 0
         for seed in _SEEDS:
             with self.subTest(seed=seed):
-                draws = random.Random(seed)
+                generator = random.Random(seed)
                 service = ServiceSettings(timeout_ms=1_000.0)
                 cluster = Cluster(wall_offset_ms=250.0, service=service)
-                chaos = Chaos(cluster=cluster, draws=draws)
+                injector = FaultInjector(cluster=cluster, generator=generator)
 
-                async def scenario(cluster=cluster, chaos=chaos):
+                async def scenario(cluster=cluster, injector=injector):
                     async with trio.open_nursery() as nursery:
                         await cluster.start(nursery)
                         async with trio.open_nursery() as actors:
-                            actors.start_soon(chaos.break_things)
+                            actors.start_soon(injector.inject_faults)
                             for number in range(_CALLERS):
-                                actors.start_soon(chaos.call, number)
+                                actors.start_soon(injector.call, number)
                         await trio.sleep(35)
                         nursery.cancel_scope.cancel()
 
                 run_virtual(scenario)
-                runs = chaos.list_runs()
-                self.assertEqual(chaos.violations, [])
+                runs = injector.list_runs()
+                self.assertEqual(injector.violations, [])
                 self.assertEqual(len(runs), len(set(runs)))
                 for executor in cluster.executors.values():
                     self.assertLessEqual(executor.high_water, 8)
-                executed += chaos.executed
+                executed += injector.executed
         # Not an invariant: shows that enough was run for the others to mean something.
         self.assertGreater(executed, _CALLERS)
 
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -15,7 +15,7 @@
 from trefoilhook.results import ResultCode
 
 
-def run_in(cluster, scenario):
+def run_scenario(cluster, scenario):
     """Run ``scenario`` against a started cluster."""
 
     async def body():
@@ -45,7 +45,7 @@
                 async def scenario(cluster=cluster, is_busy=is_busy, counts=counts):
                     shard_id = cluster.find_executor_shard("exec-0")
                     name = cluster.owners[shard_id].instance_id
-                    before = cluster.inners[name].tells
+                    before = cluster.inners[name].messages_sent
                     end = trio.current_time() + 2
                     while trio.current_time() < end:
                         if is_busy:
@@ -54,9 +54,9 @@
                             await trio.sleep(0.04)
                         else:
                             await trio.sleep(0.1)
-                    counts.append(cluster.inners[name].tells - before)
+                    counts.append(cluster.inners[name].messages_sent - before)
 
-                run_in(cluster, scenario)
+                run_scenario(cluster, scenario)
                 self.assertGreaterEqual(counts[0], least)
                 self.assertLessEqual(counts[0], most)
 
@@ -70,13 +70,13 @@
             shard_id = cluster.find_executor_shard("exec-0")
             owner = cluster.owners[shard_id].instance_id
             peer = "i1" if owner == "i0" else "i0"
-            loads = cluster.services[peer]._parts.peer_loads
+            loads = cluster.services[peer]._components.peer_loads
             for _ in range(60):
                 await trio.sleep(0.05)
                 now_ms = cluster.clock.monotonic_ms()
                 found.append(loads.find("exec-0", owner_id=owner, now_ms=now_ms))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertNotIn(None, found)
 
 
@@ -102,7 +102,7 @@
             answer = await cluster.services[new].handle_inner(call)
             codes.append(answer.result_number)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(codes, [ResultCode.OK.number])
 
     def test_executor_that_was_never_looked_at_is_handed_over_as_free(self):
@@ -113,22 +113,24 @@
         for fault in ("none", "earlier owner", "seen before"):
             with self.subTest(fault):
                 cluster = Cluster(instance_count=2, executor_count=1)
-                handed = []
+                handed_over = []
 
-                async def scenario(cluster=cluster, fault=fault, handed=handed):
+                async def scenario(
+                    cluster=cluster, fault=fault, handed_over=handed_over
+                ):
                     shard_id = cluster.find_executor_shard("exec-0")
                     name = cluster.owners[shard_id].instance_id
                     service = cluster.services[name]
                     service.pool.remove("exec-0")
                     if fault != "seen before":
-                        service._upkeep._seen.clear()
+                        service._maintenance._added_ids.clear()
                     if fault == "earlier owner":
                         cluster.ownerships[name].since_wall_ms[shard_id] = 1.0
                     handover = service.export_handover(shard_id, 1)
-                    handed.append([each.executor_id for each in handover.in_use])
+                    handed_over.append([each.executor_id for each in handover.in_use])
 
-                run_in(cluster, scenario)
-                self.assertEqual(handed, [["exec-0"] if fault == "none" else []])
+                run_scenario(cluster, scenario)
+                self.assertEqual(handed_over, [["exec-0"] if fault == "none" else []])
 
 
 if __name__ == "__main__":
--- a/trefoilhook/requests/tests/test_path.py
+++ b/trefoilhook/requests/tests/test_path.py
@@ -10,7 +10,7 @@
 from trefoilhook.results import Outcome, ResultCode
 
 
-def run_in(cluster, scenario):
+def run_scenario(cluster, scenario):
     """Run ``scenario`` against a started cluster."""
 
     async def body():
@@ -34,7 +34,7 @@
                 self.assertEqual(answer.code, ResultCode.OK)
                 self.assertEqual(answer.body, b"whole two")
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 3)
 
     def test_same_key_through_other_entries_runs_once(self):
@@ -46,15 +46,15 @@
         async def scenario(nursery):
             request = build_request(cluster.mint())
 
-            async def press(service):
+            async def send(service):
                 answers.append(await service.handle_caller(request))
 
-            async with trio.open_nursery() as presses:
+            async with trio.open_nursery() as senders:
                 for service in cluster.services.values():
-                    presses.start_soon(press, service)
+                    senders.start_soon(send, service)
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual({each.body for each in answers}, {b"whole two"})
         self.assertEqual(answers[-1].code, ResultCode.REPLAYED)
@@ -70,7 +70,7 @@
             request = build_request(cluster.mint(owner="i1"))
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual(answers[0].body, b"whole two")
 
@@ -89,7 +89,7 @@
             cluster.move_shard(shard_id, new)
             answers.append(await cluster.services[new].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual(answers[0].code, ResultCode.OUTCOME_UNKNOWN)
 
@@ -108,7 +108,7 @@
             cluster.services[new].take_handover(handover)
             answers.append(await cluster.services[new].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual(answers[0].code, ResultCode.REPLAYED)
         self.assertEqual(answers[0].body, b"whole two")
@@ -135,7 +135,7 @@
             executor.stall_before_send.set()
             await trio.sleep(6)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 0)
         self.assertEqual(answers[0].code.outcome, Outcome.NOT_RUN)
 
@@ -159,7 +159,7 @@
                         service = cluster.services["i0"]
                         answers.append(await service.handle_caller(request))
 
-                run_in(cluster, scenario)
+                run_scenario(cluster, scenario)
                 if is_idempotent:
                     self.assertLessEqual(cluster.count_runs(), runs)
                     self.assertEqual(answers[0].code, ResultCode.OK)
@@ -187,7 +187,7 @@
                 answer = await cluster.services["i0"].handle_caller(request)
                 self.assertEqual(answer.code, code)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
 
     def test_key_minted_just_before_a_takeover(self):
         table = (
@@ -203,7 +203,7 @@
                 cluster.move_shard(cluster.find_key_shard(request.key), "i2")
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
-            run_in(cluster, scenario)
+            run_scenario(cluster, scenario)
             self.assertEqual(answers[0].code, code)
             self.assertEqual(cluster.count_runs(), 0)
 
@@ -221,7 +221,7 @@
                 service = cluster.services["i0"]
                 answers.append(await service.handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = [each.code for each in answers]
         self.assertEqual(codes[0], ResultCode.DEADLINE_AFTER_SEND)
         self.assertEqual(codes[2], ResultCode.OK)
@@ -247,7 +247,7 @@
                 for number in range(600):
                     callers.start_soon(ask, services[number % 3])
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = {each.code for each in answers}
         self.assertLessEqual(max(e.high_water for e in cluster.executors.values()), 8)
         self.assertIn(ResultCode.OK, codes)
@@ -271,7 +271,7 @@
         settings = RequestSettings(shard_count=8)
         cluster.settings = attrs.evolve(settings, quota_burst_s=0.1)
         for_all = 120 * 0.060 * 24 + 24
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         refused = [each for each in answers if each.code is ResultCode.QUOTA_EXCEEDED]
         self.assertTrue(refused)
         self.assertTrue(all(each.retry_after_ms > 0 for each in refused))
@@ -288,7 +288,7 @@
                     answer = await service.handle_caller(build_request(cluster.mint()))
                     self.assertEqual(answer.executor_id, "exec-1")
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(len(cluster.executors["exec-0"].runs), 0)
 
 
--- a/trefoilhook/requests/tests/test_policy.py
+++ b/trefoilhook/requests/tests/test_policy.py
@@ -7,11 +7,11 @@
 import attrs
 
 from trefoilhook.exceptions import RequestError
-from trefoilhook.requests.admission import LoadView
+from trefoilhook.requests.admission import ServiceLoad
 from trefoilhook.requests.buckets import TeamQuotas
 from trefoilhook.requests.dedup import KeyRecord, KeyState
 from trefoilhook.requests.handover import decode_keys, encode_handover
-from trefoilhook.requests.keyowner import HandedKeys
+from trefoilhook.requests.keyowner import KeyHandover
 from trefoilhook.requests.keys import (
     compute_digest,
     compute_key_shard,
@@ -34,7 +34,7 @@
 
 def build_candidate(name, **changes):
     """Build another owner's executor."""
-    fields = {"free": 0, "wait": 0.0, "is_near": False, **changes}
+    fields = {"free": 0, "queued_per_slot": 0.0, "is_same_domain": False, **changes}
     return Candidate(executor_id=name, owner_id="o", **fields)
 
 
@@ -42,26 +42,29 @@
     """Where a request goes."""
 
     def test_choice(self):
-        own_free = LoadView(free=1, usable=8, queued=0)
-        own_full = LoadView(free=0, usable=8, queued=5)
-        own_open = LoadView(free=0, usable=0, queued=0)
+        own_free = ServiceLoad(free=1, usable=8, queued=0)
+        own_full = ServiceLoad(free=0, usable=8, queued=5)
+        own_open = ServiceLoad(free=0, usable=0, queued=0)
         table = (
             (own_free, [build_candidate("a", free=8)], ""),
             (own_full, [build_candidate("a", free=1)], "a"),
             (None, [build_candidate("a", free=1), build_candidate("b", free=3)], "b"),
             (
                 None,
-                [build_candidate("a", free=1, is_near=True)]
+                [build_candidate("a", free=1, is_same_domain=True)]
                 + [build_candidate(name, free=8) for name in "bcd"],
                 "a",
             ),
-            (own_full, [build_candidate("a", wait=0.5)], "a"),
-            (own_full, [build_candidate("a", wait=0.7)], ""),
+            (own_full, [build_candidate("a", queued_per_slot=0.5)], "a"),
+            (own_full, [build_candidate("a", queued_per_slot=0.7)], ""),
             (own_full, [build_candidate("a", is_known=False)], ""),
-            (own_open, [build_candidate("a", wait=1.1)], "a"),
+            (own_open, [build_candidate("a", queued_per_slot=1.1)], "a"),
             (
                 None,
-                [build_candidate("a", is_known=False), build_candidate("b", wait=1.1)],
+                [
+                    build_candidate("a", is_known=False),
+                    build_candidate("b", queued_per_slot=1.1),
+                ],
                 "b",
             ),
             (None, [build_candidate("a", is_known=False)], "a"),
@@ -92,17 +95,17 @@
             queued=0,
             is_usable=True,
         )
-        loads.take({"e": load}, sender_id="a")
+        loads.replace({"e": load}, sender_id="a")
         self.assertIsNotNone(loads.find("e", owner_id="a", now_ms=1_000.0))
         self.assertIsNone(loads.find("e", owner_id="a", now_ms=1_001.0))
         self.assertIsNone(loads.find("e", owner_id="b", now_ms=0.0))
-        added_to = loads.note_sent("e")
+        added_to = loads.record_sent("e")
         self.assertEqual(loads.count_sent("e"), 1)
-        loads.note_ended("e", None)
+        loads.record_ended("e", None)
         self.assertEqual(loads.count_sent("e"), 1)
-        loads.note_ended("e", added_to)
+        loads.record_ended("e", added_to)
         self.assertEqual(loads.count_sent("e"), 0)
-        loads.take({}, sender_id="a")
+        loads.replace({}, sender_id="a")
         self.assertIsNone(loads.find("e", owner_id="a", now_ms=0.0))
         self.assertEqual(loads.count_sent("e"), 0)
 
@@ -133,7 +136,7 @@
         policy = RetryPolicy(ratio=0.1, reserve=10.0)
         retries = 0
         for _ in range(1_000):
-            policy.note_request("s")
+            policy.record_request("s")
             for _ in range(3):
                 retries += policy.may_retry(
                     "s", ResultCode.NO_EXECUTOR, is_idempotent=False
@@ -142,10 +145,10 @@
         self.assertGreaterEqual(retries, 100)
 
     def test_hedge_waits_for_the_learned_quantile(self):
-        policy = HedgePolicy(is_enabled=True, quantile=95.0)
+        policy = HedgePolicy(is_enabled=True, percentile=95.0)
         for number in range(100):
             self.assertEqual(policy.get_delay_ms("s", is_idempotent=True), math.inf)
-            policy.note("s", float(number))
+            policy.add_sample("s", float(number))
         delay_ms = policy.get_delay_ms("s", is_idempotent=True)
         self.assertTrue(93.0 <= delay_ms <= 96.0, delay_ms)
         self.assertEqual(policy.get_delay_ms("s", is_idempotent=False), math.inf)
@@ -243,9 +246,9 @@
                 answer=attrs.evolve(answer, body=b"x" * 2_100_000),
             ),
         ]
-        handed = HandedKeys(epoch=4, known_from_ms=7.0, records=tuple(records))
+        handover = KeyHandover(epoch=4, known_from_ms=7.0, records=tuple(records))
         message = encode_handover(
-            shard_id="req-000", epoch=4, handed=handed, in_use={"e": 3}
+            shard_id="req-000", epoch=4, handover=handover, in_use={"e": 3}
         )
         back = decode_keys(type(message).FromString(message.SerializeToString()))
         states = {each.minted_ms: each.state for each in back.records}
--- a/trefoilhook/requests/tests/test_slots.py
+++ b/trefoilhook/requests/tests/test_slots.py
@@ -5,7 +5,7 @@
 
 from trefoilhook.requests.circuit import Circuit, CircuitState
 from trefoilhook.requests.queueing import QueueRefusedError, ServiceQueue
-from trefoilhook.requests.slots import Ending, ExecutorSlots
+from trefoilhook.requests.slots import AttemptOutcome, ExecutorSlots
 from trefoilhook.results import ResultCode
 
 
@@ -26,7 +26,7 @@
     """Take every free slot; return how many there were."""
     count = 0
     while slots.count_free(now_ms):
-        slots.take(now_ms)
+        slots.acquire(now_ms)
         count += 1
     return count
 
@@ -38,35 +38,35 @@
         slots = build_slots()
         self.assertEqual(take_all(slots, 0.0), 8)
         with self.assertRaises(RuntimeError):
-            slots.take(0.0)
+            slots.acquire(0.0)
 
     def test_slot_comes_back_only_when_the_request_is_over(self):
         table = (
-            (Ending.ANSWERED, 8),
-            (Ending.FAILED, 8),
-            (Ending.NOT_SENT, 8),
-            (Ending.GIVEN_UP, 8),
-            (Ending.LOST, 7),
-            (Ending.CUT_OFF, 7),
+            (AttemptOutcome.ANSWERED, 8),
+            (AttemptOutcome.FAILED, 8),
+            (AttemptOutcome.NOT_SENT, 8),
+            (AttemptOutcome.WITHDRAWN, 8),
+            (AttemptOutcome.LOST, 7),
+            (AttemptOutcome.CANCELLED_AFTER_SEND, 7),
         )
-        for ending, free in table:
-            with self.subTest(ending=ending):
+        for outcome, free in table:
+            with self.subTest(outcome=outcome):
                 slots = build_slots()
-                slots.take(0.0)
-                slots.give_back(ending, now_ms=0.0)
+                slots.acquire(0.0)
+                slots.release(outcome, now_ms=0.0)
                 self.assertEqual(slots.count_free(0.0), free)
 
     def test_lost_request_is_released_by_the_executors_own_count(self):
         # A connection breaks while a request runs. Its slot stays taken while the
         # executor still counts it, also if others come and go, and is free after.
         slots = build_slots()
-        slots.take(0.0)
-        slots.take(0.0)
-        slots.give_back(Ending.LOST, now_ms=0.0)
+        slots.acquire(0.0)
+        slots.acquire(0.0)
+        slots.release(AttemptOutcome.LOST, now_ms=0.0)
         self.assertFalse(slots.needs_probe(300.0))
-        slots.give_back(Ending.ANSWERED, now_ms=300.0)
+        slots.release(AttemptOutcome.ANSWERED, now_ms=300.0)
         for in_use, unproved in ((1, 1), (0, 0)):
-            now_ms = slots._quiet_at_ms
+            now_ms = slots._pause_at_ms
             self.assertEqual(slots.count_free(now_ms), 0)
             self.assertTrue(slots.needs_probe(now_ms))
             probe = slots.begin_probe(now_ms)
@@ -78,8 +78,8 @@
         # An answer is lost at a cut; the executor is asked at once and runs nothing.
         # The request's bytes are still on their way and start it a moment later.
         slots = build_slots()
-        slots.take(0.0)
-        slots.give_back(Ending.LOST, now_ms=0.0)
+        slots.acquire(0.0)
+        slots.release(AttemptOutcome.LOST, now_ms=0.0)
         probe = slots.begin_probe(100.0)
         slots.end_probe(probe, in_use=0, now_ms=101.0)
         self.assertEqual(slots.unproved, 1)
@@ -88,13 +88,13 @@
         # While one request from here is on its way out, the executor's count of one
         # is the lost request's; taken for the new one, the slot would be given twice.
         slots = build_slots()
-        slots.take(0.0)
-        slots.give_back(Ending.LOST, now_ms=0.0)
-        slots.take(1.0)
+        slots.acquire(0.0)
+        slots.release(AttemptOutcome.LOST, now_ms=0.0)
+        slots.acquire(1.0)
         probe = slots.begin_probe(300.0)
         slots.end_probe(probe, in_use=0, now_ms=301.0)
         self.assertEqual(slots.unproved, 1)
-        slots.give_back(Ending.ANSWERED, now_ms=302.0)
+        slots.release(AttemptOutcome.ANSWERED, now_ms=302.0)
         probe = slots.begin_probe(302.0)
         slots._started += 1
         slots.end_probe(probe, in_use=0, now_ms=303.0)
@@ -104,7 +104,7 @@
         # An owner is frozen with five requests running and one checked but not sent.
         # The new owner learns of five, and keeps one back for the sixth.
         slots = build_slots(
-            is_taken_over=True, ask_from_ms=250.0, held_until_ms=60_000.0
+            is_count_unknown=True, probe_from_ms=250.0, reserved_until_ms=60_000.0
         )
         self.assertEqual(slots.count_free(0.0), 0)
         self.assertFalse(slots.needs_probe(100.0))
@@ -125,32 +125,32 @@
 
     def test_opens_tries_again_and_closes(self):
         circuit = build_circuit()
-        opened = [circuit.note_failure(now_ms=0.0) for _ in range(5)]
+        opened = [circuit.record_failure(now_ms=0.0) for _ in range(5)]
         self.assertEqual(opened, [False] * 4 + [True])
         self.assertEqual(circuit.get_limit(now_ms=999.0, slots=8), 0)
         self.assertEqual(circuit.get_limit(now_ms=1_000.0, slots=8), 1)
-        closed = [circuit.note_success() for _ in range(3)]
+        closed = [circuit.record_success() for _ in range(3)]
         self.assertEqual(closed, [False, False, True])
         self.assertEqual(circuit.get_limit(now_ms=1_001.0, slots=8), 8)
 
     def test_failed_probation_opens_longer_up_to_a_limit(self):
         circuit = build_circuit()
         for _ in range(5):
-            circuit.note_failure(now_ms=0.0)
+            circuit.record_failure(now_ms=0.0)
         waits, now_ms = [], 0.0
         for _ in range(4):
-            begun_ms = now_ms
+            started_ms = now_ms
             while not circuit.get_limit(now_ms=now_ms, slots=8):
                 now_ms += 500.0
-            waits.append(now_ms - begun_ms)
-            circuit.note_failure(now_ms=now_ms)
+            waits.append(now_ms - started_ms)
+            circuit.record_failure(now_ms=now_ms)
         self.assertEqual(waits, [1_000.0, 2_000.0, 4_000.0, 4_000.0])
 
     def test_success_between_failures_keeps_it_closed(self):
         circuit = build_circuit()
         for _ in range(20):
-            circuit.note_failure(now_ms=0.0)
-            circuit.note_success()
+            circuit.record_failure(now_ms=0.0)
+            circuit.record_success()
         self.assertIs(circuit.state, CircuitState.CLOSED)
 
     def test_bad_requests_of_one_caller_open_no_circuit(self):
@@ -158,7 +158,7 @@
         # the circuits, all other callers of the service would be refused.
         circuit = build_circuit()
         for _ in range(10):
-            circuit.note_failure(now_ms=0.0, is_alone=True)
+            circuit.record_failure(now_ms=0.0, is_service_wide=True)
         self.assertIs(circuit.state, CircuitState.CLOSED)
 
 
@@ -177,23 +177,23 @@
         for waiting, deadline_ms, limit, code in table:
             with self.subTest(waiting=waiting, deadline_ms=deadline_ms):
                 queue = ServiceQueue()
-                queue.run_time.note(100.0)
+                queue.run_time.add_sample(100.0)
                 fields = {"now_ms": 0.0, "slots": 4, "max_waiting": limit}
                 for _ in range(waiting):
-                    queue.enter(deadline_ms=math.inf, **fields)
+                    queue.enqueue(deadline_ms=math.inf, **fields)
                 if code is None:
-                    queue.enter(deadline_ms=deadline_ms, **fields)
+                    queue.enqueue(deadline_ms=deadline_ms, **fields)
                     continue
                 with self.assertRaises(QueueRefusedError) as caught:
-                    queue.enter(deadline_ms=deadline_ms, **fields)
+                    queue.enqueue(deadline_ms=deadline_ms, **fields)
                 self.assertIs(caught.exception.code, code)
                 self.assertGreater(caught.exception.retry_after_ms, 0)
 
     def test_expired_request_is_passed_over(self):
         queue = ServiceQueue()
         fields = {"now_ms": 0.0, "slots": 8, "max_waiting": 10}
-        expired = queue.enter(deadline_ms=50.0, **fields)
-        alive = queue.enter(deadline_ms=500.0, **fields)
+        expired = queue.enqueue(deadline_ms=50.0, **fields)
+        alive = queue.enqueue(deadline_ms=500.0, **fields)
         self.assertIs(queue.pop(100.0), alive)
         self.assertTrue(expired.woken.is_set())
 
--- a/trefoilhook/requests/tests/test_takeover.py
+++ b/trefoilhook/requests/tests/test_takeover.py
@@ -6,7 +6,7 @@
 import trio
 
 from trefoilhook.requests import Attempt, RequestSettings, ServiceSettings
-from trefoilhook.requests.slots import Ending
+from trefoilhook.requests.slots import AttemptOutcome
 from trefoilhook.requests.tests.fakes import (
     Cluster,
     build_request,
@@ -18,7 +18,7 @@
 _ONE_EXECUTOR = {"instance_count": 2, "executor_count": 1}
 
 
-def run_in(cluster, scenario):
+def run_scenario(cluster, scenario):
     """Run ``scenario`` against a started cluster."""
 
     async def body():
@@ -71,7 +71,7 @@
             self.send_many(cluster, nursery, 30, answers)
             await trio.sleep(9)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(executors["exec-0"].high_water, 8)
         codes = [each.code for each in answers]
         self.assertEqual(codes.count(ResultCode.OK), 38, codes)
@@ -97,7 +97,7 @@
             await trio.sleep(0.2)
             self.assertEqual(executors["exec-0"].running, 8)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
 
     def test_handover_frees_all_slots_at_once(self):
         cluster = Cluster(**_ONE_EXECUTOR)
@@ -115,7 +115,7 @@
             await trio.sleep(0.1)
             self.assertEqual(executors["exec-0"].running, 8)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
 
     def test_requests_that_wait_follow_the_executor(self):
         # Requests wait at an owner when its executor goes to another one. They go
@@ -131,7 +131,7 @@
             self.take_over(cluster)
             await trio.sleep(3)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.OK] * 10)
 
@@ -151,17 +151,17 @@
             cluster.move_shard(key_shard, second)
             await trio.sleep(1)
             executors["exec-0"].run_ms = 5_000.0
-            executors["exec-0"].ghosts = 3
+            executors["exec-0"].orphans = 3
             cluster.move_shard(key_shard, third)
             cluster.services[third].take_handover(handover)
             await trio.sleep(0.15)
             pool = cluster.services[third].pool
             slots = pool.get("exec-0").slots
-            self.assertTrue(slots.is_taken_over)
+            self.assertTrue(slots.is_count_unknown)
             await trio.sleep(0.3)
             self.assertEqual(slots.unproved, 3)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(answers, [])
 
 
@@ -177,11 +177,11 @@
             shard_id = cluster.find_key_shard(key)
             owner_i0 = cluster.services["i0"]._key_owner
             owner_i0._get_table(shard_id, 1)
-            handed = owner_i0.export(shard_id, 1)
-            handed = attrs.evolve(handed, known_from_ms=0.0)
+            handover = owner_i0.export_keys(shard_id, 1)
+            handover = attrs.evolve(handover, known_from_ms=0.0)
             for name, expected in (("i1", "direct"), ("i2", "late")):
                 cluster.move_shard(shard_id, name)
-                cluster.services[name]._key_owner.take_over(shard_id, handed)
+                cluster.services[name]._key_owner.import_keys(shard_id, handover)
                 fresh = cluster.mint()
                 while cluster.find_key_shard(fresh) != shard_id:
                     fresh = cluster.mint()
@@ -190,7 +190,7 @@
                 )
                 codes.append((expected, answer.code))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(
             codes,
             [("direct", ResultCode.OK), ("late", ResultCode.OUTCOME_UNKNOWN)],
@@ -208,7 +208,7 @@
             shard_id = cluster.find_key_shard(key)
             owner = cluster.services["i0"]._key_owner
             table = owner._get_table(shard_id, 1)
-            table.take_over(known_from_ms=0.0, records=[])
+            table.import_records(known_from_ms=0.0, records=[])
             for executor in cluster.executors.values():
                 executor.run_ms = 1.0
             request = build_request(key)
@@ -218,7 +218,7 @@
             cluster.move_shard(shard_id, "i0")
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.OK, ResultCode.OUTCOME_UNKNOWN])
 
@@ -235,13 +235,13 @@
             key = mint_at(cluster.clock.wall_ms() + 5_000.0)
 
             def freeze():
-                cluster.jump_ms = 10_000.0
+                cluster.wall_jump_ms = 10_000.0
 
             ownership.before_check = freeze
             answer = await cluster.services["i0"].handle_caller(build_request(key))
             codes.append(answer.code)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(codes, [ResultCode.KEY_AHEAD])
 
     def test_table_of_an_earlier_claim_is_not_used_for_a_later_one(self):
@@ -254,13 +254,13 @@
             shard_id = cluster.find_key_shard(key)
             owner = cluster.services["i0"]._key_owner
             table = owner._get_table(shard_id, 1)
-            table.take_over(known_from_ms=0.0, records=[])
+            table.import_records(known_from_ms=0.0, records=[])
             cluster.move_shard(shard_id, "i1")
             cluster.move_shard(shard_id, "i0")
             request = build_request(key)
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.OUTCOME_UNKNOWN)
 
     def test_handover_that_comes_before_the_claim_is_kept(self):
@@ -276,7 +276,7 @@
             cluster.move_shard(shard_id, "i1")
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.REPLAYED)
 
     def test_right_that_comes_back_keeps_the_keys(self):
@@ -297,7 +297,7 @@
             rights[shard_id] = epoch
             answers.append(await service.handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = [each.code for each in answers]
         self.assertEqual(
             codes, [ResultCode.OK, ResultCode.ATTEMPT_NOT_RUN, ResultCode.REPLAYED]
@@ -314,7 +314,7 @@
             cluster.inners["i0"].unreachable = {"i1"}
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.OK)
 
 
@@ -336,7 +336,7 @@
                 answer = await service.handle_caller(request)
             result.append((answer.code, trio.current_time() - begun))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         code, waited_s = result[0]
         self.assertIs(code, ResultCode.DEADLINE_AFTER_SEND)
         self.assertAlmostEqual(waited_s, 0.4, delta=0.001)
@@ -362,7 +362,7 @@
                 nursery.start_soon(ask, owner, 1_000.0)
             await trio.sleep(2)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.QUEUE_DEADLINE] * 2)
 
@@ -389,7 +389,7 @@
                     executor.stall_before_send.set()
                     await trio.sleep(1)
 
-                run_in(cluster, scenario)
+                run_scenario(cluster, scenario)
                 self.assertEqual(cluster.count_runs(), 0)
 
     def test_not_run_after_a_lost_answer_is_not_believed(self):
@@ -405,7 +405,7 @@
             request = build_request(cluster.mint(owner="i1"), attempt=Attempt.FIRST)
             answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertIs(answers[0].code.outcome, Outcome.UNKNOWN)
 
     def test_executor_that_refuses_connections_is_passed_over(self):
@@ -420,7 +420,7 @@
                 request = build_request(cluster.mint())
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual({each.code for each in answers}, {ResultCode.OK})
 
     def test_given_up_request_passes_its_slot_on(self):
@@ -441,11 +441,11 @@
             nursery.start_soon(wait)
             await trio.sleep(0.01)
             scope.cancel()
-            pool.release(grants[0], Ending.ANSWERED)
+            pool.release(grants[0], AttemptOutcome.ANSWERED)
             await trio.sleep(0.01)
             self.assertEqual(pool.get("exec-0").slots.in_progress, 7)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
 
     def test_drain_waits_for_what_is_in_progress(self):
         cluster = Cluster(instance_count=1)
@@ -465,7 +465,7 @@
             self.assertEqual(len(answers), 1)
             await ask()
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.OK)
         self.assertEqual(answers[1].code.outcome, Outcome.UNKNOWN)
 
@@ -489,7 +489,7 @@
             cluster.executors[first.target.executor_id].run_ms = 5_000.0
             await ask()
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertLess(waited[-1], 0.2)
 
 
