--- a/trefoilhook/requests/admission.py
+++ b/trefoilhook/requests/admission.py
@@ -1,4 +1,4 @@
-"""The executors owned here: their slots, their queues and their connections."""
+"""Slots, queues and connections of the executors owned by this instance."""
 
 from collections.abc import Callable, Sequence
 
@@ -27,16 +27,16 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceLoad:
-    """What one service's executors here can take.
+    """Load of the executors of one service that are owned by this instance.
 
     Parameters
     ----------
     free : int
-        Slots free now.
+        Number of free slots.
     usable : int
-        Slots that serve requests.
+        Number of slots that serve requests, free or in use.
     queued : int
-        Requests that wait.
+        Number of queued requests.
     """
 
     free: int
@@ -51,11 +51,11 @@
     Parameters
     ----------
     clock : Clock
-        Where time comes from.
+        Source of the current time.
     settings : RequestSettings
-        Bounds and times.
+        Limits and timeouts.
     failure_domain : str
-        Where this instance stands; executors there are preferred.
+        Failure domain of this instance; executors in it are preferred.
     open_link : callable
         Opens the connections to an executor.
     """
@@ -69,7 +69,7 @@
     _by_service: dict[str, list[OwnedExecutor]] = attrs.field(factory=dict, init=False)
 
     def get(self, executor_id: str) -> OwnedExecutor | None:
-        """Return an executor owned here."""
+        """Return an executor by its ID, or None if it is not owned here."""
         return self._executors.get(executor_id)
 
     def list_executors(self) -> tuple[OwnedExecutor, ...]:
@@ -77,11 +77,11 @@
         return tuple(self._executors.values())
 
     def count_waiting(self) -> int:
-        """Return how many requests wait for a slot here."""
+        """Return the number of requests queued on this instance."""
         return sum(len(queue) for queue in self._queues.values())
 
     def get_queue(self, service_name: str) -> ServiceQueue:
-        """Return the queue of a service."""
+        """Return the queue of a service, creating it on first use."""
         return self._queues.setdefault(service_name, ServiceQueue())
 
     def add(
@@ -93,20 +93,21 @@
         is_first_claim: bool,
         handed_over_in_use: int | None,
     ) -> None:
-        """Begin to count an executor's slots.
+        """Add an executor and start accounting for its slots.
 
         Parameters
         ----------
         target : ExecutorTarget
             The executor.
         shard_id : str
-            Shard that it belongs to.
+            Shard of the executor.
         epoch : int
-            Epoch of the claim.
+            Epoch under which this instance owns the shard.
         is_first_claim : bool
-            Whether the shard never had an owner before.
-        handed_in_use : int or None
-            Slots in use that the previous owner told of; None if it was not met.
+            Whether the shard had no owner before.
+        handed_over_in_use : int or None
+            Number of slots in use according to the previous owner's handover; None
+            without a handover.
         """
         now_ms = self.clock.monotonic_ms()
         settings = self.settings
@@ -124,9 +125,10 @@
         if handed_over_in_use is not None:
             slots.apply_handover(handed_over_in_use, now_ms=now_ms)
         elif not is_first_claim:
-            # Guards against the requests of an earlier owner that died or is frozen:
-            # without asking, their slots would be given away a second time. One more
-            # is kept back for the request that it may have checked but not yet sent.
+            # Requests of a previous owner that crashed or is suspended may still be
+            # running. The executor is probed first, so that their slots are not
+            # assigned twice. One more slot is reserved for a request that the previous
+            # owner may have checked but not sent yet.
             slots.is_count_unknown = True
             slots.probe_from_ms = now_ms + settings.settle_ms
             slots.reserved_until_ms = now_ms + settings.predecessor_hold_ms
@@ -140,7 +142,7 @@
         self._sort_by_service()
 
     def update(self, target: ExecutorTarget) -> None:
-        """Take in an executor's newest record."""
+        """Apply the latest record of an executor."""
         executor = self._executors[target.executor_id]
         has_moved = executor.target.service_name != target.service_name
         executor.target = target
@@ -150,20 +152,20 @@
         executor.slots.slots = target.slots
 
     def remove(self, executor_id: str) -> OwnedExecutor | None:
-        """Stop counting an executor's slots; requests in progress go on."""
+        """Remove an executor; its requests in progress run to completion."""
         executor = self._executors.pop(executor_id, None)
         if executor is None:
             return None
         self._sort_by_service()
         service_name = executor.target.service_name
         if not self._list_serving(service_name):
-            # Guards against requests that wait out their deadlines for executors
-            # which another instance owns by now.
+            # The executors now belong to another instance, so requests queued here
+            # would otherwise wait until their deadlines.
             self.get_queue(service_name).refuse_all(ResultCode.NO_OWNER)
         return executor
 
     def get_service_load(self, service_name: str) -> ServiceLoad:
-        """Return what a service's executors here can take."""
+        """Return the load of a service's executors on this instance."""
         now_ms = self.clock.monotonic_ms()
         slots = [each.slots for each in self._list_serving(service_name)]
         queue = self._queues.get(service_name)
@@ -181,25 +183,25 @@
         max_waiting: int,
         avoid: Sequence[str] = (),
     ) -> Grant:
-        """Wait for a slot of a service.
+        """Acquire a slot of a service, waiting for one if necessary.
 
         Parameters
         ----------
         service_name : str
-            The service.
+            Name of the service.
         deadline_ms : float
-            When it is too late to start, on the monotonic clock, in ms.
+            Latest start time on the monotonic clock, in ms.
         max_waiting : int
-            Most requests of the service that wait here.
+            Maximum number of queued requests of the service on this instance.
         avoid : sequence of str, optional
-            Executors to leave out while another has a free slot.
+            IDs of executors to use only if no other has a free slot.
 
         Raises
         ------
         QueueRefusedError
-            If the request can't start in time.
+            If the request cannot start in time.
         RequestError
-            If no executor of the service is owned here.
+            If this instance owns no usable executor of the service.
         """
         queue = self.get_queue(service_name)
         if not len(queue):
@@ -208,9 +210,15 @@
                 return self._grant(executor)
         load = self.get_service_load(service_name)
         if not self._list_serving(service_name):
-            raise RequestError("no executor is owned here", code=ResultCode.NO_OWNER)
+            raise RequestError(
+                "this instance owns no executor of the service",
+                code=ResultCode.NO_OWNER,
+            )
         if not load.usable:
-            raise RequestError("no executor is usable", code=ResultCode.NO_EXECUTOR)
+            raise RequestError(
+                "no executor of the service accepts requests",
+                code=ResultCode.NO_EXECUTOR,
+            )
         waiter = queue.enqueue(
             deadline_ms=deadline_ms,
             now_ms=self.clock.monotonic_ms(),
@@ -227,14 +235,14 @@
         if waiter.executor is None:
             queue.remove(waiter)
             raise QueueRefusedError(
-                "it waited in vain",
+                "no slot became free in time",
                 code=waiter.refusal,
                 retry_after_ms=queue.estimate_wait_ms(slots=load.usable),
             )
         return Grant(executor=waiter.executor, granted_at_ms=self.clock.monotonic_ms())
 
     def release(self, grant: Grant, outcome: AttemptOutcome) -> None:
-        """Give a slot back and let the next request that waits have it."""
+        """Release a slot and assign it to the next queued request."""
         now_ms = self.clock.monotonic_ms()
         executor = grant.executor
         executor.slots.release(outcome, now_ms=now_ms)
@@ -246,7 +254,7 @@
         self.serve_queue(service_name)
 
     def serve_queue(self, service_name: str) -> None:
-        """Give free slots to the requests that wait, the longest first."""
+        """Assign free slots to queued requests in first-in, first-out order."""
         queue = self.get_queue(service_name)
         while len(queue):
             executor = self._choose_free(service_name)
@@ -261,7 +269,7 @@
             waiter.woken.set()
 
     async def probe(self, executor: OwnedExecutor) -> None:
-        """Ask an executor what it runs, and take its answer in."""
+        """Query an executor's health and apply the number of requests it reports."""
         executor.is_probing = True
         probe = executor.slots.begin_probe(self.clock.monotonic_ms())
         try:
@@ -279,11 +287,11 @@
         self.serve_queue(executor.target.service_name)
 
     def owns_any(self, service_name: str) -> bool:
-        """Tell whether any executor of a service is owned here."""
+        """Return whether this instance owns any executor of a service."""
         return service_name in self._by_service
 
     def has_free(self, service_name: str) -> bool:
-        """Tell whether a service's executors here have a free slot now."""
+        """Return whether any executor of a service on this instance has a free slot."""
         now_ms = self.clock.monotonic_ms()
         executors = self._list_serving(service_name)
         return any(each.slots.count_free(now_ms) for each in executors)
@@ -318,7 +326,7 @@
         return Grant(executor=executor, granted_at_ms=now_ms)
 
     def _abandon(self, queue: ServiceQueue, waiter: Waiter) -> None:
-        """Take a cancelled request out, and pass on the slot it was given."""
+        """Remove a cancelled request and reassign the slot that it was granted."""
         queue.remove(waiter)
         executor = waiter.executor
         if executor is None:
@@ -328,7 +336,10 @@
         self.serve_queue(executor.target.service_name)
 
     def _is_service_wide(self, executor: OwnedExecutor, now_ms: float) -> bool:
-        """Tell whether no other executor of the service here succeeded lately."""
+        """Return whether no other executor of the service succeeded recently.
+
+        Only executors owned by this instance are considered.
+        """
         others = self._list_serving(executor.target.service_name)
         return not any(
             each is not executor and now_ms - each.succeeded_at_ms < _RECENT_SUCCESS_MS
--- a/trefoilhook/requests/circuit.py
+++ b/trefoilhook/requests/circuit.py
@@ -1,4 +1,4 @@
-"""Circuit breaker for an executor that fails everything."""
+"""Circuit breaker of an executor."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class CircuitState(enum.Enum):
-    """Whether requests pass."""
+    """State of a circuit breaker; ``PROBATION`` is also known as half-open."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -18,18 +18,19 @@
 
 @attrs.define(kw_only=True)
 class Circuit:
-    """Counts an executor's failures and keeps requests away from a failing one.
+    """Circuit breaker that stops requests to an executor after repeated failures.
 
     Parameters
     ----------
     failure_limit : int
-        Failures in a row that open the circuit.
+        Number of consecutive failures that open the circuit.
     open_ms : float
-        First time that it stays open, in ms; doubled at each failed probation.
+        Initial time that the circuit stays open, in ms; doubled after each failed
+        probation.
     open_limit_ms : float
-        Longest time that it stays open, in ms.
+        Maximum time that the circuit stays open, in ms.
     probation_successes : int
-        Successes in a row that close it.
+        Number of consecutive successes that close the circuit.
     """
 
     failure_limit: int
@@ -43,14 +44,14 @@
     _open_until_ms: float = attrs.field(default=0.0, init=False)
 
     def get_limit(self, *, now_ms: float, slots: int) -> int:
-        """Return how many requests may be in progress at once.
+        """Return the maximum number of concurrent requests.
 
         Parameters
         ----------
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         slots : int
-            What the executor takes when it is healthy.
+            Number of slots of the executor, the limit while the circuit is closed.
         """
         if self.state is CircuitState.CLOSED:
             return slots
@@ -62,7 +63,7 @@
         return 1
 
     def record_success(self) -> bool:
-        """Count a success; True if it closed the circuit."""
+        """Record a success; return whether it closed the circuit."""
         self._failures = 0
         if self.state is not CircuitState.PROBATION:
             return False
@@ -74,21 +75,21 @@
         return True
 
     def record_failure(self, *, now_ms: float, is_service_wide: bool = False) -> bool:
-        """Count a failure; True if it opened the circuit.
+        """Record a failure; return whether it opened the circuit.
 
         Parameters
         ----------
         now_ms : float
-            Time now.
-        is_alone : bool, optional
-            Whether no other executor of the service succeeded lately.
+            Current monotonic time, in ms.
+        is_service_wide : bool, optional
+            Whether no other executor of the service succeeded recently.
         """
         self._failures += 1
         if self.state is CircuitState.OPEN:
             return False
-        # Guards against one caller whose requests always fail: it would open the
-        # circuit of every executor, and so refuse all other callers. Where no other
-        # executor does better, the requests are more likely at fault.
+        # A caller whose requests always fail must not open the circuits of all
+        # executors and thereby block other callers. If no other executor succeeds
+        # either, the requests are the more likely cause and the limit is raised.
         limit = self.failure_limit * (
             _SERVICE_WIDE_LIMIT_FACTOR if is_service_wide else 1
         )
--- a/trefoilhook/requests/core.py
+++ b/trefoilhook/requests/core.py
@@ -1,7 +1,8 @@
-"""Serving of requests: one object an instance, in all three roles.
+"""Request service of an instance, in all three roles.
 
-As *entry* it takes a caller's request in. As *key owner* it remembers the key and
-chooses an executor. As *executor owner* it counts slots and sends.
+As the *entry*, an instance accepts requests from callers. As the *key owner*, it stores
+the state of idempotency keys and selects an executor. As the *executor owner*, it
+accounts for an executor's slots and sends requests to it.
 """
 
 import random
@@ -74,7 +75,7 @@
 
 
 def open_executor(target: ExecutorTarget) -> ExecutorLink:
-    """Open the connections to an executor over HTTP."""
+    """Open HTTP connections to an executor."""
     return ExecutorClient(
         executor_id=target.executor_id, host=target.host, port=target.port
     )
@@ -86,29 +87,29 @@
     Parameters
     ----------
     instance_id : str
-        This instance.
+        ID of this instance.
     failure_domain : str
-        Where it stands.
+        Failure domain of this instance.
     clock : Clock
-        Where time comes from.
+        Source of the current time.
     settings : RequestSettings
-        Bounds and times.
+        Limits and timeouts.
     ownership : OwnershipView
         Shards and their owners.
     inner : InnerLink
         Calls to other instances.
     teams : TeamView
-        What the configuration says.
+        Configuration of the teams.
     list_executors : callable
-        The instance list as known here.
+        Returns the executors in the instance list.
     list_peers : callable
-        The other instances.
+        Returns the IDs of the other instances.
     open_link : callable, optional
         Opens the connections to an executor.
     generator : random.Random, optional
-        Source of draws.
+        Random number generator.
     observe : callable, optional
-        Told of each caller's request, its answer and the time that it took, in ms.
+        Called with each caller's request, its answer and the duration in ms.
     """
 
     def __init__(
@@ -168,12 +169,12 @@
 
     @property
     def busy(self) -> int:
-        """Number of requests in progress here, in any role."""
+        """Number of requests that this instance has in progress, in any role."""
         return self._busy
 
     @property
     def pool(self) -> ExecutorPool:
-        """Executors owned here."""
+        """Executors owned by this instance."""
         return self._components.pool
 
     async def run(
@@ -188,15 +189,15 @@
             task_status.started()
 
     async def drain(self, *, grace_ms: float) -> None:
-        """Wait for what is in progress, then take nothing new as entry.
+        """Wait for the requests in progress, then refuse new requests from callers.
 
-        Requests that come meanwhile are still served: refusing them would cut off
-        callers whose connection the balancer has not moved yet.
+        Requests that arrive while waiting are still served, because the load balancer
+        may not have moved all callers to other instances yet.
 
         Parameters
         ----------
         grace_ms : float
-            Longest wait, in ms.
+            Maximum time to wait, in ms.
         """
         with trio.move_on_after(grace_ms / _MS_PER_S):
             while self._busy:
@@ -205,12 +206,12 @@
         self._is_closed = True
 
     async def handle_caller(self, request: CallerRequest) -> CallerAnswer:
-        """Answer a caller's request; the role of the entry.
+        """Answer a caller's request, in the entry role.
 
         Parameters
         ----------
         request : CallerRequest
-            What the caller sent, its token already checked.
+            The request; its token must have been checked.
         """
         components = self._components
         settings = components.teams.find_service(request.team, request.service)
@@ -239,21 +240,22 @@
         return answer
 
     async def handle_inner(self, call: InnerCall) -> ServiceAnswer:
-        """Answer a request that another instance sends; both owner roles."""
+        """Answer a request from another instance, in either owner role."""
         request: ServiceRequest = call.message
         with self._count():
             answer = await self._serve_safely(request, timeout_ms=call.timeout_ms)
         return encode_answer(answer)
 
     async def handle_loads(self, call: InnerCall) -> Empty:
-        """Take in a peer's summary of its executors."""
+        """Store a peer's load summary of its executors."""
         self._maintenance.receive_load_summary(call.sender_id, call.message)
         return Empty()
 
     def export_handover(self, shard_id: str, epoch: int) -> ShardHandover:
-        """Build what the next owner of a shard must know.
+        """Build the handover message for the next owner of a shard.
 
-        To be called in the step in which this instance stops acting for the shard.
+        Must be called, without awaiting in between, as soon as this instance stops
+        acting for the shard.
         """
         in_use = dict.fromkeys(self._maintenance.list_never_used(shard_id), 0)
         in_use |= {
@@ -269,7 +271,7 @@
         )
 
     def take_handover(self, message: ShardHandover) -> None:
-        """Take in what the previous owner of a shard told."""
+        """Apply the handover message of a shard's previous owner."""
         self._key_owner.import_keys(message.shard_id, decode_keys(message))
         in_use = {each.executor_id: each.in_use for each in message.in_use}
         self._maintenance.apply_handover(
@@ -277,24 +279,27 @@
         )
 
     def follow_ownership(self) -> None:
-        """Take executors up and let them go as the shards have just moved.
+        """Add and remove executors after a change of shard ownership.
 
-        The regular look comes too late: other instances route by the table of shards
-        from the moment it changes, and would be told that nobody owns the executor.
+        Waiting for the next periodic update would be too late. Other instances route by
+        the new shard table at once and would be told that the executor has no owner.
         """
         self._maintenance.sync()
 
     def note_predecessor_gone(self, shard_id: str) -> None:
-        """Take in that the earlier owner of a shard is proved dead."""
+        """Handle the confirmed termination of a shard's previous owner."""
         self._maintenance.release_reserved_slots(shard_id)
 
     async def _serve_own(
         self, request: ServiceRequest, timeout_ms: float
     ) -> CallerAnswer:
-        """Serve this entry's request; its run goes on if the entry's wait is cut."""
+        """Serve a request whose entry and key owner are both this instance.
+
+        The request keeps running if the entry stops waiting for it.
+        """
         try:
             return await self._serve_safely(request, timeout_ms=timeout_ms)
-        except Exception as error:  # answered as a peer's fault would be
+        except Exception as error:  # the same answer as from a failing remote owner
             log_event(Event.TASK_FAILED, task="own key", error=repr(error))
             return self._components.refuse(ResultCode.INTERNAL, "the handler failed")
 
@@ -319,8 +324,8 @@
         wait_ms = timeout_ms
         if request.executor_id:
             wait_ms -= components.settings.late_answer_ms
-        # Whoever waits for this answer gives up at its own deadline; a truthful "not
-        # run" that comes a moment later would be told as "unknown".
+        # The sender stops waiting at its own deadline. A "not run" answer that arrives
+        # after it would be reported to the caller as "unknown".
         wait_ms -= min(
             components.settings.answer_margin_ms, _MAX_MARGIN_FRACTION * wait_ms
         )
@@ -333,7 +338,7 @@
         return await self._run_detached(pending)
 
     async def _run_detached(self, pending: PendingRequest) -> CallerAnswer:
-        """Run a request to its end, also if whoever sent it goes away."""
+        """Run a request to completion, even if its sender stops waiting."""
         answers: list[CallerAnswer] = []
         done = trio.Event()
 
@@ -372,14 +377,17 @@
     def _may_run_without_owner(
         self, pending: PendingRequest, answer: CallerAnswer
     ) -> bool:
-        """Tell whether an idempotent request goes on without its key's owner."""
+        """Return whether a request may run without its key's owner.
+
+        Only idempotent requests may.
+        """
         if not pending.is_idempotent or answer.code not in _RUN_WITHOUT_OWNER_CODES:
             return False
         return self._components.clock.monotonic_ms() < pending.deadline_ms
 
     def _start(self, function: Callable[..., Awaitable[None]], *args: object) -> None:
         if self._background is None:
-            raise RuntimeError("the service does not run")
+            raise RuntimeError("the request service is not running")
         self._background.start_soon(self._run_counted, function, args)
 
     async def _run_counted(
@@ -388,7 +396,7 @@
         with self._count():
             try:
                 await function(*args)
-            except Exception as error:  # one request's fault must not end the others
+            except Exception as error:  # one failed request must not stop the others
                 log_event(Event.TASK_FAILED, task=function.__name__, error=repr(error))
 
     def _count(self) -> "_Counted":
@@ -405,7 +413,7 @@
 
 @attrs.frozen(kw_only=True)
 class _Counted:
-    """Counts what is in progress while it is entered."""
+    """Context manager that counts a request as in progress."""
 
     enter: Callable[[], None]
     leave: Callable[[], None]
--- a/trefoilhook/requests/dispatch.py
+++ b/trefoilhook/requests/dispatch.py
@@ -1,4 +1,4 @@
-"""The role of an executor's owner: wait for a slot, send, give the slot back."""
+"""Executor owner role: acquire a slot, send the request and release the slot."""
 
 from collections.abc import Callable
 
@@ -22,7 +22,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _SendAttempt:
-    """One request's way to one executor."""
+    """One attempt to send a request to an executor."""
 
     components: Components
     pending: PendingRequest
@@ -32,11 +32,13 @@
     is_sent: bool = False
 
     def may_send(self) -> bool:
-        """Tell whether the request may still leave, in the step in which it would.
+        """Return whether the request may still be sent.
 
-        Guards against an owner that was frozen, or waited for a connection, since it
-        was given the slot: by now another may count the executor's slots, the
-        executor may be leaving, or the caller may have been told "not run".
+        Called immediately before the first byte is sent, with no await in
+        between. Since the slot was granted, the process may have been suspended or have
+        waited for a connection. In the meantime another instance may have become the
+        executor's owner, the executor may be leaving, or the caller may have been told
+        that the request was not run.
         """
         executor = self.grant.executor
         components = self.components
@@ -53,17 +55,17 @@
 async def run_locally(
     components: Components, pending: PendingRequest, *, mark_sent: MarkSent
 ) -> CallerAnswer:
-    """Run a request on an executor owned here.
+    """Run a request on an executor owned by this instance.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
-    work : Work
+    components : Components
+        Components shared by all roles.
+    pending : PendingRequest
         The request.
     mark_sent : callable
-        Told True in the step in which a byte may leave, False once it is proved that
-        none did.
+        Called with True immediately before the first byte may be sent, and with False
+        once it is certain that no byte was sent.
     """
     tried: list[str] = []
     while True:
--- a/trefoilhook/requests/queueing.py
+++ b/trefoilhook/requests/queueing.py
@@ -1,4 +1,4 @@
-"""The bounded queue of requests that wait for a slot of one service."""
+"""Bounded queue of requests that wait for a slot of one service."""
 
 from collections import deque
 
@@ -17,16 +17,16 @@
 
 
 class QueueRefusedError(RequestError):
-    """A request can't start before its deadline.
+    """Raised when a request cannot start before its deadline.
 
     Parameters
     ----------
     message : str
-        What happened, for people.
+        Human-readable reason.
     code : ResultCode
-        Code of the answer.
+        Result code of the answer.
     retry_after_ms : float
-        When to come back, in ms.
+        Time after which the caller may retry, in ms.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
 
 @attrs.define(kw_only=True)
 class RunTime:
-    """Moving mean of how long a service's requests run."""
+    """Exponential moving average of the run time of a service's requests."""
 
     mean_ms: float = _INITIAL_MEAN_MS
     _has_sample: bool = attrs.field(default=False, init=False)
 
     def add_sample(self, run_ms: float) -> None:
-        """Take in one run's time, in ms."""
+        """Add the run time of one request, in ms."""
         weight = _MEAN_WEIGHT if self._has_sample else 1.0
         self.mean_ms += weight * (run_ms - self.mean_ms)
         self._has_sample = True
@@ -52,18 +52,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Waiter:
-    """A request that waits for a slot.
+    """A queued request.
 
     Parameters
     ----------
     deadline_ms : float
-        When it is too late to start, on the monotonic clock, in ms.
+        Latest start time on the monotonic clock, in ms.
     executor : OwnedExecutor or None
-        The executor whose slot it was given; None until then.
+        Executor whose slot was granted; None until then.
     refusal : ResultCode
-        Code of the answer if it is woken without a slot.
+        Result code if the request is woken without a slot.
     woken : trio.Event
-        Set when it was given a slot, or never will be.
+        Set when a slot is granted or the request is refused.
     """
 
     deadline_ms: float
@@ -74,12 +74,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ServiceQueue:
-    """Requests in the order in which they came, each with its deadline.
+    """First-in, first-out queue of requests with deadlines.
 
     Parameters
     ----------
     run_time : RunTime
-        How long the service's requests run.
+        Average run time of the service's requests.
     """
 
     run_time: RunTime = attrs.field(factory=RunTime)
@@ -89,48 +89,48 @@
         return len(self._waiters)
 
     def estimate_wait_ms(self, *, slots: int) -> float:
-        """Return how long a request that came now would wait, in ms.
+        """Estimate the waiting time of a newly queued request, in ms.
 
         Parameters
         ----------
         slots : int
-            Slots that serve the queue.
+            Number of slots that serve the queue.
         """
         return (len(self._waiters) + 1) * self.run_time.mean_ms / max(1, slots)
 
     def enqueue(
         self, *, deadline_ms: float, now_ms: float, slots: int, max_waiting: int
     ) -> Waiter:
-        """Put a request in the queue.
+        """Append a request to the queue.
 
         Parameters
         ----------
         deadline_ms : float
-            When it is too late to start, in ms.
+            Latest start time on the monotonic clock, in ms.
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         slots : int
-            Slots that serve the queue.
+            Number of slots that serve the queue.
         max_waiting : int
-            Most requests that wait.
+            Maximum length of the queue.
 
         Raises
         ------
         QueueRefusedError
-            If the queue is full, or the request could not start in time.
+            If the queue is full or the request could not start in time.
         """
         wait_ms = self.estimate_wait_ms(slots=slots)
         if len(self._waiters) >= max_waiting:
             raise QueueRefusedError(
-                "the queue is full",
+                "the queue of the service is full",
                 code=ResultCode.OVERLOADED,
                 retry_after_ms=wait_ms,
             )
-        # Guards against a queue full of requests that nobody waits for any more: each
-        # would hold its caller back until the deadline and then be refused.
+        # Refuses at once what cannot start in time. Otherwise the queue would fill with
+        # requests whose callers wait until the deadline only to be refused.
         if now_ms + wait_ms > deadline_ms:
             raise QueueRefusedError(
-                "it could not start before its deadline",
+                "the request could not start before its deadline",
                 code=ResultCode.OVERLOADED,
                 retry_after_ms=now_ms + wait_ms - deadline_ms,
             )
@@ -139,19 +139,19 @@
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Take a request out that no longer waits."""
+        """Remove a request from the queue, if it is still queued."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
     def refuse_all(self, code: ResultCode) -> None:
-        """Wake every request that waits, without a slot."""
+        """Refuse all queued requests with the given result code."""
         while self._waiters:
             waiter = self._waiters.popleft()
             waiter.refusal = code
             waiter.woken.set()
 
     def pop(self, now_ms: float) -> Waiter | None:
-        """Return the next request that can still start in time."""
+        """Remove and return the next request whose deadline has not passed."""
         while self._waiters:
             waiter = self._waiters.popleft()
             if waiter.deadline_ms > now_ms:
--- a/trefoilhook/requests/retry.py
+++ b/trefoilhook/requests/retry.py
@@ -1,4 +1,4 @@
-"""When a request is tried again, and when a slow one is sent twice."""
+"""Policies for retrying failed requests and hedging slow ones."""
 
 import math
 
@@ -24,25 +24,26 @@
         ResultCode.SHUTTING_DOWN,
     }
 )
-# An owner that has just handed its executors over; retries of these add no load.
+# The executor's owner has changed. Such a request has not reached an executor, so
+# retrying it adds no load and is not charged to the retry budget.
 OWNER_MOVED_CODES = frozenset({ResultCode.NO_OWNER, ResultCode.SHUTTING_DOWN})
 
 
 def may_succeed_elsewhere(code: ResultCode) -> bool:
-    """Tell whether another owner might run what this one refused."""
+    """Return whether a refused request may succeed at another owner."""
     return code in _RETRY_ELSEWHERE_CODES
 
 
 @attrs.define(kw_only=True, eq=False)
 class RetryPolicy:
-    """Decides about another attempt at an executor, one budget a service.
+    """Decides on retries, with one retry budget per service.
 
     Parameters
     ----------
     ratio : float
-        Retries for each request.
+        Retries allowed per request.
     reserve : float
-        Most retries saved up.
+        Maximum number of retries that can accumulate.
     """
 
     ratio: float
@@ -50,28 +51,27 @@
     _budgets: dict[str, RetryBudget] = attrs.field(factory=dict, init=False)
 
     def record_request(self, service_name: str) -> None:
-        """Count a first attempt."""
+        """Record the first attempt of a request."""
         self._get(service_name).record_request()
 
     def may_retry(
         self, service_name: str, code: ResultCode, *, is_idempotent: bool
     ) -> bool:
-        """Tell whether a request may be tried again, and charge the budget.
+        """Return whether a request may be retried, and charge the budget if so.
 
         Parameters
         ----------
         service_name : str
-            The service.
+            Name of the service.
         code : ResultCode
-            How the attempt ended.
+            Result code of the last attempt.
         is_idempotent : bool
             Whether the request may run more than once.
         """
         outcome = code.outcome
         if outcome is Outcome.EXECUTED:
             return False
-        # Guards against selling a seat twice: what may have been run is only tried
-        # again where running twice does no harm.
+        # A request that may have run is only retried if it is idempotent.
         if outcome is Outcome.UNKNOWN and not is_idempotent:
             return False
         if outcome is Outcome.NOT_RUN and not may_succeed_elsewhere(code):
@@ -90,14 +90,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class HedgePolicy:
-    """Learns after what time a request of a service counts as slow.
+    """Determines the delay after which a slow request of a service is hedged.
 
     Parameters
     ----------
     is_enabled : bool
-        Whether slow requests are sent twice at all.
-    quantile : float
-        Percentile of the run time that counts as slow.
+        Whether hedging is enabled.
+    percentile : float
+        Percentile of the run times beyond which a request counts as slow.
     """
 
     is_enabled: bool
@@ -105,7 +105,7 @@
     _histograms: dict[str, HdrHistogram] = attrs.field(factory=dict, init=False)
 
     def add_sample(self, service_name: str, run_ms: float) -> None:
-        """Take in one run's time, in ms."""
+        """Add the run time of one request, in ms."""
         if not self.is_enabled:
             return
         histogram = self._histograms.get(service_name)
@@ -115,7 +115,7 @@
         histogram.record_value(max(_MIN_RUN_US, int(run_ms * _US_PER_MS)))
 
     def get_delay_ms(self, service_name: str, *, is_idempotent: bool) -> float:
-        """Return after what time a second copy is sent, in ms; infinite for never."""
+        """Return the delay before a second copy is sent, in ms; infinite for never."""
         if not self.is_enabled or not is_idempotent:
             return math.inf
         histogram = self._histograms.get(service_name)
--- a/trefoilhook/requests/routing.py
+++ b/trefoilhook/requests/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the executor, and of the owner that a request is handed to."""
+"""Selection of the executor, and thus of the owner, for a request."""
 
 import random
 from collections.abc import Sequence
@@ -12,22 +12,22 @@
 
 @attrs.frozen(kw_only=True)
 class ReportedLoad:
-    """What an owner last told of one of its executors.
+    """Load of an executor as last reported by its owner.
 
     Parameters
     ----------
     sender_id : str
-        The instance that told.
+        Instance that sent the report.
     received_ms : float
-        When, on the own monotonic clock, in ms.
+        Time of receipt on the local monotonic clock, in ms.
     slots : int
-        Slots of the executor.
+        Number of slots of the executor.
     in_use : int
-        Slots in use.
+        Number of slots in use.
     queued : int
-        The executor's share of the requests that wait at that owner.
+        The executor's share of the requests queued at the owner.
     is_usable : bool
-        Whether the owner would send to the executor.
+        Whether the owner would send requests to the executor.
     """
 
     sender_id: str
@@ -40,22 +40,22 @@
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """An executor of another owner.
+    """An executor owned by another instance.
 
     Parameters
     ----------
     executor_id : str
-        The executor.
+        ID of the executor.
     owner_id : str
         Instance that owns it.
     free : int
-        Slots that are free as far as known here.
-    wait : float
-        Requests that wait for each of its slots as far as known here.
-    is_near : bool
-        Whether it stands in this instance's failure domain.
+        Estimated number of free slots.
+    queued_per_slot : float
+        Estimated number of queued requests per slot.
+    is_same_domain : bool
+        Whether it is in the failure domain of this instance.
     is_known : bool
-        Whether its owner told of it lately, and would send to it.
+        Whether its owner recently reported it as usable.
     """
 
     executor_id: str
@@ -68,14 +68,14 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Where a request goes.
+    """Destination of a request.
 
     Parameters
     ----------
     owner_id : str
-        Instance whose executor runs it; empty for this one.
+        Instance that owns the executor; empty for this instance.
     executor_id : str
-        The executor that was chosen; empty when the owner is this instance.
+        ID of the selected executor; empty if this instance is the owner.
     """
 
     owner_id: str = ""
@@ -84,17 +84,17 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PeerLoads:
-    """The newest summaries of other owners' executors.
+    """Latest load summaries of the executors owned by other instances.
 
     Parameters
     ----------
     max_age_ms : float
-        Age from which a summary is not used, in ms.
+        Age beyond which a summary is ignored, in ms.
 
     Notes
     -----
-    Requests sent from here are added to the summary that was current when they left,
-    so that many requests within one interval don't all choose the same executor.
+    Requests sent by this instance are added to the summary that was current when they
+    were sent, so that requests within one interval do not all select the same executor.
     """
 
     max_age_ms: float
@@ -102,7 +102,7 @@
     _sent: dict[str, int] = attrs.field(factory=dict, init=False)
 
     def replace(self, loads: dict[str, ReportedLoad], *, sender_id: str) -> None:
-        """Replace what a peer told before."""
+        """Replace the previous summary of a peer."""
         for executor_id, load in list(self._loads.items()):
             if load.sender_id == sender_id:
                 del self._loads[executor_id]
@@ -112,7 +112,7 @@
     def find(
         self, executor_id: str, *, owner_id: str, now_ms: float
     ) -> ReportedLoad | None:
-        """Return what the owner told of an executor, if that is new enough."""
+        """Return the load that the owner of an executor reported, unless outdated."""
         load = self._loads.get(executor_id)
         if load is None or load.sender_id != owner_id:
             return None
@@ -121,19 +121,19 @@
         return load
 
     def count_sent(self, executor_id: str) -> int:
-        """Return the requests sent from here since the newest summary."""
+        """Return the number of requests sent since the latest summary."""
         return self._sent.get(executor_id, 0)
 
     def record_sent(self, executor_id: str) -> ReportedLoad | None:
-        """Count a request sent from here; return the summary it was added to."""
+        """Count a sent request and return the load report that it was added to."""
         self._sent[executor_id] = self.count_sent(executor_id) + 1
         return self._loads.get(executor_id)
 
     def record_ended(self, executor_id: str, load: ReportedLoad | None) -> None:
-        """Take a request off the summary that it was added to.
+        """Remove a finished request from the load report that it was added to.
 
-        Guards against an idle executor that looks full: while its load does not
-        change, its owner sends nothing, and short requests would pile up here.
+        Owners send no new summary while nothing changes. Without this correction,
+        short requests would accumulate and make an idle executor appear full.
         """
         if self._loads.get(executor_id) is load and self.count_sent(executor_id):
             self._sent[executor_id] -= 1
@@ -153,27 +153,28 @@
     candidates: Sequence[Candidate],
     generator: random.Random,
 ) -> Route | None:
-    """Choose where a request goes.
+    """Select the destination of a request.
 
-    Own executors with a free slot go first, for they cost no hop. Then the freer of
-    two others drawn at random, from the own failure domain while one there has a free
-    slot. With no slot free anywhere, the shortest of the queues seen, each measured
-    by its slots: owners have unequal numbers of executors. An executor of which
-    nothing is known comes last.
+    Executors of this instance with a free slot are preferred, as they need no network
+    hop. Next comes the one with more free slots of two random candidates, from the
+    same failure domain if one there has a free slot. If no slot is free, the shortest
+    of the sampled queues is selected. Queue lengths are compared per slot, because
+    owners have different numbers of executors. Executors without a current load report
+    are used last.
 
     Parameters
     ----------
-    own : LoadView or None
-        What the own executors can take; None to leave them out.
+    own : ServiceLoad or None
+        Load of the executors of this instance; None to exclude them.
     candidates : sequence of Candidate
-        Other owners' executors.
+        Executors owned by other instances.
     generator : random.Random
-        Source of the draws.
+        Random number generator used for sampling.
 
     Returns
     -------
     Route or None
-        None when there is no executor.
+        The destination; None if there is no executor.
 
     References
     ----------
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -1,4 +1,4 @@
-"""Exact count of one executor's slots at its owner."""
+"""Slot accounting of one executor at its owner."""
 
 import enum
 import math
@@ -14,7 +14,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How a request to an executor ended."""
+    """Outcome of one attempt to run a request on an executor."""
 
     ANSWERED = "answered"
     FAILED = "answered with a failure"
@@ -26,16 +26,17 @@
 
 @attrs.frozen(kw_only=True)
 class Probe:
-    """A look at an executor's health that has begun.
+    """State of the slots at the start of a health probe.
 
     Parameters
     ----------
-    is_quiet : bool
-        Whether nothing was in progress from here when it began.
+    is_idle : bool
+        Whether this instance had no request in progress on the executor.
     started : int
-        Number of requests started from here until then.
-    eligible : int
-        Lost requests that no byte can arrive of any more.
+        Number of requests that this instance had started so far.
+    releasable : int
+        Number of unproved slots that the probe may release: those of requests whose
+        bytes can no longer arrive at the executor.
     """
 
     is_idle: bool
@@ -45,33 +46,36 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ExecutorSlots:
-    """Who holds an executor's slots, as its owner knows it.
+    """Slots of an executor that are in use, as known to its owner.
 
     Parameters
     ----------
     slots : int
-        Most requests that the executor may run at once.
+        Maximum number of concurrent requests on the executor.
     circuit : Circuit
-        Its circuit breaker.
+        Circuit breaker of the executor.
     settle_ms : float
         Time after a lost request in which its bytes may still arrive, in ms.
-    is_taken_over : bool
-        Whether an earlier owner may have requests in progress that were not handed
-        over: nothing is sent before the executor has said what it runs.
-    ask_from_ms : float
-        From when on the executor's count shows all that an earlier owner sent.
-    held_until_ms : float
-        Until when one slot is kept back for an earlier owner that was not met.
+    is_count_unknown : bool
+        Whether a previous owner may have an unknown number of requests in progress.
+        No request is sent until the executor has reported its count.
+    probe_from_ms : float
+        Monotonic time from which the executor's count includes everything that a
+        previous owner sent, in ms.
+    reserved_until_ms : float
+        Monotonic time until which one slot is reserved for a previous owner that made
+        no handover, in ms.
     is_leaving : bool
-        Whether the executor must get nothing new.
+        Whether the executor must not receive new requests.
 
     Notes
     -----
-    A slot is in use by a request in progress from here, by one whose answer was lost
-    (it may still run), or by an earlier owner's. The last two are *unproved*: the
-    executor's own count can release them only while nothing is in progress from here,
-    because it doesn't say whose requests it counts. An executor with unproved slots
-    therefore gets nothing new from time to time, until it is quiet and was asked.
+    A slot is in use by a request that this instance has in progress, by one whose
+    answer was lost and that may still run, or by a request of a previous owner. The
+    last two kinds are *unproved*. The executor reports only a total, so its count can
+    release unproved slots only while this instance has no request in progress there.
+    New requests to an executor with unproved slots are therefore paused from time to
+    time, until it is idle and has been probed.
     """
 
     slots: int
@@ -92,16 +96,16 @@
 
     @property
     def started(self) -> int:
-        """Number of requests started from here so far."""
+        """Number of requests that this instance has started so far."""
         return self._started
 
     def count_in_use(self, now_ms: float) -> int:
-        """Return the slots that may be in use, with the one kept back."""
+        """Return the number of slots that may be in use, including a reserved one."""
         held = 1 if now_ms < self.reserved_until_ms else 0
         return self.in_progress + self.unproved + held
 
     def count_free(self, now_ms: float) -> int:
-        """Return how many requests may be sent now."""
+        """Return the number of requests that may be sent now."""
         if self.is_leaving or self.is_count_unknown or self.is_paused(now_ms):
             return 0
         limit = self.circuit.get_limit(now_ms=now_ms, slots=self.slots)
@@ -110,10 +114,10 @@
         return max(0, min(by_circuit, by_slots))
 
     def count_usable(self, now_ms: float) -> int:
-        """Return how many slots serve requests, in use from here or free.
+        """Return the number of slots that serve requests, free or in use.
 
-        Unproved ones come back, so that waiting for them is of use: at least one
-        counts while the executor may be sent to at all.
+        Unproved slots do not count, but they become free again and are worth waiting
+        for. At least one slot therefore counts while the executor accepts requests.
         """
         if self.is_leaving:
             return 0
@@ -121,16 +125,16 @@
         return min(limit, max(1, self.slots - self.unproved))
 
     def is_paused(self, now_ms: float) -> bool:
-        """Tell whether nothing new is sent so that unproved slots can be asked for."""
+        """Return whether new requests are paused to probe the unproved slots."""
         return self.unproved > 0 and now_ms >= self._pause_at_ms
 
     def acquire(self, now_ms: float) -> None:
-        """Take a slot for a request.
+        """Acquire a slot for a request.
 
         Raises
         ------
         RuntimeError
-            If none is free: a fault of the caller, never of the load.
+            If no slot is free. The calling code must check this first.
         """
         if self.count_free(now_ms) < 1:
             raise RuntimeError("no slot is free")
@@ -138,30 +142,30 @@
         self._started += 1
 
     def release(self, outcome: AttemptOutcome, *, now_ms: float) -> None:
-        """Give a request's slot back, unless it may still run.
+        """Release the slot of a request, unless the request may still be running.
 
         Parameters
         ----------
-        ending : Ending
-            How the request ended.
+        outcome : AttemptOutcome
+            Outcome of the attempt.
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         """
         self.in_progress -= 1
         if outcome in (AttemptOutcome.LOST, AttemptOutcome.CANCELLED_AFTER_SEND):
-            # Guards against the slot of a request that still runs being given away:
-            # the executor would run one more than it has slots.
+            # The request may still be running. Releasing its slot could make the
+            # executor run one request more than it has slots.
             self._add_unproved(1, now_ms)
             self._lost_at_ms.append(now_ms)
 
     def needs_probe(self, now_ms: float) -> bool:
-        """Tell whether the executor's own count is wanted now."""
+        """Return whether the executor should be probed now."""
         if self.is_count_unknown:
             return now_ms >= self.probe_from_ms
         return self.is_paused(now_ms) and self.in_progress == 0
 
     def begin_probe(self, now_ms: float) -> Probe:
-        """Note what is known when a look at the executor's health begins."""
+        """Return the state of the slots at the start of a health probe."""
         settled = [at for at in self._lost_at_ms if now_ms - at >= self.settle_ms]
         fresh = len(self._lost_at_ms) - len(settled)
         return Probe(
@@ -171,16 +175,16 @@
         )
 
     def end_probe(self, probe: Probe, *, in_use: int, now_ms: float) -> None:
-        """Take in the executor's own count.
+        """Apply the result of a health probe.
 
         Parameters
         ----------
         probe : Probe
-            What was known when the look began.
+            State of the slots at the start of the probe.
         in_use : int
-            Requests that the executor said it runs.
+            Number of running requests that the executor reported.
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         """
         if not probe.is_idle or self._started != probe.started:
             return
@@ -203,14 +207,14 @@
         self._pause_at_ms = now_ms + self._pause_interval_ms
 
     def fail_probe(self, now_ms: float) -> None:
-        """Note that the executor did not say; try again after a growing wait."""
+        """Record a failed health probe and back off exponentially."""
         self._pause_interval_ms = min(
             2 * self._pause_interval_ms, _MAX_PAUSE_INTERVAL_MS
         )
         self._pause_at_ms = now_ms + self._pause_interval_ms
 
     def apply_handover(self, in_use: int, *, now_ms: float) -> None:
-        """Take in what a leaving owner said was in use; it has been met."""
+        """Apply the number of slots in use from the previous owner's handover."""
         self.is_count_unknown = False
         self.reserved_until_ms = -math.inf
         self._add_unproved(min(in_use, self.slots), now_ms)
