--- a/trefoilhook/requests/__init__.py
+++ b/trefoilhook/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Serving of callers' requests: keys, slots, queues, routing and retries."""
+"""Request serving: idempotency keys, slots, queues, routing and retries."""
 
 from trefoilhook.requests.core import RequestService, open_executor
 from trefoilhook.requests.keys import (
--- a/trefoilhook/requests/buckets.py
+++ b/trefoilhook/requests/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets: team quotas and retry budgets."""
+"""Token buckets for team quotas and retry budgets."""
 
 import math
 
@@ -11,16 +11,16 @@
 
 @attrs.define(kw_only=True)
 class TokenBucket:
-    """Tokens that come at a rate, up to a burst.
+    """Token bucket.
 
     Parameters
     ----------
     rate_per_s : float
-        Tokens a second; infinite for no limit.
+        Refill rate in tokens per second; infinite for no limit.
     burst : float
-        Most tokens saved up.
+        Maximum number of tokens.
     filled_at_ms : float
-        When it is full for the first time, in ms.
+        Monotonic time of the last refill, in ms; initially the time of creation.
     """
 
     rate_per_s: float
@@ -32,13 +32,16 @@
         self._tokens = self.burst
 
     def change_rate(self, *, rate_per_s: float, burst: float) -> None:
-        """Take a new rate and burst; what is saved up stays within the burst."""
+        """Change the rate and burst; excess tokens are discarded."""
         self.rate_per_s = rate_per_s
         self.burst = burst
         self._tokens = min(self._tokens, burst)
 
     def take(self, now_ms: float) -> float:
-        """Take a token; return zero, or the time until there is one, in ms."""
+        """Take a token if available; return the time until one is available, in ms.
+
+        Returns zero if a token was taken.
+        """
         if math.isinf(self.rate_per_s):
             return 0.0
         grown = (now_ms - self.filled_at_ms) / _MS_PER_S * self.rate_per_s
@@ -54,7 +57,7 @@
 
 @attrs.define(kw_only=True)
 class TeamQuotas:
-    """Share of each team's quota that this instance may use.
+    """Team quotas, limited to the share of this instance.
 
     Parameters
     ----------
@@ -63,9 +66,10 @@
 
     Notes
     -----
-    Keys spread evenly over the request shards, so an owner of a share of the shards
-    sees that share of each team's requests, however the balancer spreads callers. Its
-    share of the quota is therefore its share of the shards.
+    Keys are distributed evenly over the request shards. The fraction of a team's
+    requests that an instance receives as key owner therefore equals the fraction of
+    shards that it owns, however the load balancer distributes callers. Its share of the
+    quota is the same fraction.
     """
 
     burst_s: float
@@ -74,18 +78,20 @@
     def take(
         self, team: str, *, quota_per_s: float, share: float, now_ms: float
     ) -> float:
-        """Count a request; return zero, or when to come back, in ms.
+        """Charge a request to a team's quota.
+
+        Returns zero, or the time after which the caller may retry, in ms.
 
         Parameters
         ----------
         team : str
             Team whose service is called.
         quota_per_s : float
-            The team's requests a second over the whole system; infinite for no limit.
+            The team's requests per second in the whole system; infinite for no limit.
         share : float
-            Share of the request shards owned here, from 0 to 1.
+            Fraction of the request shards that this instance owns, from 0 to 1.
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         """
         if math.isinf(quota_per_s):
             return 0.0
@@ -102,18 +108,18 @@
 
 @attrs.define(kw_only=True)
 class RetryBudget:
-    """Retries allowed as a fraction of requests.
+    """Retry budget proportional to the number of requests.
 
     Parameters
     ----------
     ratio : float
-        Retries for each request.
+        Retries allowed per request.
     reserve : float
-        Most retries saved up.
+        Maximum number of retries that can accumulate.
 
     Notes
     -----
-    When everything fails, retries add at most ``ratio`` to the load, in place of
+    If all requests fail, retries increase the load by at most ``ratio`` instead of
     multiplying it.
     """
 
@@ -125,11 +131,11 @@
         self._available = self.reserve
 
     def record_request(self) -> None:
-        """Count a first attempt."""
+        """Record the first attempt of a request."""
         self._available = min(self.reserve, self._available + self.ratio)
 
     def take(self) -> bool:
-        """Take leave for one retry."""
+        """Charge one retry; return whether it is allowed."""
         if self._available < 1.0:
             return False
         self._available -= 1.0
--- a/trefoilhook/requests/coordination.py
+++ b/trefoilhook/requests/coordination.py
@@ -1,4 +1,4 @@
-"""Choice of an owner for a request, and what is tried when one refuses."""
+"""Routing of a request to an executor's owner, with retries and hedging."""
 
 import math
 
@@ -39,7 +39,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _Refusals:
-    """Owners that refused this request."""
+    """Owners that refused this request.
+
+    Parameters
+    ----------
+    owner_ids : set of str
+        IDs of the owners; the empty string stands for this instance.
+    """
 
     owner_ids: set[str] = attrs.field(factory=set)
 
@@ -51,24 +57,23 @@
     mark_sent: MarkSent,
     entry_id: str,
 ) -> CallerAnswer:
-    """Have a request run somewhere, once unless it is idempotent.
+    """Run a request on any executor of its service, once unless it is idempotent.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
-    work : Work
+    components : Components
+        Components shared by all roles.
+    pending : PendingRequest
         The request.
     mark_sent : callable
-        Told whether a byte may have left for an executor.
+        Called with whether any byte may have been sent to an executor.
     entry_id : str
-        Instance that took the request in.
+        Instance that received the request from the caller.
 
     Notes
     -----
-    The answer never says that another *key owner* should be asked: a refusal by an
-    executor's owner is told as NO_EXECUTOR, so that whoever asked this owner can tell
-    it from "I don't own this key".
+    If an executor's owner is unavailable, the answer is NO_EXECUTOR. The entry can thus
+    distinguish it from a refusal by an instance that does not own the key.
     """
     components.retries.record_request(pending.service_name)
     hedge_ms = components.hedges.get_delay_ms(
@@ -122,8 +127,8 @@
         ):
             return answer
         if answer.code in OWNER_MOVED_CODES:
-            # Guards against refusing requests because instances learn of a moved
-            # shard at different moments: each view is asked again a little later.
+            # Instances learn of an ownership change at different times, so the owner is
+            # looked up again after a short wait instead of refusing the request.
             await components.clock.sleep_ms(backoff_ms)
             backoff_ms *= 2
         elif answer.code.outcome is Outcome.NOT_RUN:
@@ -136,7 +141,7 @@
 ) -> Route | None:
     own = None
     if "" not in refusals.owner_ids:
-        # The common case, decided without a look at everybody else's executors.
+        # Common case, decided without listing the executors of other instances.
         if components.pool.has_free(pending.service_name):
             return Route()
         own = components.pool.get_service_load(pending.service_name)
@@ -209,7 +214,7 @@
     mark_sent: MarkSent,
     entry_id: str,
 ) -> CallerAnswer:
-    """Hand a request to the owner of the executor that was chosen."""
+    """Forward a request to the owner of the selected executor."""
     remaining_ms = pending.deadline_ms - components.clock.monotonic_ms()
     if remaining_ms <= 0:
         return components.refuse(ResultCode.QUEUE_DEADLINE)
@@ -248,10 +253,11 @@
     entry_id: str,
     delay_ms: float,
 ) -> CallerAnswer:
-    """Send a second copy if the first is slow; the first whole answer counts.
+    """Run a request, sending a second copy if it is slow.
 
-    The other copy goes on to its end: cut off, it would leave a slot of which nobody
-    knows whether it is free.
+    The first copy that is executed determines the answer. The other one still runs to
+    completion, because cancelling it would leave its executor's slot in an unknown
+    state.
     """
     answers: list[CallerAnswer] = []
     settled = trio.Event()
--- a/trefoilhook/requests/dedup.py
+++ b/trefoilhook/requests/dedup.py
@@ -1,7 +1,7 @@
-"""The table of a shard's idempotency keys at its owner.
+"""Table of a shard's idempotency keys at its owner.
 
-A key that is in the table has a known fate. For one that is not, the rules of time
-decide whether any other instance can have run it; ``docs/design/03-requests.md`` has
+The table records the state of each known key. For an unknown key, the time in it
+decides whether another instance can have run it; ``docs/design/03-requests.md`` has
 the proof that at most one owner ever runs a key.
 """
 
@@ -28,7 +28,7 @@
 
 
 class KeyState(enum.Enum):
-    """What is known about a key."""
+    """State of a key."""
 
     IN_PROGRESS = "in progress"
     DONE = "done"
@@ -37,7 +37,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """What the owner is to do with a request."""
+    """How the owner handles a request."""
 
     RUN = "run it"
     WAIT = "wait for the request in progress"
@@ -46,17 +46,17 @@
 
 @attrs.frozen(kw_only=True)
 class ActingWindow:
-    """The keys that an owner may let in, by the time in them.
+    """Range of key times that an owner accepts.
 
     Parameters
     ----------
     since_wall_ms : float
-        Wall time after its claim succeeded, on its own clock; minus infinity if there
-        was no owner before.
+        Wall time on the owner's clock, read after its claim succeeded; minus infinity
+        if there was no owner before.
     skew_ms : float
-        How far the wall clocks of any two instances may be apart, in ms.
+        Maximum difference between the wall clocks of two instances, in ms.
     ahead_ms : float
-        How far the time in a key may lie ahead of the owner's wall clock, in ms.
+        Maximum time by which a key may be ahead of the owner's wall clock, in ms.
     """
 
     since_wall_ms: float
@@ -65,30 +65,30 @@
 
     @property
     def floor_ms(self) -> float:
-        """Time from which on no earlier owner can have let a key in."""
+        """Key time from which no previous owner can have accepted a key."""
         return self.since_wall_ms + self.skew_ms + self.ahead_ms
 
 
 @attrs.define(kw_only=True, eq=False)
 class KeyRecord:
-    """One key's fate.
+    """Record of one key.
 
     Parameters
     ----------
     key : bytes
         The key.
     minted_ms : int
-        When it was minted, in ms since the Unix epoch.
+        Creation time of the key, in ms since the Unix epoch.
     digest : bytes
-        Digest of the request that came first under the key.
+        Digest of the first request with the key.
     state : KeyState
-        What is known.
+        State of the key.
     answer : CallerAnswer or None
-        The answer, once there is one and while it is kept.
+        The answer, from its arrival until it is dropped.
     is_sent : bool
-        Whether a byte of it may have left for an executor.
+        Whether any byte of the request may have been sent to an executor.
     finished : trio.Event
-        Set once the fate is known.
+        Set once the request has ended.
     """
 
     key: bytes
@@ -101,23 +101,23 @@
 
     @property
     def size_bytes(self) -> int:
-        """Estimate of the memory that the record takes."""
+        """Estimated memory use of the record, in bytes."""
         body = len(self.answer.body) if self.answer is not None else 0
         return _RECORD_BYTES + body
 
 
 @attrs.frozen(kw_only=True)
 class Verdict:
-    """What the owner is to do with a request.
+    """Decision of the key table about a request.
 
     Parameters
     ----------
     kind : VerdictKind
-        What to do.
+        How the request is handled.
     record : KeyRecord or None
-        For RUN and WAIT: the key's record.
+        Record of the key, for RUN and WAIT.
     answer : CallerAnswer or None
-        For ANSWER: what to say.
+        The answer to return, for ANSWER.
     """
 
     kind: VerdictKind
@@ -131,21 +131,22 @@
 
 
 class KeyTable:
-    """The keys of one shard at its owner, bounded in age and bytes.
+    """Keys of one shard at its owner, limited in age and memory.
 
     Parameters
     ----------
     max_age_ms : float
-        Age from which a key's fate may be forgotten, in ms.
+        Age beyond which the record of a key may be evicted, in ms.
     max_bytes : int
-        Most bytes of all records; answers go first, then the oldest records.
+        Maximum size of all records; answers are evicted first, then the oldest
+        records.
     """
 
     def __init__(self, *, max_age_ms: float, max_bytes: int) -> None:
         self._max_age_ms = max_age_ms
         self._max_bytes = max_bytes
         self._records: dict[bytes, KeyRecord] = {}
-        self._by_age: list[tuple[int, bytes]] = []  # finished ones only
+        self._by_age: list[tuple[int, bytes]] = []  # heap of the finished keys
         self._answers: dict[bytes, None] = {}
         self._size_bytes = 0
         self._evicted_until_ms = -math.inf
@@ -153,7 +154,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Estimate of the memory that the table takes."""
+        """Estimated memory use of the table, in bytes."""
         return self._size_bytes
 
     def __len__(self) -> int:
@@ -168,22 +169,21 @@
         wall_ms: float,
         window: ActingWindow,
     ) -> Verdict:
-        """Decide about a request, and enter it if it is to be run.
+        """Decide how to handle a request, and add its key if it is to be run.
 
         Parameters
         ----------
         key : bytes
-            Its key.
+            Key of the request.
         minted_ms : int
-            When the key was minted, in ms since the Unix epoch.
+            Creation time of the key, in ms since the Unix epoch.
         digest : bytes
             Digest of the request.
         wall_ms : float
-            Wall time, read *before* the right to act was checked: an owner that is
-            frozen in between would otherwise judge the key by a time at which
-            another owns the shard.
+            Wall time, read *before* ownership was checked. If the process is suspended
+            in between, a later reading could fall into the time of another owner.
         window : ActingWindow
-            Which keys the owner may let in.
+            Range of key times that the owner accepts.
         """
         self._evict_expired(wall_ms)
         record = self._records.get(key)
@@ -201,10 +201,10 @@
         return Verdict(kind=VerdictKind.RUN, record=record)
 
     def finish(self, record: KeyRecord, answer: CallerAnswer) -> None:
-        """Note how a request in progress ended, and wake all who wait for it.
+        """Record the answer to a request in progress and wake all its waiters.
 
-        A request proved not run is forgotten, so that the same key may be tried again;
-        an unknown outcome stays, so that it never is.
+        The key of a request that was certainly not run is removed, so that it may be
+        retried. A key with an unknown outcome stays, so that it never runs again.
         """
         if self._records.get(record.key) is not record:
             record.answer = answer
@@ -225,28 +225,28 @@
             self._shrink()
 
     def list_records(self) -> tuple[KeyRecord, ...]:
-        """Return the records, oldest key first, for a handover."""
+        """Return the records for a handover, oldest key first."""
         records = sorted(self._records.values(), key=lambda each: each.minted_ms)
         return tuple(records)
 
     def get_known_from_ms(self, window: ActingWindow) -> float:
-        """Return the time from which on the table knows every key that was run.
+        """Return the key time from which the table contains every key that was run.
 
-        A successor that is given it with the records needs no other floor.
+        The next owner can use it as its lower bound if it also receives the records.
         """
         floor = min(window.floor_ms, self._known_from_ms)
         return max(floor, self._evicted_until_ms)
 
     def import_records(self, *, known_from_ms: float, records: list[KeyRecord]) -> None:
-        """Take in what a leaving owner knows.
+        """Import the records of a previous owner.
 
         Parameters
         ----------
         known_from_ms : float
-            Keys minted from then on that are not among the records were not run;
-            infinite when the leaving owner can't say.
+            Key time from which every key that was run is among the records; infinite
+            if unknown.
         records : list of KeyRecord
-            The keys whose fate it knows. One still in progress becomes unknown.
+            Records of the previous owner. A request in progress becomes unknown.
         """
         self._known_from_ms = min(self._known_from_ms, known_from_ms)
         for record in records:
@@ -279,14 +279,14 @@
     def _check_key_time(
         self, minted_ms: int, wall_ms: float, window: ActingWindow
     ) -> Verdict | None:
-        # Guards against a predecessor that was frozen between its check and its send,
-        # or that ran the key and died: it would be run a second time here. Whatever
-        # it let in, it let in before the claim, and the time in the key was at most
-        # ``ahead_ms`` past its clock then; every one of those is refused here.
+        # A previous owner may have run the key before it crashed, or may be suspended
+        # between its check and its send. It accepted every such key before the claim,
+        # with a key time at most ``ahead_ms`` past its clock, so all of them are below
+        # the bound and are refused here.
         if minted_ms < self.get_known_from_ms(window):
             return _refuse(ResultCode.KEY_TOO_OLD, "minted before this owner can tell")
-        # The other half of the same guard: a key whose time lies further ahead would
-        # be let in by a successor as well.
+        # Conversely, a key that is further ahead could be accepted by the next owner
+        # as well.
         if minted_ms >= wall_ms + window.ahead_ms:
             return _refuse(ResultCode.KEY_AHEAD, "")
         return None
@@ -299,13 +299,12 @@
         horizon_ms = wall_ms - self._max_age_ms
         while self._by_age and self._by_age[0][0] < horizon_ms:
             self._evict_oldest()
-        # Guards against a key whose fate was forgotten being run again: from the
-        # first one forgotten on, everything of its age is refused. It never goes
-        # back, also when the wall clock does.
+        # Keys as old as an evicted one are refused, so that an evicted key never runs
+        # again. The bound never decreases, even if the wall clock is set back.
         self._evicted_until_ms = max(self._evicted_until_ms, horizon_ms)
 
     def _evict_oldest(self) -> None:
-        """Forget the finished record whose key was minted first."""
+        """Evict the finished record with the oldest key."""
         minted_ms, key = heapq.heappop(self._by_age)
         record = self._records.pop(key)
         self._size_bytes -= record.size_bytes
@@ -313,7 +312,10 @@
         self._evicted_until_ms = max(self._evicted_until_ms, minted_ms + 1)
 
     def _shrink(self) -> None:
-        """Drop answers, the earliest finished first, then the oldest records."""
+        """Evict the answers that finished first, then the oldest records.
+
+        Evicts until the table uses at most half of its maximum size.
+        """
         while self._answers and self._size_bytes > self._max_bytes // 2:
             key = next(iter(self._answers))
             del self._answers[key]
--- a/trefoilhook/requests/forwarding.py
+++ b/trefoilhook/requests/forwarding.py
@@ -1,4 +1,4 @@
-"""The role of the entry: find the key's owner, and tell the caller the truth."""
+"""Entry role: forward a request to its key's owner and answer the caller."""
 
 import attrs
 import trio
@@ -32,18 +32,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ForwardedRequest:
-    """One request's way from the entry to its key's owner.
+    """A request that the entry forwards to its key's owner.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent.
-    work : Work
-        The request, with the caller's deadline.
-    is_received : bool
-        Whether some owner may have got it without answering.
-    is_answered : bool
-        Whether the newest word is an owner's own.
+        The caller's request.
+    pending : PendingRequest
+        Internal form of the request, with the caller's deadline.
+    is_answer_lost : bool
+        Whether an owner may have received the request without its answer arriving.
+    is_from_owner : bool
+        Whether the latest answer came from an owner.
     """
 
     request: CallerRequest
@@ -53,7 +53,7 @@
 
 
 async def run_unkeyed(components: Components, pending: PendingRequest) -> CallerAnswer:
-    """Run an idempotent request without a key, from here."""
+    """Run an idempotent request without involving a key owner."""
     refusal = charge_quota(components, pending.team)
     if refusal is not None:
         return refusal
@@ -91,20 +91,20 @@
 async def forward_to_key_owner(
     components: Components, forwarded: ForwardedRequest
 ) -> CallerAnswer:
-    """Ask the owner of a request's key, and ask again where that is safe.
+    """Forward a request to the owner of its key, retrying until the deadline.
 
-    An owner is looked for only as long as a handover takes: a key minted before a
-    takeover is refused by the new owner, so that waiting for one would hold the
-    caller back in vain.
+    If no owner is available, retries end after the time that a handover takes. Waiting
+    for a takeover without a handover would be useless, because the new owner refuses
+    keys created before it.
 
-    Asking again is always safe, also after an answer was lost: the key's owner never
-    runs a key twice, and a later owner refuses what an earlier one may have run.
+    Retrying is always safe, even after an answer was lost. The owner never runs a key
+    twice, and a later owner refuses keys that an earlier one may have run.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
-    journey : Journey
+    components : Components
+        Components shared by all roles.
+    forwarded : ForwardedRequest
         The request.
     """
     deadline_ms = forwarded.pending.deadline_ms
@@ -169,12 +169,12 @@
 def adjust_for_caller(
     components: Components, forwarded: ForwardedRequest, answer: CallerAnswer
 ) -> CallerAnswer:
-    """Turn what was learnt on the way into what may be said of the key.
+    """Adjust an answer so that it is also correct for earlier attempts with the key.
 
-    Guards against a caller that is told "not run" on its second attempt while its
-    first one was run: it would send the order again under a new key. Without the
-    word of the key's owner nobody knows of earlier attempts, but a caller that says
-    it made none.
+    Only the key's owner knows of earlier attempts. If a caller were told "not run" for
+    its second attempt although the first one was run, it would send the request again
+    with a new key. Without an answer from the owner, "not run" is therefore returned
+    only to callers that declare their first attempt.
     """
     code = answer.code
     if forwarded.is_answer_lost:
@@ -191,10 +191,10 @@
 def _adjust_after_lost_answer(
     components: Components, forwarded: ForwardedRequest, answer: CallerAnswer
 ) -> CallerAnswer:
-    """Say "unknown" where a copy that was lost on the way might still arrive."""
+    """Replace "not run" by "unknown" if an earlier copy may still arrive."""
     is_late = components.clock.monotonic_ms() >= forwarded.pending.deadline_ms
-    is_own_word = not forwarded.is_from_owner
-    if is_own_word and is_late:
+    is_local_answer = not forwarded.is_from_owner
+    if is_local_answer and is_late:
         return attrs.evolve(answer, code=ResultCode.DEADLINE_AFTER_SEND)
     if answer.code.outcome is Outcome.NOT_RUN:
         return attrs.evolve(answer, code=ResultCode.ANSWER_LOST)
--- a/trefoilhook/requests/handover.py
+++ b/trefoilhook/requests/handover.py
@@ -1,4 +1,4 @@
-"""A shard's keys and slots in the message that a leaving owner sends."""
+"""Encoding and decoding of the handover message with a shard's keys and slots."""
 
 import math
 
@@ -19,7 +19,11 @@
 def encode_handover(
     *, shard_id: str, epoch: int, handover: KeyHandover, in_use: dict[str, int]
 ) -> ShardHandover:
-    """Build the message; the newest answers go along whole as far as there is room."""
+    """Build the handover message.
+
+    Answers are included, newest key first, as far as they fit within the size limit.
+    The remaining records are sent without their answers.
+    """
     records: list[KeyRecordMessage] = []
     remaining_bytes = _MAX_ANSWER_BYTES
     for record in reversed(handover.records):
@@ -41,7 +45,10 @@
 
 
 def decode_keys(message: ShardHandover) -> KeyHandover:
-    """Read the keys; without a floor in the message no more than they are known."""
+    """Decode the keys of a handover message.
+
+    If the message has no lower bound, only the listed keys count as known.
+    """
     has_floor = message.HasField("known_from_wall_ms")
     floor = message.known_from_wall_ms if has_floor else math.inf
     records = tuple(_decode_record(each) for each in message.keys)
--- a/trefoilhook/requests/keyowner.py
+++ b/trefoilhook/requests/keyowner.py
@@ -1,4 +1,4 @@
-"""The role of a key's owner: each key runs at most once."""
+"""Key owner role: ensures that each key runs at most once."""
 
 import math
 
@@ -29,16 +29,16 @@
 
 @attrs.frozen(kw_only=True)
 class KeyHandover:
-    """What a leaving owner tells the next one about its keys.
+    """Keys of a shard that its owner hands over to the next one.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the leaving owner's claim.
+        Epoch of the previous owner.
     known_from_ms : float
-        Keys minted from then on that are not among the records were not run.
+        Key time from which every key that was run is among the records.
     records : tuple of KeyRecord
-        The keys whose fate it knows.
+        Records of the known keys.
     """
 
     epoch: int
@@ -53,7 +53,7 @@
 
 
 def charge_quota(components: Components, team: str) -> CallerAnswer | None:
-    """Count a request against its team's quota; the refusal if it is used up."""
+    """Charge a request to its team's quota; return a refusal if it is exceeded."""
     quota_per_s = components.teams.get_quota_per_s(team)
     if math.isinf(quota_per_s):
         return None
@@ -70,12 +70,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class KeyOwner:
-    """Tables of the request shards owned here.
+    """Key tables of the request shards owned by this instance.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
+    components : Components
+        Components shared by all roles.
     """
 
     components: Components
@@ -85,20 +85,20 @@
     async def serve(
         self, request: ServiceRequest, *, pending: PendingRequest, entry_id: str
     ) -> CallerAnswer:
-        """Answer a request whose key may be owned here.
+        """Answer a request if this instance owns its key.
 
         Parameters
         ----------
         request : ServiceRequest
-            The message as it came.
-        work : Work
-            The request, with the deadline of whoever waits for it.
+            The received message.
+        pending : PendingRequest
+            The request, with the deadline of its sender.
         entry_id : str
-            Instance that took it in.
+            Instance that received the request from the caller.
         """
         components = self.components
         minted_ms = read_minted_ms(pending.key)
-        wall_ms = components.clock.wall_ms()  # before the right to act is checked
+        wall_ms = components.clock.wall_ms()  # must be read before the ownership check
         count = components.settings.shard_count
         shard_id = compute_key_shard(pending.key, shard_count=count)
         epoch = components.ownership.owns(shard_id)
@@ -130,19 +130,19 @@
         return await self._wait_for_answer(record, pending, is_first=is_first)
 
     def export_keys(self, shard_id: str, epoch: int) -> KeyHandover:
-        """Return what the next owner must know, and forget it here.
+        """Remove a shard's key table and return its contents for the next owner.
 
-        To be called once this instance no longer acts for the shard, in the step in
-        which that became so: what came in between would be missing. A shard that no
-        request came for has no table yet; that none was run is worth telling too, or
-        the next owner could not vouch for the keys that callers hold already.
+        Must be called, without awaiting in between, as soon as this instance stops
+        acting for the shard; keys accepted in between would be missing. A shard without
+        requests has no table yet and gets an empty one. Its lower bound tells the next
+        owner that none of the keys that callers already hold were run.
 
         Parameters
         ----------
         shard_id : str
-            The shard.
+            ID of the shard.
         epoch : int
-            Epoch of the claim that ends.
+            Epoch that ends.
         """
         table = self._get_table(shard_id, epoch)
         del self._tables[shard_id]
@@ -153,7 +153,7 @@
         )
 
     def import_keys(self, shard_id: str, handover: KeyHandover) -> None:
-        """Take in what the previous owner told, before or after the own claim."""
+        """Import the keys of the previous owner, before or after the claim."""
         epoch = self.components.ownership.owns(shard_id)
         if epoch is None:
             self._handed_over[shard_id] = handover
@@ -161,10 +161,10 @@
         self._import_handover(self._get_table(shard_id, epoch), handover, epoch)
 
     def drop_superseded(self) -> None:
-        """Forget the tables of shards that were claimed anew since.
+        """Remove the tables of shards that have been claimed at a later epoch.
 
-        A shard that this instance may not act for now, but that nobody has claimed,
-        keeps its table: the right may come back at the same epoch.
+        While this instance may not act for a shard but no other has claimed it, the
+        table is kept, because ownership may resume at the same epoch.
         """
         for shard_id, owned in list(self._tables.items()):
             owner = self.components.ownership.find_owner(shard_id)
@@ -188,9 +188,9 @@
     def _import_handover(
         self, table: KeyTable, handover: KeyHandover, epoch: int
     ) -> None:
-        # Guards against a handover that arrives late, after yet another owner held
-        # the shard: the floor would vouch for keys that the owner in between ran.
-        # The records themselves stay true whoever comes later.
+        # A handover may arrive late, after another instance has owned the shard. Its
+        # lower bound does not cover the keys which that instance ran, and is ignored.
+        # The records remain valid.
         is_direct = handover.epoch == epoch - 1
         known_from_ms = handover.known_from_ms if is_direct else math.inf
         table.import_records(
@@ -213,7 +213,7 @@
     async def _execute(
         self, table: KeyTable, record: KeyRecord, pending: PendingRequest, entry_id: str
     ) -> None:
-        """Run a request to its end, also when nobody waits for it any more."""
+        """Run a request to completion, even if its sender stops waiting."""
 
         def mark_sent(is_sent: bool) -> None:
             record.is_sent = is_sent
@@ -237,7 +237,7 @@
         if record.answer is not None:
             return record.answer
         if is_first and not record.is_sent:
-            # From its deadline on the request can't leave any more: the same deadline
-            # is checked in the step in which the first byte would.
+            # The request can no longer be sent, because the same deadline is checked
+            # immediately before the first byte.
             return self.components.refuse(ResultCode.QUEUE_DEADLINE)
         return self.components.refuse(ResultCode.DEADLINE_AFTER_SEND)
--- a/trefoilhook/requests/keys.py
+++ b/trefoilhook/requests/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys, and the shards that keys and executors belong to."""
+"""Idempotency keys and the mapping of keys and executors to shards."""
 
 import functools
 import hashlib
@@ -28,42 +28,48 @@
 
 
 def mint_key() -> bytes:
-    """Return a new time-ordered key (UUIDv7) in its 16 bytes."""
+    """Return the 16 bytes of a new time-ordered key (UUIDv7)."""
     return uuid6.uuid7().bytes
 
 
 def parse_key(text: str) -> bytes:
-    """Read a key from its textual form.
+    """Parse the textual form of a key.
 
     Raises
     ------
     RequestError
-        If the text is no UUIDv7.
+        If the text is not a UUIDv7.
     """
     try:
         key = uuid.UUID(text.strip())
     except ValueError as error:
         raise RequestError(
-            "the key is no UUID", code=ResultCode.KEY_REQUIRED
+            "the idempotency key is not a UUID", code=ResultCode.KEY_REQUIRED
         ) from error
     if key.version != _KEY_VERSION:
-        raise RequestError("the key is no UUIDv7", code=ResultCode.KEY_REQUIRED)
+        raise RequestError(
+            "the idempotency key is not a UUIDv7", code=ResultCode.KEY_REQUIRED
+        )
     return key.bytes
 
 
 def read_minted_ms(key: bytes) -> int:
-    """Return when a key was minted, in ms since the Unix epoch.
+    """Return the creation time of a key, in ms since the Unix epoch.
 
     Raises
     ------
     RequestError
-        If the bytes are no UUIDv7.
+        If the bytes are not a UUIDv7.
     """
     if len(key) != _KEY_BYTES:
-        raise RequestError("the key has a wrong length", code=ResultCode.KEY_REQUIRED)
+        raise RequestError(
+            "the idempotency key is not 16 bytes long", code=ResultCode.KEY_REQUIRED
+        )
     parsed = uuid6.UUID(bytes=key)
     if parsed.version != _KEY_VERSION:
-        raise RequestError("the key is no UUIDv7", code=ResultCode.KEY_REQUIRED)
+        raise RequestError(
+            "the idempotency key is not a UUIDv7", code=ResultCode.KEY_REQUIRED
+        )
     return parsed.time
 
 
@@ -73,26 +79,26 @@
 
 
 def format_key(key: bytes) -> str:
-    """Return a key as callers write it in their header."""
+    """Return the textual form of a key, as used in the callers' header."""
     return str(uuid.UUID(bytes=key))
 
 
 def compute_key_shard(key: bytes, *, shard_count: int) -> str:
-    """Return the request shard that remembers a key."""
+    """Return the request shard of a key."""
     return format_shard_id(xxhash.xxh3_64_intdigest(key) % shard_count)
 
 
 @functools.lru_cache(maxsize=_EXECUTOR_CACHE_SIZE)
 def compute_executor_shard(executor_id: str, *, shard_count: int) -> str:
-    """Return the request shard that counts an executor's slots."""
+    """Return the request shard of an executor."""
     return format_shard_id(xxhash.xxh3_64_intdigest(executor_id.encode()) % shard_count)
 
 
 def compute_digest(*, team: str, service: str, content_type: str, body: bytes) -> bytes:
-    """Return a digest that tells one request from another under the same key.
+    """Return a digest that detects reuse of a key for a different request.
 
-    It covers the team, so that a key guessed by one team never shows it the answer
-    given to another; hence a hash that is hard to collide.
+    The digest covers the team, so that a team that guesses a key never receives another
+    team's answer. A collision-resistant hash is required for this reason.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (team.encode(), service.encode(), content_type.encode(), body):
--- a/trefoilhook/requests/maintenance.py
+++ b/trefoilhook/requests/maintenance.py
@@ -1,4 +1,4 @@
-"""What goes on without requests: executors gained and lost, probes, load summaries."""
+"""Periodic tasks: updates of the owned executors, health probes, load summaries."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class _HandedOverSlots:
-    """Slots in use that the owner of a shard told of when it left."""
+    """Slots in use from the handover of a shard's previous owner."""
 
     epoch: int
     in_use: dict[str, int]
@@ -29,29 +29,32 @@
 
 @attrs.frozen(kw_only=True)
 class _SentSummary:
-    """The newest summary that a peer was sent."""
+    """Latest load summary sent to a peer."""
 
     message: ExecutorLoads
     started: int
     sent_at_ms: float
 
     def is_same(self, message: ExecutorLoads, started: int) -> bool:
-        """Tell whether a summary would be no news."""
+        """Return whether a new summary would contain no new information."""
         return self.started == started and self.message == message
 
 
 @attrs.define(kw_only=True, eq=False)
 class Maintenance:
-    """Keeps the executors owned here in step with the shards and the instance list.
+    """Keeps the owned executors consistent with the shards and the instance list.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
+    components : Components
+        Components shared by all roles.
     key_owner : KeyOwner
-        Tables of the shards owned here.
+        Key tables of the owned shards.
     list_peers : callable
-        The other instances.
+        Returns the IDs of the other instances.
+    owned_share : float
+        Fraction of the request shards that this instance owns; at least one shard
+        counts as owned.
     """
 
     components: Components
@@ -65,7 +68,7 @@
     _retired: list[OwnedExecutor] = attrs.field(factory=list, init=False)
 
     async def run(self) -> None:
-        """Look after the executors until cancelled."""
+        """Perform the periodic maintenance until cancelled."""
         while True:
             await self.tick()
             await self.components.clock.sleep_ms(
@@ -73,7 +76,7 @@
             )
 
     async def run_load_summaries(self) -> None:
-        """Tell the peers what the executors here carry, until cancelled."""
+        """Send load summaries to the peers periodically until cancelled."""
         while True:
             self.send_load_summaries()
             await self.components.clock.sleep_ms(
@@ -81,7 +84,7 @@
             )
 
     async def tick(self) -> None:
-        """Bring everything up to date once."""
+        """Perform the maintenance once."""
         self.sync()
         self._update_owned_share()
         self.key_owner.drop_superseded()
@@ -91,7 +94,7 @@
         await self._close_retired()
 
     def sync(self) -> None:
-        """Take in the newest instance list and the newest ownership."""
+        """Apply the latest instance list and shard ownership."""
         listed: set[str] = set()
         for target in self.components.list_executors():
             listed.add(target.executor_id)
@@ -101,11 +104,10 @@
                 self._retire(each.target.executor_id)
 
     def add_if_owned(self, executor_id: str) -> None:
-        """Begin to count an executor's slots at once, if it is owned here by now.
+        """Add an executor immediately if this instance owns it by now.
 
-        Guards against a request that follows an executor to its new owner and gets
-        there before the owner has looked at its shards: it would be refused, though
-        this owner is the right one, until the next look.
+        A request for an executor may arrive at the new owner before its next periodic
+        update. It would otherwise be refused by the correct owner.
         """
         components = self.components
         if components.pool.get(executor_id) is not None:
@@ -118,13 +120,12 @@
             self._start_probes()
 
     def list_never_used(self, shard_id: str) -> list[str]:
-        """Return a shard's executors that provably nobody ever sent a request to.
+        """Return the IDs of a shard's executors that certainly received no request.
 
-        Guards against a pause after the start: an instance that hands a shard over
-        before it has looked at the shard's executors says nothing of them, and the
-        next owner would wait out the requests of an owner that never sent any. The
-        first owner of a shard has no predecessor, and an executor that it never took
-        in got nothing from it.
+        An instance may hand a shard over right after startup, before it has added the
+        shard's executors. Without this list the handover would omit them, and the next
+        owner would wait for requests that were never sent. The first owner of a shard
+        has no predecessor and sends nothing to executors that it has not added.
         """
         components = self.components
         if components.ownership.own_since_wall_ms(shard_id) != -math.inf:
@@ -139,16 +140,16 @@
     def apply_handover(
         self, shard_id: str, *, epoch: int, in_use: dict[str, int]
     ) -> None:
-        """Take in the slots in use that a leaving owner told of.
+        """Apply the slots in use from the handover of a shard's previous owner.
 
         Parameters
         ----------
         shard_id : str
-            The shard.
+            ID of the shard.
         epoch : int
-            Epoch of the leaving owner's claim.
+            Epoch of the previous owner.
         in_use : dict
-            Slots in use, by executor.
+            Number of slots in use by executor ID.
         """
         self._handed_over[shard_id] = _HandedOverSlots(epoch=epoch, in_use=in_use)
         now_ms = self.components.clock.monotonic_ms()
@@ -162,18 +163,20 @@
                 each.slots.apply_handover(count, now_ms=now_ms)
 
     def release_reserved_slots(self, shard_id: str) -> None:
-        """Use the slots kept back in a shard: its earlier owner is met or dead."""
+        """Release the slots of a shard that were reserved for its previous owner.
+
+        The previous owner must have made its handover or have terminated.
+        """
         for each in self.components.pool.list_executors():
             if each.shard_id == shard_id:
                 each.slots.reserved_until_ms = -math.inf
 
     def send_load_summaries(self) -> None:
-        """Send a summary to each peer that has not got this one lately.
+        """Send a load summary to each peer that has not recently received the same one.
 
-        An idle instance would otherwise spend most of its time on telling and reading
-        that nothing has changed. A summary that looks like the one before is news
-        all the same when requests were run in between: the peers add what they have
-        sent since to it.
+        Sending unchanged summaries would take most of the time of an idle instance. A
+        summary with equal counts is still sent if requests were run in between, because
+        the peers add the requests that they have sent since the last summary.
         """
         message = ExecutorLoads(
             loads=[self._build_load(each) for each in self._list_owned()]
@@ -197,7 +200,7 @@
                 )
 
     def receive_load_summary(self, sender_id: str, message: ExecutorLoads) -> None:
-        """Take in a peer's summary."""
+        """Store a peer's load summary."""
         now_ms = self.components.clock.monotonic_ms()
         loads = {
             each.executor_id: ReportedLoad(
@@ -229,7 +232,7 @@
         )
 
     def _compute_queue_share(self, executor: OwnedExecutor) -> int:
-        """Return an executor's share of the requests that wait for its service."""
+        """Return an executor's share of the queued requests of its service."""
         name = executor.target.service_name
         slots = sum(
             each.slots.slots
@@ -265,8 +268,8 @@
     def _find_handed_over(
         self, executor_id: str, shard_id: str, epoch: int
     ) -> int | None:
-        # Guards against a handover that arrives late, after yet another owner held
-        # the shard: the requests of the one in between would not be counted.
+        # A handover may arrive late, after another instance has owned the shard. It
+        # does not include the requests of that instance and is ignored.
         handed_over = self._handed_over.get(shard_id)
         if handed_over is None or handed_over.epoch != epoch - 1:
             return None
--- a/trefoilhook/requests/models.py
+++ b/trefoilhook/requests/models.py
@@ -1,4 +1,4 @@
-"""Typed data of the request path, and what it needs from its surroundings."""
+"""Data types of the request path and the interfaces that it depends on."""
 
 import enum
 from collections.abc import Callable, Sequence
@@ -26,12 +26,12 @@
 
 
 def build_service_name(team: str, service: str) -> str:
-    """Return the name of a team's service that is unique over all teams."""
+    """Return the name of a team's service, unique across teams."""
     return f"{team}/{service}"
 
 
 class Attempt(enum.Enum):
-    """What a caller says about earlier attempts under the same key."""
+    """The caller's statement about earlier attempts with the same key."""
 
     FIRST = "first"
     REPEATED = "repeated"
@@ -40,22 +40,22 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A caller's request as an entry instance takes it in.
+    """A caller's request as received by an entry instance.
 
     Parameters
     ----------
     team, service : str
-        Whose service is called.
+        Team and name of the called service.
     key : bytes
-        UUIDv7 in its 16 bytes; empty when the caller gave none.
+        Idempotency key, the 16 bytes of a UUIDv7; empty if the caller sent none.
     content_type : str
-        Type of the body.
+        Content type of the body.
     body : bytes
-        The whole body.
+        Complete body.
     timeout_ms : float or None
-        How long the caller waits, in ms; None for the service's own timeout.
+        Time that the caller waits, in ms; None for the timeout of the service.
     attempt : Attempt
-        Whether the caller vouches that this is its first attempt under the key.
+        Whether the caller states that this is its first attempt with the key.
     """
 
     team: str
@@ -69,26 +69,26 @@
 
 @attrs.frozen(kw_only=True)
 class CallerAnswer:
-    """The whole answer to a caller's request.
+    """The answer to a caller's request.
 
     Parameters
     ----------
     code : ResultCode
-        What became of the request.
+        Result of the request.
     detail : str
-        One sentence for people; empty when the code says it all.
+        Human-readable explanation; empty if the code is sufficient.
     status : int
-        Status of the executor's answer; zero when it gave none.
+        HTTP status of the executor's answer; zero without an answer.
     content_type : str
-        Type of the body.
+        Content type of the body.
     body : bytes
-        The executor's whole body.
+        Complete body of the executor's answer.
     executor_id : str
-        Executor that ran the request; empty when not known.
+        Executor that ran the request; empty if unknown.
     owner_instance_id : str
-        Instance that decided; empty when none was reached.
+        Instance that determined the answer; empty if none was reached.
     retry_after_ms : float
-        When to come back, in ms; zero when not known.
+        Time after which the caller may retry, in ms; zero if unknown.
     """
 
     code: ResultCode
@@ -103,24 +103,24 @@
 
 @attrs.frozen(kw_only=True)
 class ExecutorTarget:
-    """An executor as the instance list shows it.
+    """An executor as recorded in the instance list.
 
     Parameters
     ----------
     executor_id : str
-        The executor.
+        ID of the executor.
     team, service : str
-        What it runs.
+        Team and name of the service that it runs.
     host : str
-        Its address, an IP number.
+        IP address of the executor.
     port : int
-        Its port.
+        Port of the executor.
     failure_domain : str
-        Where it stands.
+        Failure domain of the executor.
     slots : int
-        Most requests that it may run at once.
+        Maximum number of concurrent requests.
     is_leaving : bool
-        Whether it must get nothing new.
+        Whether it must not receive new requests.
     """
 
     executor_id: str
@@ -131,7 +131,7 @@
     failure_domain: str
     slots: int
     is_leaving: bool = False
-    #: Name of the service, unique over all teams.
+    #: Name of the service, unique across teams.
     service_name: str = attrs.field(init=False)
 
     @service_name.default
@@ -141,16 +141,16 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceSettings:
-    """What a team declares about a service.
+    """Settings of a service, declared by its team.
 
     Parameters
     ----------
     is_idempotent : bool
         Whether a request may run more than once.
     timeout_ms : float
-        Longest time that a caller waits, in ms.
+        Maximum time that a caller waits, in ms.
     max_queue : int
-        Most requests that wait at one owner.
+        Maximum number of queued requests at one owner.
     """
 
     is_idempotent: bool = False
@@ -159,7 +159,7 @@
 
 
 class TokenVerdict(enum.Enum):
-    """What a caller's token allows."""
+    """Result of checking a caller's token."""
 
     ALLOWED = "allowed"
     UNKNOWN = "unknown"
@@ -168,16 +168,17 @@
 
 @attrs.frozen(kw_only=True)
 class TeamView:
-    """What the request path reads of the configuration.
+    """Access of the request path to the team configuration.
 
     Parameters
     ----------
     find_service : callable
-        Settings of a team's service, or None.
+        Returns the settings of a team's service, or None.
     get_quota_per_s : callable
-        Requests a second that a team may send to the whole system; infinite for none.
+        Returns the requests per second that a team may send to the whole system;
+        infinite for no limit.
     check_token : callable
-        What a caller's token allows on a team.
+        Checks a caller's token for a team.
     """
 
     find_service: Callable[[str, str], ServiceSettings | None]
@@ -186,7 +187,7 @@
 
 
 class Owner(Protocol):
-    """The owner of a shard."""
+    """Owner of a shard."""
 
     @property
     def instance_id(self) -> str:
@@ -194,46 +195,46 @@
 
     @property
     def epoch(self) -> int:
-        """Epoch of its claim."""
+        """Epoch under which it owns the shard."""
 
 
 class OwnershipView(Protocol):
-    """What the request path reads of shards and their owners."""
+    """Access of the request path to shards and their owners."""
 
     def find_owner(self, shard_id: str) -> Owner | None:
-        """Return the owner of a shard as known here."""
+        """Return the owner of a shard as known to this instance, or None."""
 
     def owns(self, shard_id: str) -> int | None:
-        """Return the own epoch if this instance may act for the shard now."""
+        """Return this instance's epoch if it may act for the shard now, else None."""
 
     def own_since_wall_ms(self, shard_id: str) -> float:
-        """Return the wall time of the own claim, read after it succeeded.
+        """Return the wall time of this instance's claim, read after it succeeded.
 
-        Minus infinity if the shard never had an owner before.
+        Minus infinity if the shard had no owner before.
         """
 
 
 class InnerCall(Protocol):
-    """A call that came in over the inner protocol."""
+    """An incoming call of the inner protocol."""
 
     @property
     def sender_id(self) -> str:
-        """Instance that called."""
+        """Instance that sent the call."""
 
     @property
     def message(self) -> Any:
-        """The typed message."""
+        """Message of the call."""
 
     @property
     def timeout_ms(self) -> float:
-        """How long the sender still waits, in ms."""
+        """Remaining time that the sender waits, in ms."""
 
 
 class InnerLink(Protocol):
     """Calls to other instances."""
 
     async def call(self, instance_id: str, message: Any, *, timeout_ms: float) -> Any:
-        """Send a message and wait for its reply."""
+        """Send a message and wait for the reply."""
 
     def tell(self, instance_id: str, message: Any) -> bool:
         """Send a message without a reply."""
@@ -254,7 +255,7 @@
         """Run one request."""
 
     async def check_health(self, *, timeout_ms: float) -> ExecutorHealth:
-        """Ask how many requests the executor runs."""
+        """Query the number of requests that the executor runs."""
 
     async def close(self) -> None:
         """Close the idle connections."""
--- a/trefoilhook/requests/owned.py
+++ b/trefoilhook/requests/owned.py
@@ -1,4 +1,4 @@
-"""An executor owned here, and leave to send to it."""
+"""Executors owned by this instance and grants of their slots."""
 
 import math
 
@@ -12,24 +12,24 @@
 
 @attrs.define(kw_only=True, eq=False)
 class OwnedExecutor:
-    """An executor whose slots are counted here.
+    """An executor owned by this instance.
 
     Parameters
     ----------
     target : ExecutorTarget
-        The executor.
+        Latest record of the executor.
     shard_id : str
-        Shard that it belongs to.
+        Shard of the executor.
     epoch : int
-        Epoch of the claim under which it is owned.
+        Epoch under which this instance owns the shard.
     slots : ExecutorSlots
-        Count of its slots.
+        Slot accounting.
     link : ExecutorLink
-        Connections to it.
+        Connections to the executor.
     is_probing : bool
-        Whether its health is being asked for.
+        Whether a health probe is in progress.
     succeeded_at_ms : float
-        When a request last succeeded, on the monotonic clock, in ms.
+        Monotonic time of the last successful request, in ms.
     """
 
     target: ExecutorTarget
@@ -43,14 +43,14 @@
 
 @attrs.frozen(kw_only=True)
 class Grant:
-    """Leave to send one request to an executor.
+    """Grant of one slot of an executor.
 
     Parameters
     ----------
     executor : OwnedExecutor
-        The executor, with one of its slots taken.
-    granted_ms : float
-        When, on the monotonic clock, in ms.
+        The executor.
+    granted_at_ms : float
+        Monotonic time of the grant, in ms.
     """
 
     executor: OwnedExecutor
--- a/trefoilhook/requests/pending.py
+++ b/trefoilhook/requests/pending.py
@@ -1,4 +1,4 @@
-"""A request on its way through this instance, and what all roles share."""
+"""Internal form of a request, and the components shared by all roles."""
 
 import math
 import random
@@ -53,26 +53,26 @@
 
 @attrs.frozen(kw_only=True)
 class PendingRequest:
-    """A request that is to be run.
+    """A request to be run.
 
     Parameters
     ----------
     team, service : str
-        Whose service is called.
+        Team and name of the called service.
     key : bytes
-        Its key; empty for none.
+        Idempotency key; empty for none.
     request_id : str
-        Identifies it in records.
+        ID of the request in logs and at the executor.
     is_idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     content_type : str
-        Type of the body.
+        Content type of the body.
     body : bytes
-        The whole body.
+        Complete body.
     deadline_ms : float
-        When it is too late to start it, on the monotonic clock, in ms.
+        Latest start time on the monotonic clock, in ms.
     max_waiting : int
-        Most requests of the service that wait at one owner.
+        Maximum number of queued requests of the service at one owner.
     """
 
     team: str
@@ -87,51 +87,52 @@
 
     @property
     def service_name(self) -> str:
-        """Name of the service, unique over all teams."""
+        """Name of the service, unique across teams."""
         return build_service_name(self.team, self.service)
 
 
 @attrs.frozen(kw_only=True, eq=False)
 class Components:
-    """What every role of the request path uses.
+    """Components shared by all roles of the request path.
 
     Parameters
     ----------
     instance_id : str
-        This instance.
+        ID of this instance.
     failure_domain : str
-        Where it stands.
+        Failure domain of this instance.
     clock : Clock
-        Where time comes from.
+        Source of the current time.
     settings : RequestSettings
-        Bounds and times.
+        Limits and timeouts.
     ownership : OwnershipView
         Shards and their owners.
     inner : InnerLink
         Calls to other instances.
     teams : TeamView
-        What the configuration says.
+        Configuration of the teams.
     list_executors : callable
-        The instance list as known here.
+        Returns the executors in the instance list.
     pool : ExecutorPool
-        Executors owned here.
+        Executors owned by this instance.
     peer_loads : PeerLoads
-        What other owners told.
+        Load summaries of other owners.
     quotas : TeamQuotas
-        This instance's share of the teams' quotas.
+        This instance's share of the team quotas.
     retries : RetryPolicy
-        Retry budgets.
+        Decides on retries.
     hedges : HedgePolicy
-        Learned run times.
+        Decides on hedging.
     generator : random.Random
-        Source of draws.
+        Random number generator.
     start : callable
-        Starts a background task that outlives the call which began it.
-    get_share : callable
-        Share of the request shards owned here, above 0 and up to 1.
+        Starts a background task that outlives the calling request.
+    get_owned_share : callable
+        Returns the fraction of the request shards that this instance owns, above 0 and
+        up to 1.
     serve_own : callable
-        Serves a request as the owner of its key, without a message to itself; takes
-        the request and how long its answer is awaited, in ms.
+        Serves a request whose key this instance owns without sending a message. Takes
+        the request and the time that its answer is awaited, in ms.
     """
 
     instance_id: str
@@ -153,18 +154,18 @@
     serve_own: Callable[[ServiceRequest, float], Awaitable[CallerAnswer]]
 
     def find_executor_owner(self, target: ExecutorTarget) -> Owner | None:
-        """Return the owner of an executor as known here."""
+        """Return the owner of an executor as known to this instance, or None."""
         return self.ownership.find_owner(self.get_executor_shard(target.executor_id))
 
     def get_executor_shard(self, executor_id: str) -> str:
-        """Return the shard that counts an executor's slots."""
+        """Return the request shard of an executor."""
         count = self.settings.shard_count
         return compute_executor_shard(executor_id, shard_count=count)
 
     def refuse(
         self, code: ResultCode, detail: str = "", *, retry_after_ms: float = 0.0
     ) -> CallerAnswer:
-        """Build an answer that this instance gives itself."""
+        """Build an answer that does not come from an executor."""
         wait_ms = retry_after_ms or _DEFAULT_RETRY_AFTER_MS.get(code, 0.0)
         return CallerAnswer(
             code=code,
@@ -175,7 +176,7 @@
 
 
 def encode_answer(answer: CallerAnswer) -> ServiceAnswer:
-    """Turn an answer into its inner message."""
+    """Encode an answer as a message of the inner protocol."""
     return ServiceAnswer(
         result_number=answer.code.number,
         detail=answer.detail,
@@ -189,9 +190,10 @@
 
 
 def decode_answer(message: ServiceAnswer) -> CallerAnswer:
-    """Read an answer from its inner message.
+    """Decode an answer from a message of the inner protocol.
 
-    An unknown number comes from a newer version; nothing is known of its outcome.
+    An unknown result number comes from a newer version. It is decoded as INTERNAL,
+    whose outcome is unknown.
     """
     try:
         code = ResultCode.from_number(message.result_number)
@@ -212,7 +214,7 @@
 def encode_request(
     pending: PendingRequest, *, executor_id: str, shard_epoch: int, entry_id: str
 ) -> ServiceRequest:
-    """Turn a request into its inner message."""
+    """Encode a request as a message of the inner protocol."""
     return ServiceRequest(
         team=pending.team,
         service=pending.service,
@@ -229,12 +231,12 @@
 def build_pending_request(
     components: Components, request: CallerRequest, settings: ServiceSettings
 ) -> PendingRequest:
-    """Turn a caller's request into what is to be run.
+    """Build the internal form of a caller's request.
 
     Raises
     ------
     RequestError
-        If it has a key that is no UUIDv7.
+        If the request has a key that is not a UUIDv7.
     """
     timeout_ms = settings.timeout_ms
     if request.timeout_ms is not None:
@@ -257,10 +259,10 @@
 def decode_request(
     request: ServiceRequest, settings: ServiceSettings, *, deadline_ms: float
 ) -> PendingRequest:
-    """Read what is to be run from its inner message.
+    """Decode a request from a message of the inner protocol.
 
-    It counts as idempotent only if both instances' configurations say so: one of them
-    may be behind.
+    A request is idempotent only if it is in the configurations of both instances,
+    because one of them may be outdated.
     """
     return PendingRequest(
         team=request.team,
--- a/trefoilhook/requests/settings.py
+++ b/trefoilhook/requests/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the request path, each declared once."""
+"""Settings of the request path."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestSettings:
-    """Bounds and times of serving requests."""
+    """Limits and timeouts of the request path."""
 
     shard_count: int = declare(
         default=64,
