--- a/trefoilhook/requests/tests/fakes.py
+++ b/trefoilhook/requests/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the request path, on virtual time."""
+"""Fakes of the interfaces of the request path, using virtual time."""
 
 import math
 import random
@@ -32,14 +32,14 @@
 
 
 def mint_at(wall_ms: float, generator: random.Random | None = None) -> bytes:
-    """Return a fresh UUIDv7 that was minted at the given wall time."""
+    """Return a new UUIDv7 with the given creation time."""
     value = (generator or random.Random()).getrandbits(80)
     return uuid6.UUID(int=(int(wall_ms) << 80) | value, version=7).bytes
 
 
 @attrs.frozen(kw_only=True)
 class FakeOwner:
-    """Owner of a shard."""
+    """Fake owner of a shard."""
 
     instance_id: str
     epoch: int
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class FakeOwnership:
-    """One instance's view; ``owners`` is shared, the rights are its own."""
+    """Fake ownership view of one instance; ``owners`` is shared by all instances."""
 
     instance_id: str
     owners: dict[str, FakeOwner]
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class FakeCall:
-    """A call as the inner protocol hands it over."""
+    """Fake incoming call of the inner protocol."""
 
     sender_id: str
     message: object
@@ -77,7 +77,7 @@
 
 @attrs.define(kw_only=True)
 class FakeInner:
-    """Delivers calls between services after a delay; links may be cut."""
+    """Delivers calls between services after a delay, with optional link faults."""
 
     instance_id: str
     services: dict[str, RequestService]
@@ -124,7 +124,7 @@
 
 @attrs.define(kw_only=True)
 class FakeExecutor:
-    """Records what it runs; fails as told."""
+    """Fake executor that records its requests and fails as configured."""
 
     executor_id: str = "exec-0"
     slots: int = 8
@@ -176,7 +176,7 @@
 
 @attrs.define(kw_only=True)
 class Cluster:
-    """Several instances over shared executors, with shards spread in turn."""
+    """Several instances with shared executors and evenly distributed shards."""
 
     instance_count: int = 3
     executor_count: int = 3
@@ -263,13 +263,13 @@
         await trio.sleep(0.3)
 
     def move_shard(self, shard_id: str, name: str) -> None:
-        """Let another instance claim a shard, with the old one's right ended."""
+        """Move a shard to another instance after the old owner lost its ownership."""
         old = self.owners[shard_id]
         self.ownerships[old.instance_id].rights.pop(shard_id, None)
         self.claim_shard(shard_id, name)
 
     def claim_shard(self, shard_id: str, name: str) -> None:
-        """Claim a shard without a word to its old owner."""
+        """Claim a shard for an instance without notifying the old owner."""
         epoch = self.owners[shard_id].epoch + 1
         self.owners[shard_id] = FakeOwner(instance_id=name, epoch=epoch)
         self.ownerships[name].rights[shard_id] = epoch
@@ -284,7 +284,7 @@
         )
 
     def mint(self, owner: str = "") -> bytes:
-        """Return a key of now, on request one that a given instance owns."""
+        """Return a new key, optionally one that a given instance owns."""
         while True:
             key = mint_at(self.clock.wall_ms(), self.generator)
             shard_id = self.find_key_shard(key)
--- a/trefoilhook/requests/tests/test_dedup.py
+++ b/trefoilhook/requests/tests/test_dedup.py
@@ -1,4 +1,4 @@
-"""Rules of the key table: what may run, and what is said of the rest."""
+"""Tests of the key table."""
 
 import math
 import unittest
@@ -22,12 +22,12 @@
 
 
 def build_table(max_age_ms=600_000.0, max_bytes=1_000_000):
-    """Build a table."""
+    """Build a key table."""
     return KeyTable(max_age_ms=max_age_ms, max_bytes=max_bytes)
 
 
 def begin(table, minted_ms=_NOW_MS, *, key=None, window=_WINDOW, **changes):
-    """Offer a request to a table."""
+    """Pass a request to a key table."""
     fields = {
         "key": key or mint_at(minted_ms),
         "minted_ms": minted_ms,
@@ -45,11 +45,11 @@
 
 
 class KnownKeyTest(unittest.TestCase):
-    """A key that the table holds."""
+    """Requests whose key is in the table."""
 
-    def test_fate_decides_what_a_second_request_gets(self):
-        # A caller sends the same key again. What it gets depends on how the first
-        # request under the key ended.
+    def test_key_state_determines_answer_to_repeated_request(self):
+        # A caller repeats a key. The answer depends on the outcome of the first
+        # request with it.
         table = (
             (None, VerdictKind.WAIT),
             (_OK, ResultCode.REPLAYED),
@@ -72,9 +72,9 @@
                 if second.answer is not None and ending is not None:
                     self.assertIn(second.answer.body, (b"whole", b""))
 
-    def test_other_request_under_a_used_key(self):
-        # A form reuses a key for another order. Replaying the first order's answer
-        # would show one family the other's booking.
+    def test_key_reused_for_another_request_is_refused(self):
+        # A client reuses a key for a different request. Replaying the first answer
+        # would disclose it to the wrong caller.
         for ending in (None, _OK, CallerAnswer(code=ResultCode.ANSWER_LOST)):
             keys = build_table()
             key = mint_at(_NOW_MS)
@@ -86,9 +86,9 @@
 
 
 class TimeTest(unittest.TestCase):
-    """A key that the table does not hold."""
+    """Requests whose key is not in the table."""
 
-    def test_limits_of_the_window(self):
+    def test_window_limits(self):
         floor_ms = _WINDOW.since_wall_ms + _SKEW_MS + _AHEAD_MS
         table = (
             (_WINDOW.since_wall_ms - 1, ResultCode.KEY_TOO_OLD),
@@ -103,15 +103,15 @@
                 verdict = begin(build_table(), int(minted_ms))
                 self.assertEqual(get_code(verdict), expected)
 
-    def test_key_ahead_is_said_only_where_it_is_proved_not_run(self):
-        # An owner whose clock was fast let a key in and died. Its successor, whose
-        # clock is slow, sees a key from the future; it must not say "not run".
+    def test_key_ahead_that_may_have_run_is_refused_as_too_old(self):
+        # An owner with a fast clock accepts a key and crashes. To the next owner, with
+        # a slow clock, the key is in the future. It must not answer "not run".
         window = attrs.evolve(_WINDOW, since_wall_ms=float(_NOW_MS))
         minted_ms = int(_NOW_MS + _AHEAD_MS + 200)
         verdict = begin(build_table(), minted_ms, window=window)
         self.assertEqual(get_code(verdict), ResultCode.KEY_TOO_OLD)
 
-    def test_first_claim_ever_refuses_no_old_key(self):
+    def test_first_claim_accepts_old_keys(self):
         window = attrs.evolve(_WINDOW, since_wall_ms=-math.inf)
         verdict = begin(build_table(), _NOW_MS - 1_000, window=window)
         self.assertEqual(get_code(verdict), VerdictKind.RUN)
@@ -130,10 +130,10 @@
     def test_no_key_runs_at_an_owner_and_its_successor(
         self, let_in_ms, old_error, new_error, ahead_ms, retry_ms
     ):
-        # An owner lets a key in, is frozen before it sends, or dies after. Another
-        # instance with another wall clock claims the shard at once, the caller, whose
-        # clock may be ahead, retries there, and the old owner thaws and sends.
-        # Whatever the clocks and the key's time, one of the two refuses.
+        # An owner accepts a key and is suspended before it sends the request, or
+        # crashes afterwards. Another instance claims the shard at once, the caller
+        # retries there, and the old owner resumes and sends. At least one of the owners
+        # must refuse the key, whatever the clocks and the key time.
         minted_ms = _NOW_MS + let_in_ms + ahead_ms
         new = attrs.evolve(_WINDOW, since_wall_ms=_NOW_MS + new_error)
         at_old = begin(
@@ -150,11 +150,11 @@
 
 
 class BoundTest(unittest.TestCase):
-    """The table forgets, but never so that a key runs twice."""
+    """Eviction of records, which must never let a key run twice."""
 
-    def test_forgotten_key_is_never_run_again(self):
-        # A caller comes back after the table forgot its key for want of room or for
-        # its age. Running it would bill the airline twice.
+    def test_evicted_key_is_never_run_again(self):
+        # A caller retries after its key was evicted because of the table's size or the
+        # key's age. The request must not run a second time.
         tables = (
             ("age", build_table(max_age_ms=10_000.0), 10, _NOW_MS + 20_000),
             ("room", build_table(max_bytes=8_000), 100, _NOW_MS),
@@ -170,9 +170,9 @@
                 self.assertEqual(get_code(verdict), ResultCode.KEY_TOO_OLD)
                 self.assertLess(len(keys), count)
 
-    def test_wall_clock_set_back_reopens_nothing(self):
-        # Keys are forgotten by age, then the machine's clock is set back. The keys
-        # look young again; they must stay refused.
+    def test_wall_clock_set_back_readmits_no_key(self):
+        # Keys are evicted by age, then the wall clock is set back. The keys appear
+        # recent again and must still be refused.
         keys = build_table(max_age_ms=10_000.0)
         key = mint_at(_NOW_MS)
         keys.finish(begin(keys, key=key).record, _OK)
@@ -180,7 +180,7 @@
         verdict = begin(keys, key=key, wall_ms=_NOW_MS)
         self.assertEqual(get_code(verdict), ResultCode.KEY_TOO_OLD)
 
-    def test_answers_go_before_keys(self):
+    def test_answers_are_evicted_before_keys(self):
         keys = build_table(max_bytes=20_000)
         names = [mint_at(_NOW_MS + number) for number in range(4)]
         large = attrs.evolve(_OK, body=b"x" * 6_000)
@@ -197,7 +197,7 @@
         self.assertEqual(get_code(verdicts[-1]), ResultCode.OVERLOADED)
         self.assertLessEqual(keys.size_bytes, 8_000)
 
-    def test_old_key_in_progress_is_joined_not_refused(self):
+    def test_repeat_of_old_key_in_progress_waits_for_answer(self):
         keys = build_table(max_age_ms=10_000.0)
         key = mint_at(_NOW_MS)
         record = begin(keys, key=key).record
--- a/trefoilhook/requests/tests/test_invariants.py
+++ b/trefoilhook/requests/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold, while shards move and answers get lost at random."""
+"""Invariants under random ownership changes and lost answers."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 @attrs.define(kw_only=True)
 class FaultInjector:
-    """Faults and callers over one cluster, and what was seen."""
+    """Injects faults into a cluster, sends requests and checks the answers."""
 
     cluster: Cluster
     generator: random.Random
@@ -30,11 +30,11 @@
     executed: int = 0
 
     def list_runs(self):
-        """Return the ids of all requests that executors ran."""
+        """Return the IDs of all requests that the executors ran."""
         return [run for each in self.cluster.executors.values() for run in each.runs]
 
     async def inject_faults(self):
-        """Move shards, with and without a handover; lose answers; end old runs."""
+        """Move shards with and without a handover, lose answers, end orphaned runs."""
         cluster = self.cluster
         names = list(cluster.services)
         for _ in range(_FAULTS):
@@ -56,7 +56,7 @@
             inner.lost_answers = self.generator.choice((0, 0, 1))
 
     async def call(self, number):
-        """Send one order, and again under the same key until its fate is known."""
+        """Send a request and repeat it with the same key until it was executed."""
         await trio.sleep(self.generator.uniform(0.0, 8.0))
         body = f"order {number}".encode()
         wall_ms = self.cluster.clock.wall_ms() + self.generator.uniform(-900.0, 900.0)
@@ -72,7 +72,7 @@
             await trio.sleep(self.generator.uniform(0.0, 0.5))
 
     def check(self, request, answer):
-        """Compare what a caller is told with what the executors ran."""
+        """Compare an answer with the records of the executors."""
         was_run = request.key.hex() in self.list_runs()
         outcome = answer.code.outcome
         if outcome is Outcome.NOT_RUN and was_run:
@@ -85,12 +85,12 @@
 
 
 class InvariantTest(unittest.TestCase):
-    """Orders that must not repeat, over instances whose clocks disagree."""
+    """Non-idempotent requests to instances whose clocks differ."""
 
-    def test_whatever_moves_orders_run_once_and_callers_hear_the_truth(self):
-        # Owners change every tenth of a second, half of them without a word, answers
-        # get lost, clocks are apart by the most allowed, and callers retry through
-        # any instance. The executors' own records are compared with the answers.
+    def test_requests_run_at_most_once_and_answers_are_correct_under_faults(self):
+        # Shards change owners about every 100 ms, half of the time without a handover.
+        # Answers get lost, clocks differ by the allowed maximum, and callers retry
+        # through any instance. The answers are compared with the executors' records.
         executed = 0
         for seed in _SEEDS:
             with self.subTest(seed=seed):
@@ -116,7 +116,7 @@
                 for executor in cluster.executors.values():
                     self.assertLessEqual(executor.high_water, 8)
                 executed += injector.executed
-        # Not an invariant: shows that enough was run for the others to mean something.
+        # Not an invariant: ensures that enough requests ran for a meaningful check.
         self.assertGreater(executed, _CALLERS)
 
 
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""What owners tell their peers about executors, and how soon they take them in."""
+"""Load summaries sent to peers, and executors of newly claimed shards."""
 
 import unittest
 
@@ -28,12 +28,12 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """Summaries of executors' loads."""
+    """Load summaries of executors."""
 
-    def test_summaries_are_sent_for_news_only(self):
-        # Summaries leave each 200 ms and grow old after 1,000 ms. An idle owner sends
-        # them just often enough; one whose executors run requests sends each, also
-        # when the counts happen to look the same each time.
+    def test_unchanged_summaries_are_sent_only_before_expiry(self):
+        # Summaries are due every 200 ms and expire after 1,000 ms. An idle owner sends
+        # them only before they expire. An owner whose executors run requests sends each
+        # of them, even if the counts are equal.
         for is_busy, least, most in ((False, 2, 3), (True, 9, 11)):
             with self.subTest(is_busy=is_busy):
                 cluster = Cluster(instance_count=2, executor_count=1)
@@ -60,9 +60,9 @@
                 self.assertGreaterEqual(counts[0], least)
                 self.assertLessEqual(counts[0], most)
 
-    def test_idle_summaries_do_not_grow_old(self):
-        # An owner with nothing new must still be known to its peers, or they would
-        # leave its free executors out.
+    def test_summaries_of_idle_owner_do_not_expire(self):
+        # Peers must keep a current summary of an idle owner. Otherwise they would not
+        # use its free executors.
         cluster = Cluster(instance_count=2, executor_count=1)
         found = []
 
@@ -80,13 +80,13 @@
         self.assertNotIn(None, found)
 
 
-class TakeInTest(unittest.TestCase):
-    """A request that gets to a new owner before the owner has looked."""
+class NewOwnerTest(unittest.TestCase):
+    """Executors of a shard that has just been claimed or is handed over."""
 
-    def test_request_that_follows_at_once_is_served(self):
-        # A shard is claimed, and in the same moment a peer sends on a request for its
-        # executor. The owner looks at its shards ten times a second; until then it
-        # would say that it owns no such executor.
+    def test_request_right_after_claim_is_served(self):
+        # A shard is claimed, and a peer immediately forwards a request for its
+        # executor. The owner must not refuse it although its periodic update, every
+        # 100 ms, has not added the executor yet.
         cluster = Cluster(instance_count=2, executor_count=1)
         codes = []
 
@@ -105,11 +105,11 @@
         run_scenario(cluster, scenario)
         self.assertEqual(codes, [ResultCode.OK.number])
 
-    def test_executor_that_was_never_looked_at_is_handed_over_as_free(self):
-        # An instance hands a shard over right after its start, before it has looked
-        # at the shard's executors. Their next owner serves at once, in place of
-        # waiting for requests that nobody sent. What an earlier owner may have sent,
-        # or this one once did, is still waited for.
+    def test_never_added_executor_is_handed_over_as_idle(self):
+        # An instance hands a shard over right after startup, before it has added the
+        # shard's executors. The next owner must use them at once instead of waiting for
+        # requests that were never sent. It must still wait if an earlier owner existed
+        # or the executor had been added before.
         for fault in ("none", "earlier owner", "seen before"):
             with self.subTest(fault):
                 cluster = Cluster(instance_count=2, executor_count=1)
--- a/trefoilhook/requests/tests/test_path.py
+++ b/trefoilhook/requests/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path of a request over several instances, with faults."""
+"""Requests through a cluster of several instances, with faults."""
 
 import unittest
 
@@ -23,9 +23,9 @@
 
 
 class PathTest(unittest.TestCase):
-    """What callers are told, and what the executors ran."""
+    """Answers to callers, compared with what the executors ran."""
 
-    def test_each_entry_gives_the_whole_answer(self):
+    def test_each_entry_returns_complete_answer(self):
         cluster = Cluster()
 
         async def scenario(nursery):
@@ -37,9 +37,9 @@
         run_scenario(cluster, scenario)
         self.assertEqual(cluster.count_runs(), 3)
 
-    def test_same_key_through_other_entries_runs_once(self):
-        # A booking page shows no answer, so the family presses again, and the balancer
-        # picks other instances. All are answered with the one sale.
+    def test_same_key_through_different_entries_runs_once(self):
+        # A client sends the same request several times, and the load balancer selects
+        # different instances. All of them must return the answer of a single run.
         cluster = Cluster()
         answers = []
 
@@ -59,9 +59,9 @@
         self.assertEqual({each.body for each in answers}, {b"whole two"})
         self.assertEqual(answers[-1].code, ResultCode.REPLAYED)
 
-    def test_answer_lost_between_instances_is_asked_for_again(self):
-        # A link between two instances is cut while the answer is on it. The entry asks
-        # the key's owner again; the caller gets the answer of the one run.
+    def test_request_is_retried_after_answer_lost_between_instances(self):
+        # The link between two instances fails while an answer is in transit. The entry
+        # repeats the request, and the caller gets the answer of the only run.
         cluster = Cluster()
         answers = []
 
@@ -74,9 +74,9 @@
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual(answers[0].body, b"whole two")
 
-    def test_key_run_by_a_lost_owner_is_never_run_again(self):
-        # The key's owner runs a sale and dies before it answers. The caller retries
-        # with the same key; the new owner has no record of it.
+    def test_key_run_by_crashed_owner_is_never_run_again(self):
+        # The key's owner runs a request and crashes before it answers. The caller
+        # retries with the same key, of which the new owner has no record.
         cluster = Cluster()
         answers = []
 
@@ -93,7 +93,7 @@
         self.assertEqual(cluster.count_runs(), 1)
         self.assertEqual(answers[0].code, ResultCode.OUTCOME_UNKNOWN)
 
-    def test_handover_keeps_the_answer(self):
+    def test_handover_preserves_answer(self):
         cluster = Cluster()
         answers = []
 
@@ -113,10 +113,10 @@
         self.assertEqual(answers[0].code, ResultCode.REPLAYED)
         self.assertEqual(answers[0].body, b"whole two")
 
-    def test_frozen_executor_owner_sends_nothing_after_its_right_ended(self):
-        # An owner is frozen while a request waits for its connection, and another
-        # instance takes the executor over. Thawed, it must not send: the slot is
-        # counted elsewhere by now.
+    def test_suspended_executor_owner_sends_nothing_after_losing_ownership(self):
+        # An owner is suspended while a request waits for its connection, and another
+        # instance becomes the owner of the executor. After resuming, the old owner must
+        # not send the request, as the new owner now accounts for the slot.
         cluster = Cluster(instance_count=1, executor_count=1)
         answers = []
 
@@ -139,9 +139,10 @@
         self.assertEqual(cluster.count_runs(), 0)
         self.assertEqual(answers[0].code.outcome, Outcome.NOT_RUN)
 
-    def test_lost_answer_of_a_sale_is_not_tried_again(self):
-        # An executor's connection breaks after the order left. Nobody knows whether
-        # it ran, so neither this attempt nor a retry may send it again.
+    def test_lost_answer_is_retried_only_if_idempotent(self):
+        # An executor's connection breaks after a request was sent, and it is unknown
+        # whether it ran. Neither the owner nor a retry of the caller may send it again,
+        # unless it is idempotent.
         for is_idempotent, runs in ((False, 1), (True, 2)):
             with self.subTest(is_idempotent=is_idempotent):
                 service = ServiceSettings(is_idempotent=is_idempotent)
@@ -169,10 +170,10 @@
                     lost, unknown = ResultCode.ANSWER_LOST, ResultCode.OUTCOME_UNKNOWN
                     self.assertEqual(codes, [lost, unknown])
 
-    def test_without_the_owners_word_nothing_is_said_of_earlier_attempts(self):
-        # A caller retries after silence and meets an instance that finds no owner.
-        # Told "not run" it would order again under a new key, though the first
-        # attempt was run.
+    def test_answer_without_key_owner_does_not_cover_earlier_attempts(self):
+        # A caller retries after a lost answer, through an instance that finds no owner.
+        # If told "not run", it would repeat the request with a new key although the
+        # first attempt was run.
         table = (
             (Attempt.NOT_SAID, ResultCode.ATTEMPT_NOT_RUN),
             (Attempt.REPEATED, ResultCode.ATTEMPT_NOT_RUN),
@@ -189,7 +190,7 @@
 
         run_scenario(cluster, scenario)
 
-    def test_key_minted_just_before_a_takeover(self):
+    def test_key_created_just_before_takeover(self):
         table = (
             (Attempt.NOT_SAID, ResultCode.OUTCOME_UNKNOWN),
             (Attempt.FIRST, ResultCode.KEY_TOO_OLD),
@@ -208,8 +209,8 @@
             self.assertEqual(cluster.count_runs(), 0)
 
     def test_late_answer_is_kept_for_the_retry(self):
-        # The executor answers after the caller's deadline. The caller is told so at
-        # its deadline; its retry gets the answer, and nothing runs twice.
+        # The executor answers after the caller's deadline. The caller gets a timeout at
+        # its deadline, a retry gets the answer, and the request runs only once.
         cluster = Cluster()
         answers = []
 
@@ -228,8 +229,8 @@
         self.assertEqual(cluster.count_runs(), 1)
 
     def test_overload_never_exceeds_the_slots_and_refuses_in_time(self):
-        # Far more requests than slots come at once through all entries. Each caller
-        # has an answer by its deadline, and no executor runs more than its slots.
+        # Many more requests than slots arrive at once through all entries. Each caller
+        # must be answered by its deadline, and no executor may exceed its slots.
         cluster = Cluster(service=ServiceSettings(timeout_ms=400.0, max_queue=1000))
         answers = []
         late = []
@@ -258,7 +259,7 @@
         self.assertLessEqual(executed, cluster.count_runs())
         self.assertLessEqual(cluster.count_runs(), executed + unknown)
 
-    def test_quota_is_shared_by_shards_and_refused_with_a_time(self):
+    def test_quota_is_split_by_shards_and_refusal_has_retry_time(self):
         cluster = Cluster(quota_per_s=24.0)
         answers = []
 
@@ -277,7 +278,7 @@
         self.assertTrue(all(each.retry_after_ms > 0 for each in refused))
         self.assertLess(cluster.count_runs(), for_all)
 
-    def test_leaving_executor_gets_nothing_new(self):
+    def test_leaving_executor_receives_no_new_request(self):
         cluster = Cluster(executor_count=2)
 
         async def scenario(nursery):
--- a/trefoilhook/requests/tests/test_policy.py
+++ b/trefoilhook/requests/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Routing, retry budgets, quotas, hedging delay, keys and handover messages."""
+"""Tests of routing, retries, hedging, quotas, keys and handover messages."""
 
 import math
 import random
@@ -33,15 +33,15 @@
 
 
 def build_candidate(name, **changes):
-    """Build another owner's executor."""
+    """Build a candidate executor of another owner."""
     fields = {"free": 0, "queued_per_slot": 0.0, "is_same_domain": False, **changes}
     return Candidate(executor_id=name, owner_id="o", **fields)
 
 
 class RoutingTest(unittest.TestCase):
-    """Where a request goes."""
+    """Selection of a request's destination."""
 
-    def test_choice(self):
+    def test_route_selection(self):
         own_free = ServiceLoad(free=1, usable=8, queued=0)
         own_full = ServiceLoad(free=0, usable=8, queued=5)
         own_open = ServiceLoad(free=0, usable=0, queued=0)
@@ -83,9 +83,9 @@
             Route(),
         )
 
-    def test_old_or_foreign_summary_is_not_used(self):
-        # An owner is cut off, or has handed its executor over. Its last summary shows
-        # free slots for ever; followed, it would draw all requests to a dead end.
+    def test_outdated_or_foreign_summary_is_ignored(self):
+        # An owner is unreachable or has handed its executor over. Its last summary
+        # still shows free slots and must not attract requests.
         loads = PeerLoads(max_age_ms=1_000.0)
         load = ReportedLoad(
             sender_id="a",
@@ -111,9 +111,9 @@
 
 
 class RetryTest(unittest.TestCase):
-    """What may be tried again, and how often."""
+    """Conditions for retries, and their number."""
 
-    def test_what_may_be_tried_again(self):
+    def test_which_results_may_be_retried(self):
         table = (
             (ResultCode.OK, True, False),
             (ResultCode.BACKEND_FAILED, True, False),
@@ -131,8 +131,8 @@
                 self.assertIs(allowed, expected)
 
     def test_retries_stay_a_fraction_of_requests(self):
-        # Every executor fails. Without a budget each request would be sent four
-        # times, and the overload would feed itself.
+        # All executors fail. Without a budget each request would be sent four times,
+        # which would amplify the overload.
         policy = RetryPolicy(ratio=0.1, reserve=10.0)
         retries = 0
         for _ in range(1_000):
@@ -144,7 +144,7 @@
         self.assertLessEqual(retries, 111)
         self.assertGreaterEqual(retries, 100)
 
-    def test_hedge_waits_for_the_learned_quantile(self):
+    def test_hedge_delay_is_percentile_of_run_times(self):
         policy = HedgePolicy(is_enabled=True, percentile=95.0)
         for number in range(100):
             self.assertEqual(policy.get_delay_ms("s", is_idempotent=True), math.inf)
@@ -155,7 +155,7 @@
 
 
 class QuotaTest(unittest.TestCase):
-    """A team's requests a second."""
+    """Request rate limits of teams."""
 
     def test_rate_over_time(self):
         quotas = TeamQuotas(burst_s=1.0)
@@ -171,7 +171,7 @@
         self.assertTrue(105 <= taken["a"] <= 111, taken)
         self.assertEqual(taken["b"], 20)
 
-    def test_time_to_come_back_is_when_there_is_a_token(self):
+    def test_retry_time_is_when_next_token_is_available(self):
         quotas = TeamQuotas(burst_s=0.0)
         fields = {"quota_per_s": 10.0, "share": 1.0}
         self.assertEqual(quotas.take("a", now_ms=0.0, **fields), 0.0)
@@ -186,7 +186,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys and digests."""
+    """Idempotency keys and request digests."""
 
     def test_parse(self):
         key = mint_key()
@@ -208,7 +208,7 @@
         self.assertEqual(len(counts), 64)
         self.assertLess(max(counts.values()), 160)
 
-    def test_digest_tells_requests_apart(self):
+    def test_digest_distinguishes_requests(self):
         fields = {"team": "a", "service": "b", "content_type": "c", "body": b"d"}
         digests = {compute_digest(**fields)}
         for name in ("team", "service", "content_type"):
@@ -219,9 +219,9 @@
 
 
 class HandoverTest(unittest.TestCase):
-    """Records in the handover message."""
+    """Encoding of key records in the handover message."""
 
-    def test_fates_survive(self):
+    def test_key_records_survive_encoding(self):
         answer = CallerAnswer(code=ResultCode.OK, status=200, body=b"whole")
         records = [
             KeyRecord(key=mint_at(10), minted_ms=10, digest=b"1"),
--- a/trefoilhook/requests/tests/test_slots.py
+++ b/trefoilhook/requests/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Exact count of an executor's slots, its circuit and its queue."""
+"""Tests of slot accounting, the circuit breaker and the queue."""
 
 import math
 import unittest
@@ -10,20 +10,20 @@
 
 
 def build_circuit():
-    """Build a circuit."""
+    """Build a circuit breaker."""
     return Circuit(
         failure_limit=5, open_ms=1_000.0, open_limit_ms=4_000.0, probation_successes=3
     )
 
 
 def build_slots(**changes):
-    """Build the count of an executor with eight slots."""
+    """Build the slot accounting of an executor with eight slots."""
     fields = {"slots": 8, "circuit": build_circuit(), "settle_ms": 250.0, **changes}
     return ExecutorSlots(**fields)
 
 
 def take_all(slots, now_ms):
-    """Take every free slot; return how many there were."""
+    """Acquire all free slots and return their number."""
     count = 0
     while slots.count_free(now_ms):
         slots.acquire(now_ms)
@@ -32,15 +32,15 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """Slots in use, unproved and kept back."""
+    """Slots in use, unproved slots and reserved slots."""
 
-    def test_never_more_than_the_slots(self):
+    def test_slots_are_never_exceeded(self):
         slots = build_slots()
         self.assertEqual(take_all(slots, 0.0), 8)
         with self.assertRaises(RuntimeError):
             slots.acquire(0.0)
 
-    def test_slot_comes_back_only_when_the_request_is_over(self):
+    def test_slot_is_released_only_when_request_has_ended(self):
         table = (
             (AttemptOutcome.ANSWERED, 8),
             (AttemptOutcome.FAILED, 8),
@@ -56,9 +56,9 @@
                 slots.release(outcome, now_ms=0.0)
                 self.assertEqual(slots.count_free(0.0), free)
 
-    def test_lost_request_is_released_by_the_executors_own_count(self):
-        # A connection breaks while a request runs. Its slot stays taken while the
-        # executor still counts it, also if others come and go, and is free after.
+    def test_lost_request_is_released_by_executors_count(self):
+        # A connection breaks while a request runs. Its slot stays in use as long as
+        # the executor counts the request, even if other requests start and end.
         slots = build_slots()
         slots.acquire(0.0)
         slots.acquire(0.0)
@@ -74,9 +74,9 @@
             self.assertEqual(slots.unproved, unproved)
             self.assertEqual(slots.count_free(now_ms), 8 - unproved)
 
-    def test_count_taken_while_bytes_may_still_arrive_proves_nothing(self):
-        # An answer is lost at a cut; the executor is asked at once and runs nothing.
-        # The request's bytes are still on their way and start it a moment later.
+    def test_probe_while_bytes_may_still_arrive_releases_nothing(self):
+        # A connection breaks, and a probe shortly afterwards reports no running
+        # request. The bytes of the lost request may still arrive and start it later.
         slots = build_slots()
         slots.acquire(0.0)
         slots.release(AttemptOutcome.LOST, now_ms=0.0)
@@ -84,9 +84,9 @@
         slots.end_probe(probe, in_use=0, now_ms=101.0)
         self.assertEqual(slots.unproved, 1)
 
-    def test_count_mixed_with_requests_from_here_proves_nothing(self):
-        # While one request from here is on its way out, the executor's count of one
-        # is the lost request's; taken for the new one, the slot would be given twice.
+    def test_probe_during_own_requests_releases_nothing(self):
+        # The executor reports only a total. If it were applied while this owner sends
+        # another request, the lost request's slot could be assigned twice.
         slots = build_slots()
         slots.acquire(0.0)
         slots.release(AttemptOutcome.LOST, now_ms=0.0)
@@ -100,9 +100,9 @@
         slots.end_probe(probe, in_use=0, now_ms=303.0)
         self.assertEqual(slots.unproved, 1)
 
-    def test_takeover_counts_what_the_predecessor_left(self):
-        # An owner is frozen with five requests running and one checked but not sent.
-        # The new owner learns of five, and keeps one back for the sixth.
+    def test_takeover_counts_requests_of_previous_owner(self):
+        # An owner is suspended with five requests running and one checked but not sent.
+        # The new owner learns of five and reserves a slot for the sixth.
         slots = build_slots(
             is_count_unknown=True, probe_from_ms=250.0, reserved_until_ms=60_000.0
         )
@@ -121,9 +121,9 @@
 
 
 class CircuitTest(unittest.TestCase):
-    """An executor that fails everything."""
+    """Circuit breaker of a failing executor."""
 
-    def test_opens_tries_again_and_closes(self):
+    def test_opens_enters_probation_and_closes(self):
         circuit = build_circuit()
         opened = [circuit.record_failure(now_ms=0.0) for _ in range(5)]
         self.assertEqual(opened, [False] * 4 + [True])
@@ -154,8 +154,8 @@
         self.assertIs(circuit.state, CircuitState.CLOSED)
 
     def test_bad_requests_of_one_caller_open_no_circuit(self):
-        # One caller sends orders that always fail, to every executor. If that opened
-        # the circuits, all other callers of the service would be refused.
+        # One caller's requests fail on every executor. If they opened the circuits, all
+        # other callers of the service would be refused.
         circuit = build_circuit()
         for _ in range(10):
             circuit.record_failure(now_ms=0.0, is_service_wide=True)
@@ -163,10 +163,10 @@
 
 
 class QueueTest(unittest.TestCase):
-    """The queue refuses at once what can't start in time."""
+    """Refusal of requests that cannot start in time."""
 
     def test_refusals(self):
-        # Mean run time 100 ms, four slots: each request that waits adds 25 ms.
+        # Mean run time 100 ms, four slots: each queued request adds 25 ms.
         table = (
             (0, 25.0, 10, None),
             (0, 24.0, 10, ResultCode.OVERLOADED),
@@ -189,7 +189,7 @@
                 self.assertIs(caught.exception.code, code)
                 self.assertGreater(caught.exception.retry_after_ms, 0)
 
-    def test_expired_request_is_passed_over(self):
+    def test_expired_request_is_skipped(self):
         queue = ServiceQueue()
         fields = {"now_ms": 0.0, "slots": 8, "max_waiting": 10}
         expired = queue.enqueue(deadline_ms=50.0, **fields)
--- a/trefoilhook/requests/tests/test_takeover.py
+++ b/trefoilhook/requests/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""Shards that change hands: slots counted exactly, handovers that come late."""
+"""Changes of shard ownership: slot accounting, key tables and late handovers."""
 
 import unittest
 
@@ -31,7 +31,7 @@
 
 
 class SlotTakeoverTest(unittest.TestCase):
-    """A new owner of an executor's shard."""
+    """Change of the owner of an executor's shard."""
 
     def send_many(self, cluster, nursery, count, answers):
         """Send requests through the instance that owns the executor."""
@@ -53,9 +53,9 @@
         cluster.move_shard(shard_id, new)
         return old, new
 
-    def test_slots_of_a_dead_owners_requests_are_not_given_twice(self):
-        # An owner dies with eight long requests running at an executor. Its successor
-        # must not send more until the executor says that some of them are over.
+    def test_slots_of_crashed_owners_requests_are_not_assigned_twice(self):
+        # An owner crashes while an executor runs eight of its requests. The next owner
+        # must not send more until the executor reports that some of them have ended.
         cluster = Cluster(**_ONE_EXECUTOR, service=ServiceSettings(timeout_ms=9e3))
         executors = cluster.executors
         answers = []
@@ -76,10 +76,10 @@
         codes = [each.code for each in answers]
         self.assertEqual(codes.count(ResultCode.OK), 38, codes)
 
-    def test_one_slot_is_kept_for_a_frozen_predecessor(self):
-        # An owner is frozen right after it checked its right and before the bytes
-        # left; only the kernel has not sent them. Its successor fills the executor;
-        # then the old owner thaws and its one request arrives.
+    def test_one_slot_is_reserved_for_suspended_previous_owner(self):
+        # An owner is suspended between its last ownership check and the send. The next
+        # owner fills the executor, then the old owner resumes and its request arrives.
+        # The executor must not exceed its slots.
         cluster = Cluster(**_ONE_EXECUTOR, service=ServiceSettings(timeout_ms=9e3))
         executors = cluster.executors
         answers = []
@@ -117,9 +117,9 @@
 
         run_scenario(cluster, scenario)
 
-    def test_requests_that_wait_follow_the_executor(self):
-        # Requests wait at an owner when its executor goes to another one. They go
-        # there too, in place of waiting out their deadlines.
+    def test_queued_requests_follow_the_executor(self):
+        # An executor moves to another owner while requests are queued for it. They must
+        # be forwarded there instead of waiting until their deadlines.
         cluster = Cluster(**_ONE_EXECUTOR)
         answers = []
 
@@ -135,10 +135,10 @@
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.OK] * 10)
 
-    def test_late_handover_of_an_earlier_owner_is_not_believed(self):
-        # A handover is held up on the way while a third instance owned the shard and
-        # ran a sale. It knows nothing of that sale; neither its slots nor its word
-        # that all other keys were not run may count.
+    def test_late_handover_of_earlier_owner_is_ignored(self):
+        # A handover is delayed while another instance owns the shard and uses the
+        # executor. It does not cover that instance's requests, so its slot counts must
+        # be ignored.
         cluster = Cluster(instance_count=3, executor_count=1)
         executors = cluster.executors
         answers = []
@@ -166,9 +166,9 @@
 
 
 class KeyTakeoverTest(unittest.TestCase):
-    """A new owner of a key's shard."""
+    """Change of the owner of a key's shard."""
 
-    def test_late_handover_vouches_for_no_key(self):
+    def test_late_handover_admits_no_unknown_key(self):
         cluster = Cluster(instance_count=3)
         codes = []
 
@@ -196,14 +196,14 @@
             [("direct", ResultCode.OK), ("late", ResultCode.OUTCOME_UNKNOWN)],
         )
 
-    def test_shard_that_comes_back_begins_with_an_empty_table(self):
-        # A shard goes to another instance, which runs a sale and dies, and comes back
-        # at once. The table of the first time must not vouch for that sale's key.
+    def test_reclaimed_shard_starts_with_empty_table(self):
+        # A shard moves to another instance, which runs a request and crashes, and back.
+        # The table of the first period does not contain that key and must not be used.
         cluster = Cluster(instance_count=2)
         answers = []
 
         async def scenario(nursery):
-            await trio.sleep(0.05)  # between two ticks of the upkeep
+            await trio.sleep(0.05)  # between two runs of the maintenance
             key = cluster.mint(owner="i0")
             shard_id = cluster.find_key_shard(key)
             owner = cluster.services["i0"]._key_owner
@@ -222,15 +222,15 @@
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.OK, ResultCode.OUTCOME_UNKNOWN])
 
-    def test_key_is_judged_by_a_time_before_the_right_was_checked(self):
-        # An owner checks its right and is frozen right there for ten seconds. Judged
-        # by the time after, a key from the future would be let in that the instance
-        # which owns the shard by then lets in as well.
+    def test_key_time_is_compared_with_clock_read_before_ownership_check(self):
+        # An owner is suspended for ten seconds during its ownership check. With the
+        # time after it, a key from the future would be accepted, which the instance
+        # that owns the shard by then would accept as well.
         cluster = Cluster(instance_count=1)
         codes = []
 
         async def scenario(nursery):
-            await trio.sleep(0.05)  # between two ticks of the upkeep
+            await trio.sleep(0.05)  # between two runs of the maintenance
             ownership = cluster.ownerships["i0"]
             key = mint_at(cluster.clock.wall_ms() + 5_000.0)
 
@@ -244,8 +244,8 @@
         run_scenario(cluster, scenario)
         self.assertEqual(codes, [ResultCode.KEY_AHEAD])
 
-    def test_table_of_an_earlier_claim_is_not_used_for_a_later_one(self):
-        # The same, and the shard is back before the upkeep has dropped the table.
+    def test_table_of_earlier_claim_is_not_reused(self):
+        # As above, but the shard returns before maintenance has removed the table.
         cluster = Cluster(instance_count=2)
         answers = []
 
@@ -263,7 +263,7 @@
         run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.OUTCOME_UNKNOWN)
 
-    def test_handover_that_comes_before_the_claim_is_kept(self):
+    def test_handover_received_before_claim_is_kept(self):
         cluster = Cluster(instance_count=2)
         answers = []
 
@@ -279,9 +279,10 @@
         run_scenario(cluster, scenario)
         self.assertEqual(answers[0].code, ResultCode.REPLAYED)
 
-    def test_right_that_comes_back_keeps_the_keys(self):
-        # The store is down and an owner may not act for a moment; nobody claims the
-        # shard, and its right comes back. A caller's retry still gets its answer.
+    def test_resumed_ownership_keeps_the_keys(self):
+        # The store is unavailable and an owner may temporarily not act. No other
+        # instance claims the shard, and ownership resumes at the same epoch. A
+        # caller's retry must still get its answer.
         cluster = Cluster(instance_count=2)
         answers = []
 
@@ -303,8 +304,8 @@
             codes, [ResultCode.OK, ResultCode.ATTEMPT_NOT_RUN, ResultCode.REPLAYED]
         )
 
-    def test_idempotent_request_goes_on_without_its_owner(self):
-        # A key's owner is gone. A seat check may run twice, so its callers need not
+    def test_idempotent_request_runs_without_key_owner(self):
+        # A key's owner is unreachable. An idempotent request may run twice and need not
         # wait for the takeover.
         cluster = Cluster(service=ServiceSettings(is_idempotent=True))
         answers = []
@@ -319,10 +320,10 @@
 
 
 class FaultTest(unittest.TestCase):
-    """Faults on the way that are no change of owner."""
+    """Faults without a change of owner."""
 
-    def test_silent_owner_does_not_hold_the_caller_past_its_deadline(self):
-        # An owner is frozen; the link to it is up but nothing comes back. The caller
+    def test_unresponsive_owner_does_not_delay_caller_past_deadline(self):
+        # An owner is suspended; the link to it is up but no answer arrives. The caller
         # is told at its deadline that the outcome is unknown.
         cluster = Cluster()
         result = []
@@ -341,9 +342,9 @@
         self.assertIs(code, ResultCode.DEADLINE_AFTER_SEND)
         self.assertAlmostEqual(waited_s, 0.4, delta=0.001)
 
-    def test_request_that_waits_in_vain_is_told_so_in_time(self):
-        # The slots are held by runs far longer than learned. A request that waits for
-        # one was not run, and its caller must hear that and not "unknown".
+    def test_queued_request_is_refused_before_its_deadline(self):
+        # The slots are held by requests that run much longer than average. A request
+        # that stays queued was not run, and its caller must not be told "unknown".
         cluster = Cluster(instance_count=2, executor_count=1)
         answers = []
 
@@ -366,9 +367,9 @@
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.QUEUE_DEADLINE] * 2)
 
-    def test_nothing_leaves_after_the_deadline_or_for_a_leaving_executor(self):
-        # A request has its slot but waits for a connection. Meanwhile its caller is
-        # told "not run", or the executor begins to leave: it must not leave any more.
+    def test_nothing_is_sent_after_deadline_or_to_leaving_executor(self):
+        # A request has a slot and waits for a connection. Meanwhile its caller is told
+        # "not run" or the executor starts leaving, so it must not be sent any more.
         for fault in ("deadline", "leaving"):
             with self.subTest(fault):
                 cluster = Cluster(instance_count=1, executor_count=1)
@@ -392,9 +393,9 @@
                 run_scenario(cluster, scenario)
                 self.assertEqual(cluster.count_runs(), 0)
 
-    def test_not_run_after_a_lost_answer_is_not_believed(self):
-        # The link is cut while the key's owner answers. A second copy is refused as
-        # not run, but the first may still be held up on its way to the owner.
+    def test_not_run_after_lost_answer_is_reported_as_unknown(self):
+        # The link fails while the key's owner answers. A second copy is refused as not
+        # run, but the first may still be in transit to the owner.
         cluster = Cluster()
         answers = []
 
@@ -408,9 +409,9 @@
         run_scenario(cluster, scenario)
         self.assertIs(answers[0].code.outcome, Outcome.UNKNOWN)
 
-    def test_executor_that_refuses_connections_is_passed_over(self):
-        # One of three executors is gone though the list still shows it. Its owner
-        # proves that nothing left and sends the order to another.
+    def test_executor_that_refuses_connections_is_skipped(self):
+        # One of three executors is down but still listed. Its owner detects that
+        # nothing was sent and sends the request to another executor.
         cluster = Cluster(instance_count=1)
         answers = []
 
@@ -423,9 +424,9 @@
         run_scenario(cluster, scenario)
         self.assertEqual({each.code for each in answers}, {ResultCode.OK})
 
-    def test_given_up_request_passes_its_slot_on(self):
-        # A request is given a slot in the same moment in which whoever waited for it
-        # is cancelled. A slot lost so would be missing for ever.
+    def test_cancelled_request_releases_its_slot(self):
+        # A waiting request is cancelled at the moment at which it is granted a slot.
+        # The slot must not be leaked.
         cluster = Cluster(instance_count=1, executor_count=1)
 
         async def scenario(nursery):
@@ -447,7 +448,7 @@
 
         run_scenario(cluster, scenario)
 
-    def test_drain_waits_for_what_is_in_progress(self):
+    def test_drain_waits_for_requests_in_progress(self):
         cluster = Cluster(instance_count=1)
         answers = []
 
@@ -469,7 +470,7 @@
         self.assertEqual(answers[0].code, ResultCode.OK)
         self.assertEqual(answers[1].code.outcome, Outcome.UNKNOWN)
 
-    def test_hedge_sends_a_second_copy_of_a_slow_check(self):
+    def test_hedge_sends_second_copy_of_slow_request(self):
         settings = RequestSettings(shard_count=8, is_hedging=True)
         service = ServiceSettings(is_idempotent=True)
         cluster = Cluster(instance_count=1, settings=settings, service=service)
