--- a/trefoilhook/requests/core.py
+++ b/trefoilhook/requests/core.py
@@ -23,16 +23,15 @@
 from trefoilhook.logs import Event, log_event
 from trefoilhook.requests.admission import ExecutorPool
 from trefoilhook.requests.buckets import TeamQuotas
-from trefoilhook.requests.dispatch import run_locally
-from trefoilhook.requests.forwarding import (
+from trefoilhook.requests.callers import (
     ForwardedRequest,
     adjust_for_caller,
     forward_to_key_owner,
     run_unkeyed,
 )
+from trefoilhook.requests.dispatch import run_locally
 from trefoilhook.requests.handover import decode_keys, encode_handover
 from trefoilhook.requests.keyowner import KeyOwner
-from trefoilhook.requests.maintenance import Maintenance
 from trefoilhook.requests.models import (
     CallerAnswer,
     CallerRequest,
@@ -54,6 +53,7 @@
 from trefoilhook.requests.retry import HedgePolicy, RetryPolicy
 from trefoilhook.requests.routing import PeerLoads
 from trefoilhook.requests.settings import RequestSettings
+from trefoilhook.requests.upkeep import Upkeep
 from trefoilhook.results import Outcome, ResultCode
 
 __all__ = ["RequestService", "open_executor"]
@@ -158,12 +158,12 @@
             ),
             generator=generator or random.Random(),
             start=self._start,
-            get_owned_share=lambda: self._maintenance.owned_share,
+            get_owned_share=lambda: self._upkeep.owned_share,
             serve_own=self._serve_own,
         )
         self._components = components
         self._key_owner = KeyOwner(components=components)
-        self._maintenance = Maintenance(
+        self._upkeep = Upkeep(
             components=components, key_owner=self._key_owner, list_peers=list_peers
         )
 
@@ -183,9 +183,9 @@
         """Serve until cancelled."""
         async with trio.open_nursery() as nursery:
             self._background = nursery
-            await self._maintenance.tick()
-            nursery.start_soon(self._maintenance.run)
-            nursery.start_soon(self._maintenance.run_load_summaries)
+            await self._upkeep.tick()
+            nursery.start_soon(self._upkeep.run)
+            nursery.start_soon(self._upkeep.run_load_summaries)
             task_status.started()
 
     async def drain(self, *, grace_ms: float) -> None:
@@ -248,7 +248,7 @@
 
     async def handle_loads(self, call: InnerCall) -> Empty:
         """Store a peer's load summary of its executors."""
-        self._maintenance.receive_load_summary(call.sender_id, call.message)
+        self._upkeep.receive_load_summary(call.sender_id, call.message)
         return Empty()
 
     def export_handover(self, shard_id: str, epoch: int) -> ShardHandover:
@@ -257,7 +257,7 @@
         Must be called, without awaiting in between, as soon as this instance stops
         acting for the shard.
         """
-        in_use = dict.fromkeys(self._maintenance.list_never_used(shard_id), 0)
+        in_use = dict.fromkeys(self._upkeep.list_never_used(shard_id), 0)
         in_use |= {
             each.target.executor_id: each.slots.in_progress + each.slots.unproved
             for each in self._components.pool.list_executors()
@@ -274,7 +274,7 @@
         """Apply the handover message of a shard's previous owner."""
         self._key_owner.import_keys(message.shard_id, decode_keys(message))
         in_use = {each.executor_id: each.in_use for each in message.in_use}
-        self._maintenance.apply_handover(
+        self._upkeep.apply_handover(
             message.shard_id, epoch=message.epoch, in_use=in_use
         )
 
@@ -284,11 +284,11 @@
         Waiting for the next periodic update would be too late. Other instances route by
         the new shard table at once and would be told that the executor has no owner.
         """
-        self._maintenance.sync()
+        self._upkeep.sync()
 
     def note_predecessor_gone(self, shard_id: str) -> None:
         """Handle the confirmed termination of a shard's previous owner."""
-        self._maintenance.release_reserved_slots(shard_id)
+        self._upkeep.release_reserved_slots(shard_id)
 
     async def _serve_own(
         self, request: ServiceRequest, timeout_ms: float
@@ -334,7 +334,7 @@
             return await self._key_owner.serve(
                 request, pending=pending, entry_id=request.entry_instance_id
             )
-        self._maintenance.add_if_owned(request.executor_id)
+        self._upkeep.add_if_owned(request.executor_id)
         return await self._run_detached(pending)
 
     async def _run_detached(self, pending: PendingRequest) -> CallerAnswer:
--- a/trefoilhook/requests/tests/fakes.py
+++ b/trefoilhook/requests/tests/fakes.py
@@ -116,7 +116,7 @@
             return False
         copy = ExecutorLoads.FromString(message.SerializeToString())
         call = FakeCall(sender_id=self.instance_id, message=copy, timeout_ms=0.0)
-        self.services[instance_id]._maintenance.receive_load_summary(
+        self.services[instance_id]._upkeep.receive_load_summary(
             call.sender_id, call.message
         )
         return True
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -123,7 +123,7 @@
                     service = cluster.services[name]
                     service.pool.remove("exec-0")
                     if fault != "seen before":
-                        service._maintenance._added_ids.clear()
+                        service._upkeep._added_ids.clear()
                     if fault == "earlier owner":
                         cluster.ownerships[name].since_wall_ms[shard_id] = 1.0
                     handover = service.export_handover(shard_id, 1)
--- a/trefoilhook/requests/maintenance.py
+++ b/trefoilhook/requests/upkeep.py
@@ -13,7 +13,7 @@
 from trefoilhook.requests.pending import Components
 from trefoilhook.requests.routing import ReportedLoad
 
-__all__ = ["Maintenance"]
+__all__ = ["Upkeep"]
 
 _REFRESH_FRACTION = 0.7
 _OWNED_SHARE_INTERVAL_MS = 1_000.0
@@ -41,7 +41,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Maintenance:
+class Upkeep:
     """Keeps the owned executors consistent with the shards and the instance list.
 
     Parameters
