--- a/trefoilhook/requests/admission.py
+++ b/trefoilhook/requests/admission.py
@@ -233,7 +233,7 @@
             self._abandon(queue, waiter)
             raise
         if waiter.executor is None:
-            queue.remove(waiter)
+            queue.discard(waiter)
             raise QueueRefusedError(
                 "no slot became free in time",
                 code=waiter.refusal,
@@ -327,7 +327,7 @@
 
     def _abandon(self, queue: ServiceQueue, waiter: Waiter) -> None:
         """Remove a cancelled request and reassign the slot that it was granted."""
-        queue.remove(waiter)
+        queue.discard(waiter)
         executor = waiter.executor
         if executor is None:
             return
--- a/trefoilhook/requests/buckets.py
+++ b/trefoilhook/requests/buckets.py
@@ -44,8 +44,8 @@
         """
         if math.isinf(self.rate_per_s):
             return 0.0
-        grown = (now_ms - self.filled_at_ms) / _MS_PER_S * self.rate_per_s
-        self._tokens = min(self.burst, self._tokens + grown)
+        refill = (now_ms - self.filled_at_ms) / _MS_PER_S * self.rate_per_s
+        self._tokens = min(self.burst, self._tokens + refill)
         self.filled_at_ms = now_ms
         if self._tokens >= 1.0:
             self._tokens -= 1.0
--- a/trefoilhook/requests/callers.py
+++ b/trefoilhook/requests/callers.py
@@ -174,7 +174,8 @@
     Only the key's owner knows of earlier attempts. If a caller were told "not run" for
     its second attempt although the first one was run, it would send the request again
     with a new key. Without an answer from the owner, "not run" is therefore returned
-    only to callers that declare their first attempt.
+    only to callers that declare their first attempt. Others are told that this attempt
+    was not run or that the outcome is unknown.
     """
     code = answer.code
     if forwarded.is_answer_lost:
--- a/trefoilhook/requests/core.py
+++ b/trefoilhook/requests/core.py
@@ -243,7 +243,7 @@
         """Answer a request from another instance, in either owner role."""
         request: ServiceRequest = call.message
         with self._count():
-            answer = await self._serve_safely(request, timeout_ms=call.timeout_ms)
+            answer = await self._serve_or_refuse(request, timeout_ms=call.timeout_ms)
         return encode_answer(answer)
 
     async def handle_loads(self, call: InnerCall) -> Empty:
@@ -298,12 +298,12 @@
         The request keeps running if the entry stops waiting for it.
         """
         try:
-            return await self._serve_safely(request, timeout_ms=timeout_ms)
+            return await self._serve_or_refuse(request, timeout_ms=timeout_ms)
         except Exception as error:  # the same answer as from a failing remote owner
             log_event(Event.TASK_FAILED, task="own key", error=repr(error))
             return self._components.refuse(ResultCode.INTERNAL, "the handler failed")
 
-    async def _serve_safely(
+    async def _serve_or_refuse(
         self, request: ServiceRequest, *, timeout_ms: float
     ) -> CallerAnswer:
         try:
--- a/trefoilhook/requests/dispatch.py
+++ b/trefoilhook/requests/dispatch.py
@@ -15,7 +15,7 @@
 
 __all__ = ["MarkSent", "run_locally"]
 
-_FIRST_FAILURE_STATUS = 500
+_MIN_FAILURE_STATUS = 500
 
 MarkSent = Callable[[bool], None]
 
@@ -67,14 +67,14 @@
         Called with True immediately before the first byte may be sent, and with False
         once it is certain that no byte was sent.
     """
-    tried: list[str] = []
+    tried_ids: list[str] = []
     while True:
         try:
             grant = await components.pool.acquire(
                 pending.service_name,
                 deadline_ms=pending.deadline_ms,
                 max_waiting=pending.max_waiting,
-                avoid=tried,
+                avoid=tried_ids,
             )
         except QueueRefusedError as error:
             return components.refuse(
@@ -83,7 +83,7 @@
         except RequestError as error:
             return components.refuse(error.code, str(error))
         answer = await _send(components, pending, grant, mark_sent)
-        tried.append(grant.executor.target.executor_id)
+        tried_ids.append(grant.executor.target.executor_id)
         is_late = components.clock.monotonic_ms() >= pending.deadline_ms
         if is_late or answer.code is ResultCode.NO_OWNER:
             return answer
@@ -118,7 +118,7 @@
             else AttemptOutcome.NOT_SENT
         )
         mark_sent(False)
-        return _explain_not_sent(components, pending, attempt, str(error))
+        return _build_not_sent_answer(components, pending, attempt, str(error))
     except AnswerLostError as error:
         return components.refuse(ResultCode.ANSWER_LOST, str(error))
     except BaseException:
@@ -133,7 +133,7 @@
 
 
 def _classify_outcome(answer: ExecutorAnswer) -> AttemptOutcome:
-    if answer.status >= _FIRST_FAILURE_STATUS:
+    if answer.status >= _MIN_FAILURE_STATUS:
         return AttemptOutcome.FAILED
     return AttemptOutcome.ANSWERED
 
@@ -141,7 +141,7 @@
 def _build_answer(
     components: Components, grant: Grant, answer: ExecutorAnswer
 ) -> CallerAnswer:
-    is_failure = answer.status >= _FIRST_FAILURE_STATUS
+    is_failure = answer.status >= _MIN_FAILURE_STATUS
     return CallerAnswer(
         code=ResultCode.BACKEND_FAILED if is_failure else ResultCode.OK,
         status=answer.status,
@@ -152,7 +152,7 @@
     )
 
 
-def _explain_not_sent(
+def _build_not_sent_answer(
     components: Components, pending: PendingRequest, attempt: _SendAttempt, detail: str
 ) -> CallerAnswer:
     if not attempt.is_withdrawn:
--- a/trefoilhook/requests/handover.py
+++ b/trefoilhook/requests/handover.py
@@ -27,9 +27,9 @@
     records: list[KeyRecordMessage] = []
     remaining_bytes = _MAX_ANSWER_BYTES
     for record in reversed(handover.records):
-        is_whole = record.size_bytes <= remaining_bytes
-        remaining_bytes -= record.size_bytes if is_whole else 0
-        records.append(_encode_record(record, is_whole=is_whole))
+        is_answer_included = record.size_bytes <= remaining_bytes
+        remaining_bytes -= record.size_bytes if is_answer_included else 0
+        records.append(_encode_record(record, is_answer_included=is_answer_included))
     message = ShardHandover(
         shard_id=shard_id,
         epoch=epoch,
@@ -55,12 +55,16 @@
     return KeyHandover(epoch=message.epoch, known_from_ms=floor, records=records)
 
 
-def _encode_record(record: KeyRecord, *, is_whole: bool) -> KeyRecordMessage:
+def _encode_record(record: KeyRecord, *, is_answer_included: bool) -> KeyRecordMessage:
     code = ResultCode.OUTCOME_UNKNOWN
     if record.state in (KeyState.DONE, KeyState.DROPPED):
         code = ResultCode.ANSWER_DROPPED
     answer = CallerAnswer(code=code)
-    if record.answer is not None and record.state is KeyState.DONE and is_whole:
+    if (
+        record.answer is not None
+        and record.state is KeyState.DONE
+        and is_answer_included
+    ):
         answer = record.answer
     return KeyRecordMessage(
         key=record.key,
@@ -72,16 +76,16 @@
 def _decode_record(message: KeyRecordMessage) -> KeyRecord:
     answer = decode_answer(message.answer)
     state = KeyState.UNKNOWN
-    kept: CallerAnswer | None = None
+    kept_answer: CallerAnswer | None = None
     if answer.code is ResultCode.ANSWER_DROPPED:
         state = KeyState.DROPPED
     elif answer.code.outcome is Outcome.EXECUTED:
         state = KeyState.DONE
-        kept = answer
+        kept_answer = answer
     return KeyRecord(
         key=message.key,
         minted_ms=read_minted_ms(message.key),
         digest=message.request_digest,
         state=state,
-        answer=kept,
+        answer=kept_answer,
     )
--- a/trefoilhook/requests/queueing.py
+++ b/trefoilhook/requests/queueing.py
@@ -138,7 +138,7 @@
         self._waiters.append(waiter)
         return waiter
 
-    def remove(self, waiter: Waiter) -> None:
+    def discard(self, waiter: Waiter) -> None:
         """Remove a request from the queue, if it is still queued."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
--- a/trefoilhook/requests/routing.py
+++ b/trefoilhook/requests/routing.py
@@ -139,7 +139,7 @@
             self._sent[executor_id] -= 1
 
 
-def _choose_two(
+def _sample_two(
     candidates: Sequence[Candidate], generator: random.Random
 ) -> Sequence[Candidate]:
     if len(candidates) <= 2:
@@ -185,13 +185,13 @@
         return Route()
     free = [each for each in candidates if each.free > 0]
     same_domain = [each for each in free if each.is_same_domain]
-    drawn = _choose_two(same_domain or free, generator)
-    if drawn:
-        freest = max(drawn, key=lambda each: each.free)
+    sampled = _sample_two(same_domain or free, generator)
+    if sampled:
+        freest = max(sampled, key=lambda each: each.free)
         return Route(owner_id=freest.owner_id, executor_id=freest.executor_id)
     known = [each for each in candidates if each.is_known]
-    drawn = _choose_two(known or candidates, generator)
-    best = min(drawn, key=lambda each: each.queued_per_slot, default=None)
+    sampled = _sample_two(known or candidates, generator)
+    best = min(sampled, key=lambda each: each.queued_per_slot, default=None)
     if own is not None and own.usable > 0:
         if best is None or not best.is_known:
             return Route()
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -214,7 +214,10 @@
         self._pause_at_ms = now_ms + self._pause_interval_ms
 
     def apply_handover(self, in_use: int, *, now_ms: float) -> None:
-        """Apply the number of slots in use from the previous owner's handover."""
+        """Apply the number of slots in use from the previous owner's handover.
+
+        No slot needs to be reserved for the previous owner any more.
+        """
         self.is_count_unknown = False
         self.reserved_until_ms = -math.inf
         self._add_unproved(min(in_use, self.slots), now_ms)
--- a/trefoilhook/requests/tests/test_dedup.py
+++ b/trefoilhook/requests/tests/test_dedup.py
@@ -117,7 +117,7 @@
         self.assertEqual(get_code(verdict), VerdictKind.RUN)
 
     @hypothesis.given(
-        let_in_ms=strategies.integers(-5_000, 0),
+        accepted_ms=strategies.integers(-5_000, 0),
         old_error=strategies.floats(-_SKEW_MS / 2, _SKEW_MS / 2),
         new_error=strategies.floats(-_SKEW_MS / 2, _SKEW_MS / 2),
         ahead_ms=strategies.integers(-2_000, 2_000),
@@ -128,16 +128,16 @@
     @hypothesis.example(0, _SKEW_MS / 2, -_SKEW_MS / 2, 550, 2_000)
     @hypothesis.example(0, 0.0, 0.0, 1_000, 2_000)
     def test_no_key_runs_at_an_owner_and_its_successor(
-        self, let_in_ms, old_error, new_error, ahead_ms, retry_ms
+        self, accepted_ms, old_error, new_error, ahead_ms, retry_ms
     ):
         # An owner accepts a key and is suspended before it sends the request, or
         # crashes afterwards. Another instance claims the shard at once, the caller
         # retries there, and the old owner resumes and sends. At least one of the owners
         # must refuse the key, whatever the clocks and the key time.
-        minted_ms = _NOW_MS + let_in_ms + ahead_ms
+        minted_ms = _NOW_MS + accepted_ms + ahead_ms
         new = attrs.evolve(_WINDOW, since_wall_ms=_NOW_MS + new_error)
         at_old = begin(
-            build_table(), minted_ms, wall_ms=_NOW_MS + let_in_ms + old_error
+            build_table(), minted_ms, wall_ms=_NOW_MS + accepted_ms + old_error
         )
         at_new = begin(
             build_table(),
--- a/trefoilhook/requests/tests/test_invariants.py
+++ b/trefoilhook/requests/tests/test_invariants.py
@@ -79,8 +79,8 @@
             self.violations.append(f"told {answer.code.name}, but it was run")
         if outcome is Outcome.EXECUTED and not was_run:
             self.violations.append(f"told {answer.code.name}, but it was not run")
-        is_whole = answer.body in (b"", b"whole " + request.body)
-        if not is_whole:
+        is_expected_body = answer.body in (b"", b"whole " + request.body)
+        if not is_expected_body:
             self.violations.append("an answer to another request")
 
 
--- a/trefoilhook/requests/tests/test_path.py
+++ b/trefoilhook/requests/tests/test_path.py
@@ -271,12 +271,12 @@
 
         settings = RequestSettings(shard_count=8)
         cluster.settings = attrs.evolve(settings, quota_burst_s=0.1)
-        for_all = 120 * 0.060 * 24 + 24
+        max_runs = 120 * 0.060 * 24 + 24
         run_scenario(cluster, scenario)
         refused = [each for each in answers if each.code is ResultCode.QUOTA_EXCEEDED]
         self.assertTrue(refused)
         self.assertTrue(all(each.retry_after_ms > 0 for each in refused))
-        self.assertLess(cluster.count_runs(), for_all)
+        self.assertLess(cluster.count_runs(), max_runs)
 
     def test_leaving_executor_receives_no_new_request(self):
         cluster = Cluster(executor_count=2)
--- a/trefoilhook/requests/tests/test_slots.py
+++ b/trefoilhook/requests/tests/test_slots.py
@@ -193,8 +193,8 @@
         queue = ServiceQueue()
         fields = {"now_ms": 0.0, "slots": 8, "max_waiting": 10}
         expired = queue.enqueue(deadline_ms=50.0, **fields)
-        alive = queue.enqueue(deadline_ms=500.0, **fields)
-        self.assertIs(queue.pop(100.0), alive)
+        live = queue.enqueue(deadline_ms=500.0, **fields)
+        self.assertIs(queue.pop(100.0), live)
         self.assertTrue(expired.woken.is_set())
 
 
--- a/trefoilhook/requests/tests/test_takeover.py
+++ b/trefoilhook/requests/tests/test_takeover.py
@@ -234,10 +234,10 @@
             ownership = cluster.ownerships["i0"]
             key = mint_at(cluster.clock.wall_ms() + 5_000.0)
 
-            def freeze():
+            def suspend():
                 cluster.wall_jump_ms = 10_000.0
 
-            ownership.before_check = freeze
+            ownership.before_check = suspend
             answer = await cluster.services["i0"].handle_caller(build_request(key))
             codes.append(answer.code)
 
