--- a/trefoilhook/requests/admission.py
+++ b/trefoilhook/requests/admission.py
@@ -235,7 +235,7 @@
         if waiter.executor is None:
             queue.discard(waiter)
             raise QueueRefusedError(
-                "no slot became free in time",
+                "the request was not granted a slot",
                 code=waiter.refusal,
                 retry_after_ms=queue.estimate_wait_ms(slots=load.usable),
             )
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -67,6 +67,10 @@
         no handover, in ms.
     is_leaving : bool
         Whether the executor must not receive new requests.
+    in_progress : int
+        Number of requests that this instance has in progress on the executor.
+    unproved : int
+        Number of unproved slots; see the notes.
 
     Notes
     -----
@@ -101,8 +105,8 @@
 
     def count_in_use(self, now_ms: float) -> int:
         """Return the number of slots that may be in use, including a reserved one."""
-        held = 1 if now_ms < self.reserved_until_ms else 0
-        return self.in_progress + self.unproved + held
+        reserved = 1 if now_ms < self.reserved_until_ms else 0
+        return self.in_progress + self.unproved + reserved
 
     def count_free(self, now_ms: float) -> int:
         """Return the number of requests that may be sent now."""
