--- a/trefoilhook/requests/circuit.py
+++ b/trefoilhook/requests/circuit.py
@@ -1,15 +1,15 @@
-"""Circuit breaker for an executor that fails everything."""
+"""Circuit breaker of an executor."""
 
 import enum
 
 import attrs
 
 __all__ = ["Circuit", "CircuitState"]
-_ALONE_FACTOR = 4
+_SERVICE_WIDE_LIMIT_FACTOR = 4
 
 
 class CircuitState(enum.Enum):
-    """Whether requests pass."""
+    """State of a circuit breaker; ``PROBATION`` is also known as half-open."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -18,18 +18,19 @@
 
 @attrs.define(kw_only=True)
 class Circuit:
-    """Counts an executor's failures and keeps requests away from a failing one.
+    """Circuit breaker that stops requests to an executor after repeated failures.
 
     Parameters
     ----------
     failure_limit : int
-        Failures in a row that open the circuit.
+        Number of consecutive failures that open the circuit.
     open_ms : float
-        First time that it stays open, in ms; doubled at each failed probation.
+        Initial time that the circuit stays open, in ms; doubled after each failed
+        probation.
     open_limit_ms : float
-        Longest time that it stays open, in ms.
+        Maximum time that the circuit stays open, in ms.
     probation_successes : int
-        Successes in a row that close it.
+        Number of consecutive successes that close the circuit.
     """
 
     failure_limit: int
@@ -39,18 +40,18 @@
     state: CircuitState = CircuitState.CLOSED
     _failures: int = attrs.field(default=0, init=False)
     _successes: int = attrs.field(default=0, init=False)
-    _openings: int = attrs.field(default=0, init=False)
+    _times_opened: int = attrs.field(default=0, init=False)
     _open_until_ms: float = attrs.field(default=0.0, init=False)
 
     def get_limit(self, *, now_ms: float, slots: int) -> int:
-        """Return how many requests may be in progress at once.
+        """Return the maximum number of concurrent requests.
 
         Parameters
         ----------
         now_ms : float
-            Time now.
+            Current monotonic time, in ms.
         slots : int
-            What the executor takes when it is healthy.
+            Number of slots of the executor, the limit while the circuit is closed.
         """
         if self.state is CircuitState.CLOSED:
             return slots
@@ -61,8 +62,8 @@
             self._successes = 0
         return 1
 
-    def note_success(self) -> bool:
-        """Count a success; True if it closed the circuit."""
+    def record_success(self) -> bool:
+        """Record a success; return whether it closed the circuit."""
         self._failures = 0
         if self.state is not CircuitState.PROBATION:
             return False
@@ -70,31 +71,33 @@
         if self._successes < self.probation_successes:
             return False
         self.state = CircuitState.CLOSED
-        self._openings = 0
+        self._times_opened = 0
         return True
 
-    def note_failure(self, *, now_ms: float, is_alone: bool = False) -> bool:
-        """Count a failure; True if it opened the circuit.
+    def record_failure(self, *, now_ms: float, is_service_wide: bool = False) -> bool:
+        """Record a failure; return whether it opened the circuit.
 
         Parameters
         ----------
         now_ms : float
-            Time now.
-        is_alone : bool, optional
-            Whether no other executor of the service succeeded lately.
+            Current monotonic time, in ms.
+        is_service_wide : bool, optional
+            Whether no other executor of the service succeeded recently.
         """
         self._failures += 1
         if self.state is CircuitState.OPEN:
             return False
-        # Guards against one caller whose requests always fail: it would open the
-        # circuit of every executor, and so refuse all other callers. Where no other
-        # executor does better, the requests are more likely at fault.
-        limit = self.failure_limit * (_ALONE_FACTOR if is_alone else 1)
+        # A caller whose requests always fail must not open the circuits of all
+        # executors and thereby block other callers. If no other executor succeeds
+        # either, the requests are the more likely cause and the limit is raised.
+        limit = self.failure_limit * (
+            _SERVICE_WIDE_LIMIT_FACTOR if is_service_wide else 1
+        )
         is_failing = self._failures >= limit
         if self.state is CircuitState.CLOSED and not is_failing:
             return False
         self.state = CircuitState.OPEN
-        wait_ms = min(self.open_ms * 2.0**self._openings, self.open_limit_ms)
+        wait_ms = min(self.open_ms * 2.0**self._times_opened, self.open_limit_ms)
         self._open_until_ms = now_ms + wait_ms
-        self._openings += 1
+        self._times_opened += 1
         return True
--- a/trefoilhook/requests/tests/test_policy.py
+++ b/trefoilhook/requests/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Routing, retry budgets, quotas, hedging delay, keys and handover messages."""
+"""Tests of routing, retries, hedging, quotas, keys and handover messages."""
 
 import math
 import random
@@ -7,11 +7,11 @@
 import attrs
 
 from trefoilhook.exceptions import RequestError
-from trefoilhook.requests.admission import LoadView
+from trefoilhook.requests.admission import ServiceLoad
 from trefoilhook.requests.buckets import TeamQuotas
 from trefoilhook.requests.dedup import KeyRecord, KeyState
 from trefoilhook.requests.handover import decode_keys, encode_handover
-from trefoilhook.requests.keyowner import HandedKeys
+from trefoilhook.requests.keyowner import KeyHandover
 from trefoilhook.requests.keys import (
     compute_digest,
     compute_key_shard,
@@ -33,35 +33,38 @@
 
 
 def build_candidate(name, **changes):
-    """Build another owner's executor."""
-    fields = {"free": 0, "wait": 0.0, "is_near": False, **changes}
+    """Build a candidate executor of another owner."""
+    fields = {"free": 0, "queued_per_slot": 0.0, "is_same_domain": False, **changes}
     return Candidate(executor_id=name, owner_id="o", **fields)
 
 
 class RoutingTest(unittest.TestCase):
-    """Where a request goes."""
+    """Selection of a request's destination."""
 
-    def test_choice(self):
-        own_free = LoadView(free=1, usable=8, queued=0)
-        own_full = LoadView(free=0, usable=8, queued=5)
-        own_open = LoadView(free=0, usable=0, queued=0)
+    def test_route_selection(self):
+        own_free = ServiceLoad(free=1, usable=8, queued=0)
+        own_full = ServiceLoad(free=0, usable=8, queued=5)
+        own_open = ServiceLoad(free=0, usable=0, queued=0)
         table = (
             (own_free, [build_candidate("a", free=8)], ""),
             (own_full, [build_candidate("a", free=1)], "a"),
             (None, [build_candidate("a", free=1), build_candidate("b", free=3)], "b"),
             (
                 None,
-                [build_candidate("a", free=1, is_near=True)]
+                [build_candidate("a", free=1, is_same_domain=True)]
                 + [build_candidate(name, free=8) for name in "bcd"],
                 "a",
             ),
-            (own_full, [build_candidate("a", wait=0.5)], "a"),
-            (own_full, [build_candidate("a", wait=0.7)], ""),
+            (own_full, [build_candidate("a", queued_per_slot=0.5)], "a"),
+            (own_full, [build_candidate("a", queued_per_slot=0.7)], ""),
             (own_full, [build_candidate("a", is_known=False)], ""),
-            (own_open, [build_candidate("a", wait=1.1)], "a"),
+            (own_open, [build_candidate("a", queued_per_slot=1.1)], "a"),
             (
                 None,
-                [build_candidate("a", is_known=False), build_candidate("b", wait=1.1)],
+                [
+                    build_candidate("a", is_known=False),
+                    build_candidate("b", queued_per_slot=1.1),
+                ],
                 "b",
             ),
             (None, [build_candidate("a", is_known=False)], "a"),
@@ -80,9 +83,9 @@
             Route(),
         )
 
-    def test_old_or_foreign_summary_is_not_used(self):
-        # An owner is cut off, or has handed its executor over. Its last summary shows
-        # free slots for ever; followed, it would draw all requests to a dead end.
+    def test_outdated_or_foreign_summary_is_ignored(self):
+        # An owner is unreachable or has handed its executor over. Its last summary
+        # still shows free slots and must not attract requests.
         loads = PeerLoads(max_age_ms=1_000.0)
         load = ReportedLoad(
             sender_id="a",
@@ -92,25 +95,25 @@
             queued=0,
             is_usable=True,
         )
-        loads.take({"e": load}, sender_id="a")
+        loads.replace({"e": load}, sender_id="a")
         self.assertIsNotNone(loads.find("e", owner_id="a", now_ms=1_000.0))
         self.assertIsNone(loads.find("e", owner_id="a", now_ms=1_001.0))
         self.assertIsNone(loads.find("e", owner_id="b", now_ms=0.0))
-        added_to = loads.note_sent("e")
+        added_to = loads.record_sent("e")
         self.assertEqual(loads.count_sent("e"), 1)
-        loads.note_ended("e", None)
+        loads.record_ended("e", None)
         self.assertEqual(loads.count_sent("e"), 1)
-        loads.note_ended("e", added_to)
+        loads.record_ended("e", added_to)
         self.assertEqual(loads.count_sent("e"), 0)
-        loads.take({}, sender_id="a")
+        loads.replace({}, sender_id="a")
         self.assertIsNone(loads.find("e", owner_id="a", now_ms=0.0))
         self.assertEqual(loads.count_sent("e"), 0)
 
 
 class RetryTest(unittest.TestCase):
-    """What may be tried again, and how often."""
+    """Conditions for retries, and their number."""
 
-    def test_what_may_be_tried_again(self):
+    def test_which_results_may_be_retried(self):
         table = (
             (ResultCode.OK, True, False),
             (ResultCode.BACKEND_FAILED, True, False),
@@ -128,12 +131,12 @@
                 self.assertIs(allowed, expected)
 
     def test_retries_stay_a_fraction_of_requests(self):
-        # Every executor fails. Without a budget each request would be sent four
-        # times, and the overload would feed itself.
+        # All executors fail. Without a budget each request would be sent four times,
+        # which would amplify the overload.
         policy = RetryPolicy(ratio=0.1, reserve=10.0)
         retries = 0
         for _ in range(1_000):
-            policy.note_request("s")
+            policy.record_request("s")
             for _ in range(3):
                 retries += policy.may_retry(
                     "s", ResultCode.NO_EXECUTOR, is_idempotent=False
@@ -141,18 +144,18 @@
         self.assertLessEqual(retries, 111)
         self.assertGreaterEqual(retries, 100)
 
-    def test_hedge_waits_for_the_learned_quantile(self):
-        policy = HedgePolicy(is_enabled=True, quantile=95.0)
+    def test_hedge_delay_is_percentile_of_run_times(self):
+        policy = HedgePolicy(is_enabled=True, percentile=95.0)
         for number in range(100):
             self.assertEqual(policy.get_delay_ms("s", is_idempotent=True), math.inf)
-            policy.note("s", float(number))
+            policy.add_sample("s", float(number))
         delay_ms = policy.get_delay_ms("s", is_idempotent=True)
         self.assertTrue(93.0 <= delay_ms <= 96.0, delay_ms)
         self.assertEqual(policy.get_delay_ms("s", is_idempotent=False), math.inf)
 
 
 class QuotaTest(unittest.TestCase):
-    """A team's requests a second."""
+    """Request rate limits of teams."""
 
     def test_rate_over_time(self):
         quotas = TeamQuotas(burst_s=1.0)
@@ -168,7 +171,7 @@
         self.assertTrue(105 <= taken["a"] <= 111, taken)
         self.assertEqual(taken["b"], 20)
 
-    def test_time_to_come_back_is_when_there_is_a_token(self):
+    def test_retry_time_is_when_next_token_is_available(self):
         quotas = TeamQuotas(burst_s=0.0)
         fields = {"quota_per_s": 10.0, "share": 1.0}
         self.assertEqual(quotas.take("a", now_ms=0.0, **fields), 0.0)
@@ -183,7 +186,7 @@
 
 
 class KeyTest(unittest.TestCase):
-    """Keys and digests."""
+    """Idempotency keys and request digests."""
 
     def test_parse(self):
         key = mint_key()
@@ -205,7 +208,7 @@
         self.assertEqual(len(counts), 64)
         self.assertLess(max(counts.values()), 160)
 
-    def test_digest_tells_requests_apart(self):
+    def test_digest_distinguishes_requests(self):
         fields = {"team": "a", "service": "b", "content_type": "c", "body": b"d"}
         digests = {compute_digest(**fields)}
         for name in ("team", "service", "content_type"):
@@ -216,9 +219,9 @@
 
 
 class HandoverTest(unittest.TestCase):
-    """Records in the handover message."""
+    """Encoding of key records in the handover message."""
 
-    def test_fates_survive(self):
+    def test_key_records_survive_encoding(self):
         answer = CallerAnswer(code=ResultCode.OK, status=200, body=b"whole")
         records = [
             KeyRecord(key=mint_at(10), minted_ms=10, digest=b"1"),
@@ -243,9 +246,9 @@
                 answer=attrs.evolve(answer, body=b"x" * 2_100_000),
             ),
         ]
-        handed = HandedKeys(epoch=4, known_from_ms=7.0, records=tuple(records))
+        handover = KeyHandover(epoch=4, known_from_ms=7.0, records=tuple(records))
         message = encode_handover(
-            shard_id="req-000", epoch=4, handed=handed, in_use={"e": 3}
+            shard_id="req-000", epoch=4, handover=handover, in_use={"e": 3}
         )
         back = decode_keys(type(message).FromString(message.SerializeToString()))
         states = {each.minted_ms: each.state for each in back.records}
