--- a/trefoilhook/shards/__init__.py
+++ b/trefoilhook/shards/__init__.py
@@ -1,5 +1,6 @@
-"""Which instance owns which shard, and when it may act for it."""
+"""Shard ownership: which instance owns each shard, and when it may serve it."""
 
+from trefoilhook.shards.assignments import Owner, OwnershipChange
 from trefoilhook.shards.claims import ClaimPlan, hand_over, plan_claims, plan_handovers
 from trefoilhook.shards.core import (
     PreviousOwner,
@@ -13,9 +14,8 @@
     list_shards,
     name_shard,
 )
-from trefoilhook.shards.holdings import Owner, OwnershipChange
 from trefoilhook.shards.owner import Ownership
-from trefoilhook.shards.rights import Evidence, Rights, judge_rights
+from trefoilhook.shards.rights import Evidence, Rights, evaluate_evidence
 
 __all__ = [
     "ClaimPlan",
@@ -33,7 +33,7 @@
     "encode_table",
     "find_shard",
     "hand_over",
-    "judge_rights",
+    "evaluate_evidence",
     "list_shards",
     "name_shard",
     "plan_claims",
--- a/trefoilhook/shards/claims.py
+++ b/trefoilhook/shards/claims.py
@@ -1,4 +1,4 @@
-"""Decisions about the table of shards, without I/O."""
+"""Plans changes to the shard table; does no I/O."""
 
 from collections.abc import Callable, Container, Iterable
 
@@ -17,26 +17,26 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimPlan:
-    """What an instance wants to write into the table.
+    """Changes that an instance intends to write to the table.
 
     Parameters
     ----------
     table : ShardTable
-        The table to write, at the revision that it must replace.
+        The table to write, with the revision that it must replace.
     claimed : tuple of str
-        Shards taken from a dead owner or from nobody.
-    affirmed : tuple of str
-        Own shards carried over into the present incarnation.
+        Shards claimed that had no owner or whose owner is dead.
+    refreshed : tuple of str
+        Own shards whose rows are rewritten under the current incarnation.
     """
 
     table: ShardTable
     claimed: tuple[str, ...] = ()
-    affirmed: tuple[str, ...] = ()
+    refreshed: tuple[str, ...] = ()
 
     @property
     def is_empty(self) -> bool:
         """Whether there is nothing to write."""
-        return not self.claimed and not self.affirmed
+        return not self.claimed and not self.refreshed
 
 
 def plan_claims(
@@ -49,61 +49,62 @@
     held: Container[str],
     may_claim: bool = True,
 ) -> ClaimPlan:
-    """Plan which shards ``me`` claims or affirms.
+    """Plan which shards ``me`` claims and which of its rows it refreshes.
 
     Parameters
     ----------
     table : ShardTable
         The table, read from the store before the members.
     members : Members
-        The members, read from the store after the table. In this order an owner that
-        joined anew has either changed the table since, and the write fails, or is seen
-        here to live.
+        The members, read from the store after the table. In this order, an owner that
+        has rejoined either has changed the table since, so that the write fails, or is
+        among these members.
     me : Member
         The instance that plans.
     shard_ids : iterable of str
         All shards.
     is_promised_to : callable
-        Whether ``me`` has promised an owner not to claim from it.
+        Whether ``me`` has promised an owner not to claim its shards.
     held : container of str
-        Shards that this very process has held. A row may name ``me`` although it has
-        not: a process that was restarted under the same instance id remembers no key
-        and takes the shard at a new epoch, like any other claimer.
+        Shards that this process has held. A row may name ``me`` although this process
+        has not held the shard: a process restarted under the same instance id does not
+        know the keys and claims the shard at a new epoch, like any other claimant.
     may_claim : bool
-        Whether to claim from others, besides affirming what is ``me``'s already.
+        Whether to claim shards; the rows of shards in ``held`` are refreshed in any
+        case.
     """
 
     def is_free(shard_id: str, row: ShardRow) -> bool:
-        # A live owner under another incarnation has joined anew and will affirm.
+        # A live owner with another incarnation has rejoined and will refresh its row.
         if row.owner_id in members or is_promised_to(row.owner_id):
             return False
         return choose_owner(shard_id, members) == me.instance_id
 
     rows = dict(table.rows)
     claimed: list[str] = []
-    affirmed: list[str] = []
+    refreshed: list[str] = []
     for shard_id in shard_ids:
         row = table.get_row(shard_id)
         is_mine = row.owner_id == me.instance_id
         if is_mine and row.incarnation == me.incarnation:
             continue
         if is_mine and shard_id in held:
-            rows[shard_id] = _affirm(row, me)
-            affirmed.append(shard_id)
+            rows[shard_id] = _refresh_row(row, me)
+            refreshed.append(shard_id)
         elif may_claim and (is_mine or is_free(shard_id, row)):
-            rows[shard_id] = _claim(row, me)
+            rows[shard_id] = _claim_row(row, me)
             claimed.append(shard_id)
     return ClaimPlan(
         table=attrs.evolve(table, rows=rows),
         claimed=tuple(claimed),
-        affirmed=tuple(affirmed),
+        refreshed=tuple(refreshed),
     )
 
 
 def plan_handovers(
     *, table: ShardTable, members: Members, me: Member
 ) -> dict[str, Member]:
-    """Plan which of its shards ``me`` hands over, and to whom."""
+    """Plan which of its shards ``me`` hands over, and to which member."""
     moves: dict[str, Member] = {}
     for shard_id, row in table.rows.items():
         if row.owner_id != me.instance_id or row.incarnation != me.incarnation:
@@ -116,35 +117,35 @@
 
 
 def hand_over(
-    row: ShardRow, receiver: Member, *, unmet: tuple[PreviousOwner, ...]
+    row: ShardRow, new_owner: Member, *, unmet: tuple[PreviousOwner, ...]
 ) -> ShardRow:
-    """Return the row of a shard whose owner has stopped acting for it.
+    """Build the row that assigns a shard to a new owner after its owner has stopped.
 
     Parameters
     ----------
     row : ShardRow
-        The owner's row.
-    receiver : Member
-        The next owner.
+        The present owner's row.
+    new_owner : Member
+        The new owner.
     unmet : tuple of PreviousOwner
-        Former owners that this one has not proved to have stopped either.
+        Previous owners that the present one has not proved to have stopped.
     """
-    return _write_row(receiver, epoch=row.epoch + 1, unmet=unmet)
+    return _build_row(new_owner, epoch=row.epoch + 1, unmet=unmet)
 
 
-def _affirm(row: ShardRow, me: Member) -> ShardRow:
-    return _write_row(me, epoch=row.epoch, unmet=row.unmet)
+def _refresh_row(row: ShardRow, me: Member) -> ShardRow:
+    return _build_row(me, epoch=row.epoch, unmet=row.unmet)
 
 
-def _claim(row: ShardRow, me: Member) -> ShardRow:
+def _claim_row(row: ShardRow, me: Member) -> ShardRow:
     unmet = [o for o in row.unmet if o.instance_id != me.instance_id]
     if row.owner_id not in ("", me.instance_id):
-        former = PreviousOwner(instance_id=row.owner_id, host=row.host, port=row.port)
-        unmet.append(former)
-    return _write_row(me, epoch=row.epoch + 1, unmet=tuple(dict.fromkeys(unmet)))
+        previous = PreviousOwner(instance_id=row.owner_id, host=row.host, port=row.port)
+        unmet.append(previous)
+    return _build_row(me, epoch=row.epoch + 1, unmet=tuple(dict.fromkeys(unmet)))
 
 
-def _write_row(
+def _build_row(
     member: Member, *, epoch: int, unmet: tuple[PreviousOwner, ...]
 ) -> ShardRow:
     return ShardRow(
--- a/trefoilhook/shards/core.py
+++ b/trefoilhook/shards/core.py
@@ -1,9 +1,9 @@
-"""The table of shards: who owns what, at which epoch.
+"""The shard table: the owner and epoch of each shard.
 
-A fixed number of shards is the unit of ownership and of moving; keys, executors and
-racks hash to them. The table is one value of the store, so that one compare-and-swap
-claims any number of shards, and the store's calls grow with instances and not with
-work.
+Ownership is assigned and moved by shard, and the number of shards is fixed; keys,
+executors and racks hash to shards. The table is a single value in the store, so one
+compare-and-swap claims any number of shards, and the number of store calls grows with
+the number of instances, not with the load.
 
 References
 ----------
@@ -46,16 +46,16 @@
 
 @attrs.frozen(kw_only=True)
 class PreviousOwner:
-    """An owner that the present one has not yet proved to have stopped.
+    """A previous owner that the current one has not yet proved to have stopped.
 
     Parameters
     ----------
     instance_id : str
-        The former owner.
+        The previous owner.
     host : str
-        Its inner address, an IP number, to prove its death by.
+        IP address of its inner listener, probed to find out whether it is dead.
     port : int
-        Its inner port.
+        Port of its inner listener.
     """
 
     instance_id: str
@@ -70,18 +70,18 @@
     Parameters
     ----------
     owner_id : str
-        Instance that owns it; empty when nobody does.
+        Instance that owns the shard; empty when it has no owner.
     incarnation : str
-        Store lease under which the owner claimed it.
+        Store lease under which the owner claimed the shard.
     epoch : int
-        Raised by each claim; what carries a lower one is refused.
+        Incremented by each claim; messages with a lower epoch are refused.
     host : str
-        Inner address of the owner, an IP number.
+        IP address of the owner's inner listener.
     port : int
-        Inner port of the owner.
+        Port of the owner's inner listener.
     unmet : tuple of PreviousOwner
-        Former owners not yet proved to have stopped. They are kept over several claims:
-        a claimer that dies while it waits leaves its doubt to the next one.
+        Previous owners not yet proved to have stopped. They are kept across claims, so
+        that if a claimant dies while it waits, the next claimant waits for them too.
     """
 
     owner_id: str = ""
@@ -92,31 +92,31 @@
     unmet: tuple[PreviousOwner, ...] = ()
 
 
-_UNCLAIMED = ShardRow()
+_UNCLAIMED_ROW = ShardRow()
 
 
 @attrs.frozen(kw_only=True)
 class ShardTable:
-    """All rows, by shard name.
+    """The rows of all shards.
 
     Parameters
     ----------
     rows : dict of str to ShardRow
         Rows by shard name.
     revision : int
-        Store revision of the table; 0 when it does not exist.
+        Store revision of the table; 0 when it does not exist yet.
     """
 
     rows: dict[str, ShardRow] = attrs.field(factory=dict)
     revision: int = 0
 
     def get_row(self, shard_id: str) -> ShardRow:
-        """Return a shard's row; an empty one when nobody ever claimed it."""
-        return self.rows.get(shard_id) or _UNCLAIMED
+        """Return a shard's row; an empty row if the shard was never claimed."""
+        return self.rows.get(shard_id) or _UNCLAIMED_ROW
 
 
 def name_shard(kind: ShardKind, index: int) -> str:
-    """Return the name of a shard."""
+    """Build the name of a shard."""
     return f"{kind.value}-{index:03d}"
 
 
@@ -138,10 +138,10 @@
 
 
 def choose_owner(shard_id: str, members: Members) -> str | None:
-    """Choose a shard's owner among the members that stay, by rendezvous hashing.
+    """Choose a shard's owner among the members not leaving, by rendezvous hashing.
 
-    Each member weighs ``hash(member, shard)`` and the heaviest wins, so that a member
-    that goes or comes moves only its own share of the shards.
+    The member with the highest ``hash(member, shard)`` is chosen, so a member that
+    joins or leaves moves only its own share of the shards.
     """
     staying = [m.instance_id for m in members if not m.is_leaving]
     if not staying:
@@ -155,18 +155,18 @@
 
 
 def encode_table(table: ShardTable, *, nonce: str) -> bytes:
-    """Return the table as stored, with the writer's nonce."""
+    """Encode the table as stored, with the writer's nonce."""
     rows = {shard_id: attrs.asdict(row) for shard_id, row in table.rows.items()}
     return json.dumps({"nonce": nonce, "rows": rows}, sort_keys=True).encode()
 
 
 def decode_table(value: bytes, *, revision: int) -> ShardTable:
-    """Read a stored table.
+    """Decode a stored table.
 
     Raises
     ------
     ValueError
-        If the value is no table.
+        If the value is not a valid table.
     """
     rows = json.loads(value)["rows"]
     return ShardTable(
--- a/trefoilhook/shards/rights.py
+++ b/trefoilhook/shards/rights.py
@@ -1,18 +1,19 @@
-"""When a claimer may act for a shard that it took from an owner it has not met.
+"""When the claimant of a shard may begin to serve it.
 
-An owner cut off from the store may go on for a while on its peers' promises. A claimer
-must know that it has stopped.
+A previous owner that is cut off from the store may continue to serve for a while on
+its peers' promises. The claimant must know that the previous owner has stopped before
+it serves the shard itself.
 """
 
 import enum
 
 import attrs
 
-__all__ = ["Evidence", "Rights", "judge_rights"]
+__all__ = ["Evidence", "Rights", "evaluate_evidence"]
 
 
 class Rights(enum.Enum):
-    """Why a claimer may act, or that it must wait."""
+    """Why a claimant may serve a shard, or that it must wait."""
 
     NO_PREVIOUS_OWNER = "nobody owned it, or its owner handed it over"
     IN_VIEW = "the previous owner needed a promise that was not given"
@@ -24,17 +25,19 @@
 
 @attrs.frozen(kw_only=True)
 class Evidence:
-    """What a claimer knows of one previous owner.
+    """What a claimant knows about one previous owner.
 
     Parameters
     ----------
     is_in_view : bool
-        The previous owner's heartbeat said that it had read the claimer's record, and
-        the claimer has given it no promise that is in force.
+        A heartbeat of the previous owner shows that it had read the claimant's member
+        record, and no promise of the claimant to it is in force.
     is_proved_dead : bool
-        Its address refuses connections, or another process answers there.
+        Its address refuses connections or another process answers there, or an
+        operator has declared it gone.
     is_attested : bool
-        Another member said that it is in the previous owner's view, unpromised.
+        Another member reported that the previous owner had read its record and that it
+        has no promise to the previous owner in force.
     waited_ms : float
         Time since the claim, in ms.
     """
@@ -45,16 +48,16 @@
     waited_ms: float
 
 
-def judge_rights(evidence: Evidence, *, outage_limit_ms: float) -> Rights:
-    """Judge whether the claimer may act, and why.
+def evaluate_evidence(evidence: Evidence, *, outage_limit_ms: float) -> Rights:
+    """Decide whether the claimant may serve the shard, and why.
 
     Parameters
     ----------
     evidence : Evidence
-        What it knows.
+        What the claimant knows about the previous owner.
     outage_limit_ms : float
-        Longest time an owner goes on past its lapsed lease, in ms. A claim is made
-        after the lapse, so waiting this long from the claim is always enough.
+        Longest time an owner serves after its lease has expired, in ms. Claims are made
+        after the expiry, so waiting this long from the claim is always sufficient.
     """
     if evidence.is_in_view:
         return Rights.IN_VIEW
--- a/trefoilhook/shards/tables.py
+++ b/trefoilhook/shards/tables.py
@@ -1,4 +1,4 @@
-"""Reading and writing of the table of shards in the store."""
+"""Reads and writes the shard table in the store."""
 
 from trefoilhook.clock import Clock
 from trefoilhook.membership import Members, MirrorEntry, decode_members
@@ -17,14 +17,14 @@
 
 
 class TableStore:
-    """The table and the members as the store has them now.
+    """Access to the current shard table and members in the store, past the mirror.
 
     Parameters
     ----------
     store : StoreClient
-        Adapter to the platform's store.
+        Client of the platform's store.
     clock : Clock
-        Time.
+        Time source.
     """
 
     def __init__(self, *, store: StoreClient, clock: Clock) -> None:
@@ -32,7 +32,7 @@
         self._clock = clock
 
     async def fetch(self) -> ShardTable:
-        """Return the table; an empty one when there is none yet."""
+        """Return the table; an empty table if none has been written yet."""
         entry = await self._store.get(TABLE_KEY)
         if entry is None:
             return ShardTable()
@@ -55,14 +55,14 @@
             after_key = page.next_key
 
     async def write(self, table: ShardTable) -> MirrorEntry:
-        """Write the table over its revision and return it as stored.
+        """Replace the table at its revision and return the stored entry.
 
         Raises
         ------
         ConflictError
-            If another instance wrote first.
+            If another instance wrote the table first.
         StoreError
-            If the store did not say that it took the write.
+            If the store did not confirm the write.
         """
         value = encode_table(table, nonce=build_nonce())
         revision = await swap_reading_back(
--- a/trefoilhook/shards/tests/cluster.py
+++ b/trefoilhook/shards/tests/cluster.py
@@ -1,4 +1,4 @@
-"""A few instances' membership and ownership on virtual time, and a check on them."""
+"""Test cluster: membership and ownership of several instances on virtual time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -19,12 +19,12 @@
 
 SETTINGS = MembershipSettings()
 SHARDS = ShardSettings(request_shards=9, worker_shards=1)
-_SAMPLE_MS = 50.0
+_SAMPLE_INTERVAL_MS = 50.0
 
 
 @attrs.define(kw_only=True)
 class Instance:
-    """One instance of the test."""
+    """One instance of the test cluster."""
 
     instance_id: str
     client: VirtualStoreClient
@@ -41,7 +41,7 @@
 
 @attrs.define(kw_only=True)
 class Cluster:
-    """Instances, store and links, with what was seen of them."""
+    """Instances, store and links, with the overlaps and gaps observed."""
 
     clock: Clock
     store: VirtualStore
@@ -97,10 +97,10 @@
                 nursery.start_soon(instance.ownership.run)
 
     async def watch(self) -> None:
-        """Note each moment at which two instances may act for one shard."""
+        """Record when several instances, or none, may serve a shard."""
         while True:
             now_ms = self.clock.monotonic_ms()
-            for shard_id, owners in self._list_owners().items():
+            for shard_id, owners in self._list_serving().items():
                 if len(owners) > 1:
                     self.overlaps.append(f"{now_ms:.0f}: {shard_id} {owners}")
                 if owners:
@@ -108,10 +108,10 @@
                     self.longest_gap_ms = max(self.longest_gap_ms, now_ms - since_ms)
                 else:
                     self.unowned_since.setdefault(shard_id, now_ms)
-            await self.clock.sleep_ms(_SAMPLE_MS)
+            await self.clock.sleep_ms(_SAMPLE_INTERVAL_MS)
 
-    def _list_owners(self) -> dict[str, list[str]]:
-        """Return who may act now, by shard; each instance is asked once."""
+    def _list_serving(self) -> dict[str, list[str]]:
+        """Return the instances that may serve each shard; asks each instance once."""
         owners: dict[str, list[str]] = {each: [] for each in list_shards(SHARDS)}
         for instance in self.instances.values():
             if not instance.node.is_dead:
@@ -120,7 +120,7 @@
         return owners
 
     def find_owners(self, shard_id: str) -> list[str]:
-        """Return who may act for a shard now."""
+        """Return the instances that may serve a shard now."""
         return [
             instance.instance_id
             for instance in self.instances.values()
@@ -129,16 +129,16 @@
         ]
 
     def count_served(self) -> int:
-        """Return how many shards somebody may act for now."""
+        """Return how many shards are served now."""
         return sum(bool(self.find_owners(s)) for s in list_shards(SHARDS))
 
     def forget_gaps(self) -> None:
-        """Begin to measure the longest gap anew."""
+        """Reset the measurement of the longest gap."""
         self.unowned_since.clear()
         self.longest_gap_ms = 0.0
 
     def read_epochs(self) -> dict[str, int]:
-        """Return the epochs that the instances act at."""
+        """Return the epoch at which each shard is served now."""
         return {
             shard_id: epoch
             for shard_id in list_shards(SHARDS)
@@ -148,7 +148,7 @@
         }
 
     async def sleep_s(self, duration_s: float) -> None:
-        """Let virtual time pass."""
+        """Sleep for ``duration_s`` seconds of virtual time."""
         await self.clock.sleep_ms(duration_s * 1000.0)
 
 
@@ -156,7 +156,7 @@
 
 
 def run_cluster(scenario: Scenario, *, size: int = 9) -> None:
-    """Start ``size`` instances on virtual time, wait until they have settled, go on."""
+    """Run ``scenario`` with ``size`` settled instances on virtual time."""
 
     async def run() -> None:
         clock = build_system_clock()
--- a/trefoilhook/shards/tests/test_claims.py
+++ b/trefoilhook/shards/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Who may claim what, and when a claimer may act, as tables."""
+"""Table tests of claims, handovers and the evidence that a claimant needs."""
 
 import unittest
 
@@ -7,13 +7,13 @@
 from trefoilhook.membership import Member, Members
 from trefoilhook.shards.claims import hand_over, plan_claims, plan_handovers
 from trefoilhook.shards.core import PreviousOwner, ShardRow, ShardTable
-from trefoilhook.shards.rights import Evidence, Rights, judge_rights
+from trefoilhook.shards.rights import Evidence, Rights, evaluate_evidence
 
 _SHARD = "req-000"
-_OUTAGE_MS = 60_000.0
+_OUTAGE_LIMIT_MS = 60_000.0
 
 
-def _member(instance_id: str, incarnation: str = "now") -> Member:
+def _build_member(instance_id: str, incarnation: str = "now") -> Member:
     return Member(
         instance_id=instance_id,
         incarnation=incarnation,
@@ -23,20 +23,21 @@
     )
 
 
-def _members(*instance_ids: str) -> Members:
-    return Members(by_id={each: _member(each) for each in instance_ids})
+def _build_members(*instance_ids: str) -> Members:
+    return Members(by_id={each: _build_member(each) for each in instance_ids})
 
 
-def _row(owner_id: str, incarnation: str = "now") -> ShardRow:
+def _build_row(owner_id: str, incarnation: str = "now") -> ShardRow:
     return ShardRow(owner_id=owner_id, incarnation=incarnation, epoch=7, port=1)
 
 
 class ClaimTest(unittest.TestCase):
-    """What an instance writes into the table of shards."""
+    """What an instance writes to the shard table."""
 
-    def test_what_may_be_claimed(self):
-        # name: owner, its incarnation, live members, promised to, may claim,
-        # outcome: "claim", "affirm" or nothing; "restarted" has held nothing itself
+    def test_claimable_shards(self):
+        # name: owner, its incarnation, live members, owner promised to, may_claim,
+        # outcome ("claim", "affirm" for a refreshed row, or neither). A case with
+        # "restarted" in its name has held no shard in this process.
         alone = ("me",)
         cases = {
             "nobody's": ("", "", alone, "x", True, "claim"),
@@ -54,32 +55,32 @@
         for name, case in cases.items():
             owner_id, incarnation, live, promised, may_claim, outcome = case
             with self.subTest(name):
-                row = _row(owner_id, incarnation) if owner_id else ShardRow()
+                row = _build_row(owner_id, incarnation) if owner_id else ShardRow()
                 plan = plan_claims(
                     table=ShardTable(rows={_SHARD: row}, revision=3),
-                    members=_members(*live),
-                    me=_member("me"),
+                    members=_build_members(*live),
+                    me=_build_member("me"),
                     shard_ids=(_SHARD,),
                     is_promised_to=lambda each, promised=promised: each == promised,
                     held=() if "restarted" in name else (_SHARD,),
                     may_claim=may_claim,
                 )
                 self.assertEqual(plan.claimed, (_SHARD,) * (outcome == "claim"))
-                self.assertEqual(plan.affirmed, (_SHARD,) * (outcome == "affirm"))
+                self.assertEqual(plan.refreshed, (_SHARD,) * (outcome == "affirm"))
                 epoch = row.epoch + (outcome == "claim")
                 self.assertEqual(plan.table.rows[_SHARD].epoch, epoch)
 
     def test_only_the_chosen_member_claims(self):
-        # Nine see an owner die; the shard goes to one of them and the choice is the
-        # same for all.
+        # All nine members detect that an owner died; exactly one of them must claim
+        # its shard.
         names = tuple(f"i-{number}" for number in range(9))
         claimers = [
             name
             for name in names
             if plan_claims(
-                table=ShardTable(rows={_SHARD: _row("gone")}),
-                members=_members(*names),
-                me=_member(name),
+                table=ShardTable(rows={_SHARD: _build_row("gone")}),
+                members=_build_members(*names),
+                me=_build_member(name),
                 shard_ids=(_SHARD,),
                 is_promised_to=lambda _: False,
                 held=(),
@@ -87,15 +88,16 @@
         ]
         self.assertEqual(len(claimers), 1)
 
-    def test_doubt_is_left_to_the_next_claimer(self):
-        # A claimer dies while it waits for proof that the owner before it stopped. Who
-        # claims next must have proof of both, or it acts beside the first.
+    def test_claim_keeps_unresolved_previous_owners(self):
+        # A claimant dies while it waits for proof that the previous owner stopped. The
+        # next claimant needs proof for both, or it and the first owner would serve the
+        # shard at the same time.
         first = PreviousOwner(instance_id="first", host="127.0.0.1", port=9)
-        row = attrs.evolve(_row("second"), host="127.0.0.1", unmet=(first,))
+        row = attrs.evolve(_build_row("second"), host="127.0.0.1", unmet=(first,))
         plan = plan_claims(
             table=ShardTable(rows={_SHARD: row}),
-            members=_members("me"),
-            me=_member("me"),
+            members=_build_members("me"),
+            me=_build_member("me"),
             shard_ids=(_SHARD,),
             is_promised_to=lambda _: False,
             held=(),
@@ -103,8 +105,8 @@
         unmet = [owner.instance_id for owner in plan.table.rows[_SHARD].unmet]
         self.assertEqual(unmet, ["first", "second"])
 
-    def test_what_is_handed_over(self):
-        # name: owner, its incarnation, whether the shard is moved to the only member
+    def test_only_own_shards_are_handed_over(self):
+        # name: owner, its incarnation, whether the shard moves to the only member
         cases = {
             "own": ("me", "now", True),
             "own of a former lease": ("me", "old", False),
@@ -112,24 +114,26 @@
         }
         for name, (owner_id, incarnation, is_moved) in cases.items():
             with self.subTest(name):
-                row = _row(owner_id, incarnation)
-                members = _members("next")
+                row = _build_row(owner_id, incarnation)
+                members = _build_members("next")
                 table = ShardTable(rows={_SHARD: row})
-                moves = plan_handovers(table=table, members=members, me=_member("me"))
+                moves = plan_handovers(
+                    table=table, members=members, me=_build_member("me")
+                )
                 self.assertEqual(_SHARD in moves, is_moved)
-        handed = hand_over(_row("me"), _member("next"), unmet=())
+        handed = hand_over(_build_row("me"), _build_member("next"), unmet=())
         self.assertEqual((handed.owner_id, handed.epoch), ("next", 8))
 
 
 class RightsTest(unittest.TestCase):
-    """A claimer waits until the former owner has surely stopped."""
+    """A claimant waits until the previous owner is proved to have stopped."""
 
     def test_evidence(self):
-        # in view, proved dead, attested, waited, verdict
+        # is_in_view, is_proved_dead, is_attested, waited_ms, expected rights
         cases = (
             (False, False, False, 0.0, Rights.WAIT),
-            (False, False, False, _OUTAGE_MS - 1, Rights.WAIT),
-            (False, False, False, _OUTAGE_MS, Rights.OUTAGE_LIMIT),
+            (False, False, False, _OUTAGE_LIMIT_MS - 1, Rights.WAIT),
+            (False, False, False, _OUTAGE_LIMIT_MS, Rights.OUTAGE_LIMIT),
             (True, False, False, 0.0, Rights.IN_VIEW),
             (False, True, False, 0.0, Rights.PROVED_DEAD),
             (False, False, True, 0.0, Rights.ATTESTED),
@@ -142,5 +146,5 @@
                     is_attested=attested,
                     waited_ms=waited_ms,
                 )
-                found = judge_rights(evidence, outage_limit_ms=_OUTAGE_MS)
+                found = evaluate_evidence(evidence, outage_limit_ms=_OUTAGE_LIMIT_MS)
                 self.assertIs(found, verdict)
--- a/trefoilhook/shards/tests/test_guards.py
+++ b/trefoilhook/shards/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards of ownership that the monitor of who may act can't see."""
+"""Guards of ownership whose failure the cluster's overlap check does not detect."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 class _SlowAnswers(VirtualStoreClient):
-    """A way to the store on which answers take long, after the effect."""
+    """A store client whose keep-alive answers are delayed after they took effect."""
 
     async def keep_alive(self, lease_id: str) -> int:
         revision = await super().keep_alive(lease_id)
@@ -18,11 +18,11 @@
 
 
 class GuardTest(unittest.TestCase):
-    """One instance's own view of its rights."""
+    """Lease, release and handover guards of single instances."""
 
-    def test_renewal_counts_from_its_sending(self):
-        # The store renews a lease at once and its answer takes long. Counted from the
-        # answer, the holder would act on when the store has let the lease lapse.
+    def test_lease_renewal_counts_from_send_time(self):
+        # The store renews a lease at once but its answer is delayed. If the lease were
+        # counted from the answer, its holder would serve on after it has expired.
         async def scenario(cluster: Cluster) -> None:
             instance = cluster.instances["i0"]
             slow = _SlowAnswers(store=cluster.store)
@@ -37,9 +37,9 @@
 
         run_cluster(scenario, size=1)
 
-    def test_nothing_is_done_for_a_shard_once_it_is_passed_on(self):
-        # A leaving owner tells the next one which keys it ran. What it ran after that
-        # would be missing, and could be run a second time.
+    def test_shard_is_not_served_during_release(self):
+        # A leaving owner reports to the new owner which keys it ran. A request run
+        # after that report would be missing from it and could run a second time.
         async def scenario(cluster: Cluster) -> None:
             leaver = cluster.instances["i0"]
             seen: list[int | None] = []
@@ -58,18 +58,18 @@
 
         run_cluster(scenario, size=3)
 
-    def test_handover_is_taken_in_before_the_first_act(self):
-        # A request arrives at the very moment at which a shard changes hands. Judged
-        # without what the leaving owner passed on, its caller is told "unknown".
+    def test_handover_is_applied_before_shard_is_served(self):
+        # A request arrives just when the new owner begins to serve a shard. Decided
+        # without the handover message, the request would be answered "unknown".
         async def scenario(cluster: Cluster) -> None:
             leaver, receiver = cluster.instances["i0"], cluster.instances["i1"]
             moved = set(leaver.ownership.list_owned())
             seen: dict[str, int | None] = {}
 
-            def take_in(handover: ShardHandover) -> None:
+            def record_epoch(handover: ShardHandover) -> None:
                 seen[handover.shard_id] = receiver.ownership.owns(handover.shard_id)
 
-            receiver.ownership.add_receiver(take_in)
+            receiver.ownership.add_receiver(record_epoch)
             await leaver.membership.announce_leaving()
             await leaver.ownership.release_all()
             await cluster.sleep_s(1)
@@ -78,23 +78,23 @@
 
         run_cluster(scenario, size=2)
 
-    def test_only_the_owner_before_is_believed(self):
-        # A handover that arrives after yet another owner held the shard lacks what
-        # that one did.
-        former = PreviousOwner(instance_id="x", host="127.0.0.1", port=9)
+    def test_only_handover_from_preceding_epoch_is_accepted(self):
+        # A handover message that arrives after another owner has held the shard lacks
+        # the requests that the other owner ran.
+        previous = PreviousOwner(instance_id="x", host="127.0.0.1", port=9)
         cases = (
             (ShardRow(epoch=4), True),
             (ShardRow(epoch=5), False),
-            (ShardRow(epoch=4, unmet=(former,)), False),
+            (ShardRow(epoch=4, unmet=(previous,)), False),
         )
 
         async def scenario(cluster: Cluster) -> None:
             ownership = cluster.instances["i0"].ownership
-            for row, is_believed in cases:
+            for row, is_accepted in cases:
                 with self.subTest(row=row):
                     handover = ShardHandover(shard_id="req-000", epoch=3)
-                    ownership._handovers["req-000"] = handover
-                    taken = ownership._take_handover("req-000", row)
-                    self.assertEqual(taken is not None, is_believed)
+                    ownership._received_handovers["req-000"] = handover
+                    taken = ownership._pop_handover("req-000", row)
+                    self.assertEqual(taken is not None, is_accepted)
 
         run_cluster(scenario, size=1)
