--- a/trefoilhook/membership/__init__.py
+++ b/trefoilhook/membership/__init__.py
@@ -1,15 +1,15 @@
-"""Which instances live, and what each of them has read from the store."""
+"""Cluster membership: the live instances, and each one's mirror of the store."""
 
 from trefoilhook.membership.core import Membership
 from trefoilhook.membership.follower import MirrorChanged, StoreFollower
-from trefoilhook.membership.lease import LeaseKeeper
+from trefoilhook.membership.lease import LeaseState
 from trefoilhook.membership.members import Member, Members, decode_members
 from trefoilhook.membership.mirror import Mirror, MirrorEntry, Snapshot
-from trefoilhook.membership.promises import PromiseBook
+from trefoilhook.membership.promises import PromiseTracker
 from trefoilhook.membership.settings import MembershipSettings
 
 __all__ = [
-    "LeaseKeeper",
+    "LeaseState",
     "Member",
     "Members",
     "Membership",
@@ -17,7 +17,7 @@
     "Mirror",
     "MirrorChanged",
     "MirrorEntry",
-    "PromiseBook",
+    "PromiseTracker",
     "Snapshot",
     "StoreFollower",
     "decode_members",
--- a/trefoilhook/membership/core.py
+++ b/trefoilhook/membership/core.py
@@ -1,7 +1,7 @@
-"""The task that keeps an instance a member and its mirror of the store current.
+"""The task that maintains an instance's membership and its mirror of the store.
 
-It owns the store lease, the watch, the mirror and the promises. Others read the state
-through its methods and hear of changes over channels.
+It owns the store lease, the watch, the mirror and the promises. Other tasks read the
+state through its methods and receive changes over channels.
 """
 
 import math
@@ -23,7 +23,7 @@
 from trefoilhook.logs import Event, log_event
 from trefoilhook.membership.follower import StoreFollower
 from trefoilhook.membership.health import StoreHealth
-from trefoilhook.membership.lease import LeaseKeeper
+from trefoilhook.membership.lease import LeaseState
 from trefoilhook.membership.members import (
     MEMBERS_PREFIX,
     Member,
@@ -31,7 +31,7 @@
     decode_members,
     encode_member,
 )
-from trefoilhook.membership.promises import PromiseBook
+from trefoilhook.membership.promises import PromiseTracker
 from trefoilhook.membership.settings import MembershipSettings
 from trefoilhook.store import (
     ConflictError,
@@ -40,9 +40,9 @@
 
 __all__ = ["Membership"]
 
-_ASKED_SHARE = 1 / 6
-_GONE_PREFIX = "root/gone/"
-_PROOFS_OF_DEATH = frozenset({PeerState.REFUSED, PeerState.STRANGER})
+_PROMISE_REQUEST_FRACTION = 1 / 6
+_DECLARED_GONE_PREFIX = "root/gone/"
+_DEAD_PEER_STATES = frozenset({PeerState.REFUSED, PeerState.STRANGER})
 
 
 class Membership:
@@ -51,17 +51,17 @@
     Parameters
     ----------
     member : Member
-        This instance; its incarnation is filled in with each lease.
+        This instance; its incarnation is set with each new lease.
     store : StoreClient
-        Adapter to the platform's store.
+        Client of the platform's store.
     inner : InnerNode
         Links to the peers.
     clock : Clock
-        Time.
+        Time source.
     settings : MembershipSettings
-        Times of membership.
+        Intervals and time limits of membership.
     seeds : tuple of PeerAddress
-        Peers to ask for a snapshot while the store is down at the start.
+        Peers to request a snapshot from when the store is down at startup.
     """
 
     def __init__(
@@ -80,17 +80,17 @@
         self._clock = clock
         self._settings = settings
         self._seeds = seeds
-        self._lease = LeaseKeeper(ttl_ms=settings.lease_ttl_ms)
+        self._lease = LeaseState(ttl_ms=settings.lease_ttl_ms)
         self._health = StoreHealth()
-        self._promises = PromiseBook(
+        self._promises = PromiseTracker(
             promise_ms=settings.promise_ms, outage_limit_ms=settings.outage_limit_ms
         )
-        self._lapsed_at_ms = -math.inf
-        self._acting_incarnation = ""
-        self._probed: tuple[PeerAddress, ...] = ()
-        self._listed_ms: dict[PeerAddress, float] = {}
-        self._peer_views: dict[str, int] = {}
-        self._join_revision = 0
+        self._lease_expired_at_ms = -math.inf
+        self._active_incarnation = ""
+        self._probed_addresses: tuple[PeerAddress, ...] = ()
+        self._last_listed_ms: dict[PeerAddress, float] = {}
+        self._peer_members_revisions: dict[str, int] = {}
+        self._record_revision = 0
         self.members = Members()
         self.follower = StoreFollower(
             store=store,
@@ -100,7 +100,7 @@
             on_change=self._read_mirror,
             seed_ids=tuple(seed.instance_id for seed in seeds),
         )
-        self._set_peers()
+        self._update_peers()
         inner.set_heartbeat_source(self.build_heartbeat)
         inner.on_heartbeat(self.receive_heartbeat)
         inner.handle(PromiseRequest, self._answer_promise)
@@ -108,35 +108,35 @@
 
     @property
     def instance_id(self) -> str:
-        """Identity of this instance."""
+        """Id of this instance."""
         return self._member.instance_id
 
     @property
     def member(self) -> Member:
-        """Own record, with the incarnation that the instance now lives under."""
+        """Member record of this instance, with its current incarnation."""
         return self._member
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the store answered the last call of this instance."""
+        """Whether the store answered this instance's last attempt to renew."""
         return self._health.is_reachable
 
     @property
     def unreachable_for_ms(self) -> float:
-        """How long the store has not answered, in ms; 0 while it does."""
+        """Time for which the store has not answered, in ms; 0 while it answers."""
         if self._health.is_reachable or not self._health.has_failed:
             return 0.0
         return self._clock.monotonic_ms() - self._health.failing_since_ms
 
     def is_lease_held(self) -> bool:
-        """Tell whether the store lease is surely held now."""
+        """Return whether the store lease is certain to be held now."""
         return self._lease.is_held(self._clock.monotonic_ms())
 
     def is_settled(self) -> bool:
-        """Tell whether the store has been back long enough to claim shards.
+        """Return whether the store has been reachable for long enough to claim shards.
 
-        After an outage every lease has lapsed in the store. The owners renew theirs at
-        their next attempt; a claim before that would move shards for nothing.
+        After an outage all leases have expired in the store. The owners take new ones
+        at their next attempt; a claim before that would move shards needlessly.
         """
         if not self._health.is_reachable or not self.is_lease_held():
             return False
@@ -145,88 +145,92 @@
         waited_ms = self._clock.monotonic_ms() - self._health.reachable_since_ms
         return waited_ms >= self._settings.settle_ms
 
-    def compute_act_until_ms(self, incarnation: str) -> float:
-        """Compute up to when this instance may act for shards claimed earlier.
+    def compute_serving_end_ms(self, incarnation: str) -> float:
+        """Compute until when this instance may serve the shards that it has claimed.
 
         Parameters
         ----------
         incarnation : str
-            Incarnation under which the shards were claimed. A lease of a later one
-            gives no right until the table of shards says so too.
+            Incarnation under which the shards were claimed. A lease of a later
+            incarnation does not count until the shard table names that incarnation.
 
         Returns
         -------
         float
-            Monotonic time in ms; in the past when it may not act.
+            Monotonic time in ms; in the past if the instance may not serve them.
         """
         now_ms = self._clock.monotonic_ms()
-        if incarnation != self._acting_incarnation:
+        if incarnation != self._active_incarnation:
             return -math.inf
         if self._is_declared_gone(self.instance_id):
-            # Whoever believed the operator may act by now.
+            # Instances that read the operator's declaration may serve them by now.
             return -math.inf
         if self._lease.lease_id != incarnation or not self._lease.is_held(now_ms):
-            return self._extend_by_promises(now_ms)
-        # While renewals fail, the promises gathered already reach past the lease. Who
-        # looks ahead, as the rule of keys does, must not see an end that isn't one.
+            return self._compute_promised_end_ms(now_ms)
+        # While renewals fail, the promises received may already extend past the lease.
+        # Callers that look ahead, such as the request key check, must not see the end
+        # of the lease when the instance may continue beyond it.
         held_until_ms = self._lease.held_until_ms
         if self._health.is_reachable:
             return held_until_ms
-        return max(held_until_ms, self._extend_by_promises(now_ms))
+        return max(held_until_ms, self._compute_promised_end_ms(now_ms))
 
     def may_act(self, incarnation: str) -> bool:
-        """Tell whether this instance may act at this moment for shards it claimed."""
-        return self._clock.monotonic_ms() < self.compute_act_until_ms(incarnation)
+        """Return whether this instance may now serve the shards that it claimed."""
+        return self._clock.monotonic_ms() < self.compute_serving_end_ms(incarnation)
 
-    def begin_incarnation(self) -> None:
-        """Act under the present lease from now on: the table of shards says so."""
-        if self._acting_incarnation != self._member.incarnation:
-            self._acting_incarnation = self._member.incarnation
-            self._promises.restart()
+    def activate_incarnation(self) -> None:
+        """Serve under the current lease from now on, as the shard table names it."""
+        if self._active_incarnation != self._member.incarnation:
+            self._active_incarnation = self._member.incarnation
+            self._promises.reset()
 
     def is_promised_to(self, owner_id: str) -> bool:
-        """Tell whether this instance has promised not to claim from ``owner_id``."""
+        """Return whether a promise not to claim from ``owner_id`` is in force."""
         return self._promises.is_given(owner_id, now_ms=self._clock.monotonic_ms())
 
-    def is_unpromised_in_view_of(self, owner_id: str) -> bool:
-        """Tell whether ``owner_id`` needs a promise that this instance has not given.
+    def can_attest_stopped(self, owner_id: str) -> bool:
+        """Return whether ``owner_id`` needs a promise that this instance has not given.
 
-        True proves that an owner whose lease lapsed has stopped: it said in a heartbeat
-        that it had read this incarnation's record, the record still stands because its
-        lease is held, and without this instance's promise its right is broken for good.
+        If true, an owner whose lease has expired is proved to have stopped: a heartbeat
+        showed that it had read the member record of this incarnation, the record still
+        exists because its lease is held, and without this instance's promise the owner
+        has stopped and cannot resume on promises.
         """
         if not self.is_lease_held() or self.is_promised_to(owner_id):
             return False
-        return 0 < self._join_revision <= self._peer_views.get(owner_id, 0)
+        return (
+            0 < self._record_revision <= self._peer_members_revisions.get(owner_id, 0)
+        )
 
     def is_proved_dead(self, instance_id: str) -> bool:
-        """Tell whether the process behind an instance id is proved to be gone.
+        """Return whether the process behind an instance id is proved to be dead.
 
-        Its address says so, or an operator, who knows of a machine without power what
-        no instance can find out by silence.
+        The proof comes from its address, or from an operator's declaration: instances
+        cannot tell a machine without power from one that is unreachable.
         """
-        if self._inner.peer_state(instance_id) in _PROOFS_OF_DEATH:
+        if self._inner.peer_state(instance_id) in _DEAD_PEER_STATES:
             return True
         return self._is_declared_gone(instance_id)
 
     async def declare_gone(self, instance_id: str) -> None:
-        """Record an operator's word that an instance will never act again.
+        """Record an operator's declaration that an instance will never run again.
 
         Raises
         ------
         StoreError
-            If the store did not take it.
+            If the store did not confirm the write.
         """
-        key = _GONE_PREFIX + instance_id
+        key = _DECLARED_GONE_PREFIX + instance_id
         if await self._store.get(key) is None:
             await self._store.swap(key, b"{}", expected_revision=0)
         log_event(Event.DECLARED_GONE, instance=instance_id)
 
     def _is_declared_gone(self, instance_id: str) -> bool:
-        return self.follower.mirror.get(_GONE_PREFIX + instance_id) is not None
+        return self.follower.mirror.get(_DECLARED_GONE_PREFIX + instance_id) is not None
 
     def build_heartbeat(self) -> Heartbeat:
-        """Build what this instance tells its peers at each interval."""
+        """Build the heartbeat sent to the peers at each interval."""
         return Heartbeat(
             applied_revision=self.follower.mirror.revision,
             members_revision=self.members.revision,
@@ -235,15 +239,21 @@
         )
 
     def receive_heartbeat(self, sender_id: str, heartbeat: Heartbeat) -> None:
-        """Take in what a peer tells at each interval."""
-        self._peer_views[sender_id] = heartbeat.members_revision
-        self.follower.note_peer_revision(sender_id, heartbeat.applied_revision)
+        """Process a peer's heartbeat."""
+        self._peer_members_revisions[sender_id] = heartbeat.members_revision
+        self.follower.record_peer_revision(sender_id, heartbeat.applied_revision)
 
     def give_promise(self, owner_id: str) -> bool:
-        """Promise not to claim from ``owner_id``, if the store can't be reached."""
+        """Promise not to claim from ``owner_id``, unless the store is reachable.
+
+        Returns
+        -------
+        bool
+            Whether the promise was given.
+        """
         if self._health.is_reachable:
             return False
-        self._promises.give(owner_id, now_ms=self._clock.monotonic_ms())
+        self._promises.record_given(owner_id, now_ms=self._clock.monotonic_ms())
         return True
 
     async def _answer_promise(self, call: Call) -> PromiseAnswer:
@@ -254,60 +264,60 @@
 
     async def _answer_attest(self, call: Call) -> AttestAnswer:
         owner_id = getattr(call.message, "owner_instance_id", "")
-        return AttestAnswer(is_unpromised=self.is_unpromised_in_view_of(owner_id))
+        return AttestAnswer(is_unpromised=self.can_attest_stopped(owner_id))
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Stay a member until cancelled; reports once the mirror has content."""
+        """Maintain membership until cancelled; started once the mirror is filled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_lease)
+            nursery.start_soon(self._maintain_lease)
             nursery.start_soon(self.follower.run)
-            nursery.start_soon(self._keep_promises)
+            nursery.start_soon(self._request_promises)
             await self.follower.wait_filled()
             task_status.started()
 
     async def announce_leaving(self) -> None:
-        """Tell the others, through the store, that this instance takes no shard."""
+        """Mark this instance in its member record as leaving: it takes no shards."""
         self._member = attrs.evolve(self._member, is_leaving=True)
         if self.is_lease_held():
             await self._write_record()
 
     async def leave(self) -> None:
-        """Give the lease back, so that nobody waits for it to lapse."""
+        """Revoke the lease, so that no instance waits for it to expire."""
         lease_id = self._lease.lease_id
         self._lease.record_loss()
-        self._acting_incarnation = ""
+        self._active_incarnation = ""
         if lease_id is not None:
             await self._store.revoke_lease(lease_id)
 
-    def _extend_by_promises(self, now_ms: float) -> float:
-        return self._promises.extend(
+    def _compute_promised_end_ms(self, now_ms: float) -> float:
+        return self._promises.compute_serving_end_ms(
             view=[member.instance_id for member in self._list_others()],
             is_dead=self.is_proved_dead,
-            lapsed_at_ms=self._find_lapse_ms(),
+            expired_at_ms=self._get_lease_end_ms(),
             now_ms=now_ms,
         )
 
-    def _find_lapse_ms(self) -> float:
-        """Return when the lease that shards are held under is or was over, in ms.
+    def _get_lease_end_ms(self) -> float:
+        """Return when the lease under which shards are held ends or has ended, in ms.
 
-        A later lease does not count until the table of shards names it.
+        A later lease does not count until the shard table names it.
         """
-        if self._lease.lease_id == self._acting_incarnation:
+        if self._lease.lease_id == self._active_incarnation:
             return self._lease.held_until_ms
-        return self._lapsed_at_ms
+        return self._lease_expired_at_ms
 
     def _list_others(self) -> list[Member]:
         return [m for m in self.members if m.instance_id != self.instance_id]
 
-    async def _keep_lease(self) -> None:
+    async def _maintain_lease(self) -> None:
         while True:
             try:
                 await self._renew()
             except LeaseLostError:
                 log_event(Event.LEASE_LOST, instance=self.instance_id)
-                self._lapsed_at_ms = self._find_lapse_ms()
+                self._lease_expired_at_ms = self._get_lease_end_ms()
                 self._lease.record_loss()
                 continue
             except StoreError as error:
@@ -326,17 +336,17 @@
         self._health.record_success(self._clock.monotonic_ms())
 
     async def _join(self, sent_at_ms: float) -> None:
-        """Take a lease and write the member's record under it.
+        """Take a lease and write the member record under it.
 
-        The record counts as this instance's membership only when both are done: an
-        owner is told that it lives by the record, not by the lease.
+        The lease is recorded as held only after the record is written, because owners
+        see this instance as live by its record, not by its lease.
         """
         lease = await self._store.grant_lease(self._settings.lease_ttl_ms)
         self._member = attrs.evolve(self._member, incarnation=lease.lease_id)
         try:
             await self._write_record(lease_id=lease.lease_id)
         except ConflictError as error:
-            raise StoreError("the member's record is changing") from error
+            raise StoreError("member record was changed concurrently") from error
         self._lease.record_grant(lease_id=lease.lease_id, sent_at_ms=sent_at_ms)
         log_event(Event.LEASE_GRANTED, instance=self.instance_id)
 
@@ -350,63 +360,63 @@
             lease_id=lease_id or self._lease.lease_id,
         )
         if lease_id is not None:
-            self._join_revision = revision
+            self._record_revision = revision
 
-    def _set_peers(self) -> None:
-        """Link to the members, and for a while to those whose records have gone.
+    def _update_peers(self) -> None:
+        """Link to the members, and for a while to those whose records were deleted.
 
-        When the store is back after an outage it knows none of the leases: all records
-        vanish until their instances have joined anew, which takes each a moment. Were
-        the links dropped meanwhile, every request between instances would fail.
+        After an outage of the store all leases have expired, and every member record is
+        missing until its instance has rejoined. If the links were closed meanwhile, all
+        requests between instances would fail.
         """
         now_ms = self._clock.monotonic_ms()
         for member in self._list_others():
             address = PeerAddress(
                 instance_id=member.instance_id, host=member.host, port=member.port
             )
-            self._listed_ms[address] = now_ms
+            self._last_listed_ms[address] = now_ms
         oldest_ms = now_ms - self._settings.link_linger_ms
-        self._listed_ms = {
+        self._last_listed_ms = {
             address: at_ms
-            for address, at_ms in self._listed_ms.items()
+            for address, at_ms in self._last_listed_ms.items()
             if at_ms >= oldest_ms
         }
         seeds = () if self.follower.is_filled else self._seeds
-        self._inner.set_peers({*self._listed_ms, *self._probed, *seeds})
+        self._inner.set_peers({*self._last_listed_ms, *self._probed_addresses, *seeds})
 
     def probe(self, addresses: Iterable[PeerAddress]) -> None:
-        """Keep links to former members too, to find whether they are proved dead."""
+        """Keep links to these addresses too, to detect that their processes died."""
         probed = tuple(addresses)
-        if probed != self._probed:
-            self._probed = probed
-            self._set_peers()
+        if probed != self._probed_addresses:
+            self._probed_addresses = probed
+            self._update_peers()
 
     def _read_mirror(self) -> None:
         mirror = self.follower.mirror
         self.members = decode_members(mirror.entries, revision=mirror.revision)
-        self._set_peers()
+        self._update_peers()
 
-    async def _keep_promises(self) -> None:
-        """Ask for promises while the store is away, well before they are needed."""
-        interval_ms = self._settings.promise_ms * _ASKED_SHARE
+    async def _request_promises(self) -> None:
+        """Request promises while the store is unreachable, well before they expire."""
+        interval_ms = self._settings.promise_ms * _PROMISE_REQUEST_FRACTION
         while True:
             await self._clock.sleep_ms(interval_ms)
-            self._set_peers()
+            self._update_peers()
             if self._health.is_reachable or not self.follower.is_filled:
                 continue
             async with trio.open_nursery() as nursery:
                 for member in self._list_others():
-                    nursery.start_soon(self._ask_promise, member.instance_id)
+                    nursery.start_soon(self._request_promise, member.instance_id)
 
-    async def _ask_promise(self, member_id: str) -> None:
-        asked_at_ms = self._clock.monotonic_ms()
+    async def _request_promise(self, member_id: str) -> None:
+        requested_at_ms = self._clock.monotonic_ms()
         request = PromiseRequest(owner_instance_id=self.instance_id)
         timeout_ms = self._settings.promise_ms / 3
         try:
             answer = await self._inner.call(member_id, request, timeout_ms=timeout_ms)
         except TrefoilhookError:
             return
-        # A refusal takes nothing back: the member keeps an earlier promise to its end,
-        # which bridges the time until this instance reaches the store again as well.
+        # A refusal does not revoke an earlier promise: the member keeps it until its
+        # end, which bridges the time until this instance reaches the store again too.
         if getattr(answer, "is_promised", False):
-            self._promises.receive(member_id, asked_at_ms=asked_at_ms)
+            self._promises.record_received(member_id, requested_at_ms=requested_at_ms)
--- a/trefoilhook/membership/follower.py
+++ b/trefoilhook/membership/follower.py
@@ -1,4 +1,4 @@
-"""The task that keeps the mirror current: by watch, and from peers when that fails."""
+"""The task that updates the mirror: by a watch, and from peers when that fails."""
 
 from collections.abc import Callable
 
@@ -26,34 +26,34 @@
 
 @attrs.frozen(kw_only=True)
 class MirrorChanged:
-    """The mirror changed.
+    """Notification that the mirror has changed.
 
     Parameters
     ----------
     revision : int
-        Revision that the mirror is now at.
+        Current revision of the mirror.
     """
 
     revision: int
 
 
 class StoreFollower:
-    """Follows the watched part of the store.
+    """Keeps a mirror of the watched part of the store up to date.
 
     Parameters
     ----------
     store : StoreClient
-        Adapter to the platform's store.
+        Client of the platform's store.
     inner : InnerNode
         Links to the peers.
     clock : Clock
-        Time.
+        Time source.
     settings : MembershipSettings
-        Times of membership.
+        Intervals and time limits of membership.
     on_change : callable
-        Called after each change, before the subscribers hear of it.
+        Called after each change, before the subscribers are notified.
     seed_ids : tuple of str
-        Peers to ask while nothing has been read yet.
+        Peers to pull from while the mirror is not filled.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._on_change = on_change
         self._seed_ids = seed_ids
         self._peers_ahead: dict[str, int] = {}
-        self._pull_wanted = trio.Event()
+        self._pull_requested = trio.Event()
         self._filled = trio.Event()
         self._subscribers: list[trio.MemorySendChannel[MirrorChanged]] = []
         self.mirror = Mirror()
@@ -81,7 +81,7 @@
 
     @property
     def is_filled(self) -> bool:
-        """Whether anything has been read yet, from the store or from a peer."""
+        """Whether the mirror has been read once, from the store or from a peer."""
         return self._filled.is_set()
 
     async def wait_filled(self) -> None:
@@ -91,39 +91,39 @@
     async def run(self) -> None:
         """Follow the store until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_watch)
-            nursery.start_soon(self._keep_pulling)
+            nursery.start_soon(self._run_watch)
+            nursery.start_soon(self._run_pulls)
 
     def subscribe(self) -> trio.MemoryReceiveChannel[MirrorChanged]:
-        """Return a channel that gets a message after each change of the mirror.
+        """Return a channel that receives a message after each change of the mirror.
 
-        The channel holds one message: a subscriber that is behind reads the mirror's
-        state once, not each step on the way to it.
+        The channel buffers a single message: a slow subscriber reads the latest state
+        of the mirror once and skips the intermediate changes.
         """
         sender, receiver = trio.open_memory_channel[MirrorChanged](1)
         self._subscribers.append(sender)
         return receiver
 
-    def note_peer_revision(self, peer_id: str, revision: int) -> None:
-        """Take in how far a peer's mirror is; one that stays ahead is pulled from."""
+    def record_peer_revision(self, peer_id: str, revision: int) -> None:
+        """Record a peer's mirror revision; a peer that stays ahead is pulled from."""
         if revision <= self.mirror.revision:
             self._peers_ahead.pop(peer_id, None)
             return
         self._peers_ahead[peer_id] = revision
-        self._pull_wanted.set()
+        self._pull_requested.set()
 
     def apply_own_write(self, entry: MirrorEntry) -> None:
-        """Take in a change that this instance wrote, before the watch brings it."""
-        if self.mirror.apply_early(entry):
-            self._announce()
+        """Apply a change that this instance wrote, before the watch delivers it."""
+        if self.mirror.put_if_newer(entry):
+            self._publish_change()
 
-    async def _keep_watch(self) -> None:
-        """Follow the store, anew after each failure.
+    async def _run_watch(self) -> None:
+        """Watch the store, starting again after each failure.
 
-        A watch can go silent for good while new connections work: nothing arrives and
-        nothing fails. Each watch call ends after ``watch_wait_ms`` on the store's side,
-        so that one which does not return shortly after is known to be silent; the
-        adapter's deadline ends it and the next call takes a new connection.
+        A watch can stop delivering changes without an error while new connections work.
+        The store ends each watch call after ``watch_wait_ms``, so a call that does not
+        return shortly after that is silent; the client's timeout ends it and the next
+        call uses a new connection.
         """
         after_revision = 0
         while True:
@@ -138,7 +138,7 @@
             except StoreError as error:
                 log_event(Event.WATCH_SILENT, reason=str(error))
                 if not self.is_filled:
-                    self._pull_wanted.set()
+                    self._pull_requested.set()
                 await self._clock.sleep_ms(self._settings.pull_after_ms)
                 continue
             after_revision = 0 if batch.is_reset else batch.revision
@@ -151,47 +151,48 @@
         while True:
             page = await self._store.list_entries(WATCHED_PREFIX, after_key=after_key)
             entries.extend(_copy_entry(entry) for entry in page.entries)
-            # Changes between two pages are read again from the first page's revision.
+            # The watch starts at the first page's revision, so it delivers any changes
+            # made between two pages again.
             revision = revision or page.revision
             if page.next_key is None:
                 break
             after_key = page.next_key
         self.mirror.replace(entries, revision=revision)
         self._filled.set()
-        self._announce()
+        self._publish_change()
         return revision
 
     def _apply_batch(self, batch: WatchBatch) -> None:
         has_changed = False
         for entry in batch.entries:
             has_changed |= self.mirror.apply_change(_copy_entry(entry))
-        for gone in batch.deleted:
-            has_changed |= self.mirror.apply_deletion(gone.key, gone.revision)
+        for deletion in batch.deleted:
+            has_changed |= self.mirror.apply_deletion(deletion.key, deletion.revision)
         if has_changed:
-            self._announce()
+            self._publish_change()
 
-    async def _keep_pulling(self) -> None:
-        """Fetch from a peer what it has applied and this instance has not.
+    async def _run_pulls(self) -> None:
+        """Pull from peers the changes that are missing in this mirror.
 
-        Heartbeats carry each peer's revision, so a silent watch shows as a peer that is
-        ahead, long before the watch call ends; and a process that starts while the
-        store is down gets members, shards and configuration this way.
+        Heartbeats carry each peer's revision, so a silent watch is detected by a peer
+        that is ahead, long before the watch call ends. A process that starts while the
+        store is down also gets the members, shards and configuration this way.
         """
         while True:
-            await self._pull_wanted.wait()
-            self._pull_wanted = trio.Event()
+            await self._pull_requested.wait()
+            self._pull_requested = trio.Event()
             if self.is_filled:
-                # The own watch mostly brings the change meanwhile.
+                # In most cases this instance's watch delivers the change meanwhile.
                 await self._clock.sleep_ms(self._settings.pull_after_ms)
-            for peer_id in self._list_sources():
+            for peer_id in self._list_pull_sources():
                 if await self._pull_from(peer_id):
                     break
 
-    def _list_sources(self) -> list[str]:
+    def _list_pull_sources(self) -> list[str]:
         if not self.is_filled:
             return [*self._peers_ahead, *self._seed_ids]
-        own = self.mirror.revision
-        return [peer for peer, at in self._peers_ahead.items() if at > own]
+        own_revision = self.mirror.revision
+        return [peer for peer, at in self._peers_ahead.items() if at > own_revision]
 
     async def _pull_from(self, peer_id: str) -> bool:
         request = SnapshotRequest(after_revision=self.mirror.revision)
@@ -206,7 +207,7 @@
         self._peers_ahead.pop(peer_id, None)
         if self.mirror.apply_snapshot(_decode_snapshot(answer)):
             self._filled.set()
-            self._announce()
+            self._publish_change()
         return True
 
     async def _answer_snapshot(self, call: Call) -> SnapshotAnswer:
@@ -214,7 +215,7 @@
         snapshot = self.mirror.build_snapshot(after_revision=after_revision)
         return _encode_snapshot(snapshot)
 
-    def _announce(self) -> None:
+    def _publish_change(self) -> None:
         self._on_change()
         message = MirrorChanged(revision=self.mirror.revision)
         for subscriber in self._subscribers:
--- a/trefoilhook/membership/health.py
+++ b/trefoilhook/membership/health.py
@@ -1,4 +1,4 @@
-"""Whether the store answers, as one instance sees it."""
+"""Reachability of the store from this instance."""
 
 import math
 
@@ -11,10 +11,11 @@
 
 @attrs.define(kw_only=True)
 class StoreHealth:
-    """Whether the store answers, as this instance sees it.
+    """Reachability of the store from this instance.
 
-    A member counts as cut off from its first failure on, until a renewal succeeds: it
-    must not promise while it could still claim.
+    The store counts as unreachable from the first failure until a renewal succeeds. An
+    instance gives promises only while the store is unreachable, because it must not
+    promise while it could still claim.
     """
 
     is_reachable: bool = False
--- a/trefoilhook/membership/members.py
+++ b/trefoilhook/membership/members.py
@@ -1,4 +1,4 @@
-"""The record that each live instance keeps in the store, under its lease."""
+"""Member records, which each live instance keeps in the store under its lease."""
 
 import functools
 import json
@@ -12,7 +12,7 @@
 __all__ = ["MEMBERS_PREFIX", "Member", "Members", "decode_members", "encode_member"]
 
 MEMBERS_PREFIX = "root/members/"
-_DECODED_RECORDS = 4_096
+_DECODE_CACHE_SIZE = 4_096
 
 
 @attrs.frozen(kw_only=True)
@@ -22,19 +22,20 @@
     Parameters
     ----------
     instance_id : str
-        Identity of the process; a restarted process has another one.
+        Id of the instance; a restarted process has another one, unless it is fixed in
+        the settings.
     incarnation : str
-        Store lease that the record hangs on. A process whose lease lapsed joins anew
-        under a new incarnation, and owns nothing until it has said so in the table of
-        shards.
+        Store lease that the record is attached to. A process whose lease has expired
+        rejoins under a new incarnation, and owns no shard until it has refreshed its
+        rows in the shard table.
     host : str
-        Address of the inner listener, an IP number.
+        IP address of the inner listener.
     port : int
         Port of the inner listener.
     failure_domain : str
-        Where the instance runs.
+        Failure domain that the instance runs in.
     is_leaving : bool
-        The instance is shutting down and takes no shard.
+        Whether the instance is shutting down and takes no shards.
     """
 
     instance_id: str
@@ -68,12 +69,12 @@
 
 
 def encode_member(member: Member) -> bytes:
-    """Return the member's record as stored."""
+    """Encode the member's record as stored."""
     return json.dumps(attrs.asdict(member)).encode()
 
 
 def decode_members(entries: Iterable[MirrorEntry], *, revision: int) -> Members:
-    """Read the member records among ``entries``; what can't be read is left out."""
+    """Decode the member records among ``entries``; skips records that are invalid."""
     found: dict[str, Member] = {}
     for entry in entries:
         if not entry.key.startswith(MEMBERS_PREFIX):
@@ -84,12 +85,12 @@
     return Members(by_id=found, revision=revision)
 
 
-@functools.lru_cache(maxsize=_DECODED_RECORDS)
+@functools.lru_cache(maxsize=_DECODE_CACHE_SIZE)
 def _decode_member(value: bytes) -> Member | None:
-    """Read one record; remembered, since few of many change at once.
+    """Decode one record, or return None if it is invalid.
 
-    Every change of any watched key, a team's configuration as well, is followed by a
-    reading of all members.
+    Cached because all members are decoded after each change of any watched key, such as
+    a team's configuration, while few records change at once.
     """
     try:
         return cattrs.structure(json.loads(value), Member)
--- a/trefoilhook/membership/mirror.py
+++ b/trefoilhook/membership/mirror.py
@@ -1,8 +1,8 @@
-"""A copy of the watched part of the store, whose revisions never go back.
+"""A local copy of the watched part of the store, whose revisions never decrease.
 
-Members, the table of shards and the configuration all stand under one prefix, so that
-one waiting watch an instance carries them all. The copy goes on serving while the store
-is down, and is passed on to a peer that starts during the outage.
+The members, the shard table and the configuration have one common prefix, so that each
+instance needs a single watch. The copy remains usable while the store is down, and is
+sent to peers that start during the outage.
 """
 
 from collections import deque
@@ -12,21 +12,21 @@
 
 __all__ = ["Mirror", "MirrorEntry", "Snapshot"]
 
-_MAX_REMEMBERED_DELETIONS = 1_000
+_MAX_TOMBSTONES = 1_000
 
 
 @attrs.frozen(kw_only=True)
 class MirrorEntry:
-    """One value of the store.
+    """One entry of the store.
 
     Parameters
     ----------
     key : str
-        Its path.
+        Path of the key.
     value : bytes
         The value.
     revision : int
-        Store revision of its last change.
+        Store revision of the key's last change.
     """
 
     key: str
@@ -36,18 +36,18 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """What one mirror passes to another.
+    """Content that one mirror sends to another.
 
     Parameters
     ----------
     revision : int
         Revision of the sending mirror.
     entries : tuple of MirrorEntry
-        Entries changed after the asked revision, or all of them.
+        Entries changed after the requested revision, or all entries.
     deleted_keys : tuple of str
-        Keys deleted after the asked revision; empty when all entries are sent.
+        Keys deleted after the requested revision; empty if all entries are sent.
     is_whole : bool
-        All entries are sent: what is not among them does not exist.
+        Whether all entries are sent, so that other keys do not exist.
     """
 
     revision: int
@@ -58,42 +58,43 @@
 
 @attrs.define(kw_only=True)
 class Mirror:
-    """The copy itself, owned by one task.
+    """The local copy, owned by one task.
 
     Parameters
     ----------
     revision : int
-        Store revision up to which every change has been read. Peers rely on it: one
-        that has told a revision has seen what came before, a member's record say. An
-        own write is known early and does not raise it.
+        Store revision up to which every change has been read. Peers rely on it: an
+        instance that reports a revision has read all earlier changes, such as a member
+        record. Own writes are applied before the watch delivers them and do not advance
+        the revision.
     """
 
     revision: int = 0
     _entries: dict[str, MirrorEntry] = attrs.field(factory=dict)
-    _deletions: deque[tuple[int, str]] = attrs.field(
-        factory=lambda: deque(maxlen=_MAX_REMEMBERED_DELETIONS)
+    _tombstones: deque[tuple[int, str]] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_TOMBSTONES)
     )
-    _deletions_from: int = 0
+    _tombstones_since_revision: int = 0
 
     @property
     def entries(self) -> tuple[MirrorEntry, ...]:
-        """Every entry."""
+        """All entries."""
         return tuple(self._entries.values())
 
     def get(self, key: str) -> MirrorEntry | None:
-        """Return the entry at ``key``."""
+        """Return the entry at ``key``, or None."""
         return self._entries.get(key)
 
     def apply_change(self, entry: MirrorEntry) -> bool:
-        """Apply one entry that was read; False when it is older than what is known."""
+        """Apply an entry that was read; return False if a newer one is known."""
         self.revision = max(self.revision, entry.revision)
-        return self.apply_early(entry)
+        return self.put_if_newer(entry)
 
-    def apply_early(self, entry: MirrorEntry) -> bool:
-        """Apply an entry ahead of what has been read; False when it is an older one.
+    def put_if_newer(self, entry: MirrorEntry) -> bool:
+        """Store an entry without advancing the revision; return False if it is old.
 
-        A watch that was replaced, or a peer that lags, delivers changes a second time
-        and out of order. An entry that has moved on must not go back.
+        A replaced watch or a lagging peer delivers changes again and out of order; they
+        must not overwrite newer entries.
         """
         known = self._entries.get(entry.key)
         if known is not None and known.revision >= entry.revision:
@@ -104,46 +105,46 @@
         return True
 
     def apply_deletion(self, key: str, revision: int) -> bool:
-        """Apply one deletion; False when the key was changed later."""
+        """Apply a deletion; return False if the key was absent or changed later."""
         known = self._entries.get(key)
         if known is not None and known.revision > revision:
             return False
         self._entries.pop(key, None)
-        self._remember_deletion(key, revision)
+        self._add_tombstone(key, revision)
         self.revision = max(self.revision, revision)
         return known is not None
 
     def replace(self, entries: Iterable[MirrorEntry], *, revision: int) -> bool:
-        """Take in a whole listing; False when it changes nothing.
+        """Apply a complete listing; return False if nothing changed.
 
-        A listing may be older than what an own write has already brought in. Were it
-        passed over, the changes of others that it alone shows would be missing for
-        good, since the watch goes on from its revision; were it put in place, the own
-        write would be gone. So each key is judged by its own revision: what is known
-        from after the listing stays, the rest is as the listing says.
+        A listing may be older than an own write already applied. If the listing were
+        ignored, changes by others that only it contains would be missed for good, since
+        the watch continues from its revision; if it replaced everything, the own write
+        would be lost. So keys are compared one by one: entries newer than the listing
+        are kept, all others are taken from it.
 
         Parameters
         ----------
         entries : iterable of MirrorEntry
-            The whole listing.
+            The complete listing.
         revision : int
-            Store revision that the listing was read at.
+            Store revision at which the listing was read.
         """
-        fresh = {entry.key: entry for entry in entries}
+        listed = {entry.key: entry for entry in entries}
         has_changed = False
         for key, known in list(self._entries.items()):
-            if key not in fresh and known.revision <= revision:
+            if key not in listed and known.revision <= revision:
                 del self._entries[key]
-                self._remember_deletion(key, revision)
+                self._add_tombstone(key, revision)
                 has_changed = True
-        for entry in fresh.values():
-            has_changed |= self.apply_early(entry)
-        newest = max((entry.revision for entry in fresh.values()), default=0)
+        for entry in listed.values():
+            has_changed |= self.put_if_newer(entry)
+        newest = max((entry.revision for entry in listed.values()), default=0)
         self.revision = max(self.revision, min(newest, revision))
         return has_changed
 
     def apply_snapshot(self, snapshot: Snapshot) -> bool:
-        """Apply what a peer passed on; False when nothing changed."""
+        """Apply a peer's snapshot; return False if it is not ahead of this mirror."""
         if snapshot.revision <= self.revision:
             return False
         if snapshot.is_whole:
@@ -151,26 +152,29 @@
         for key in snapshot.deleted_keys:
             self.apply_deletion(key, snapshot.revision)
         for entry in snapshot.entries:
-            self.apply_early(entry)
+            self.put_if_newer(entry)
         self.revision = max(self.revision, snapshot.revision)
         return True
 
     def build_snapshot(self, *, after_revision: int) -> Snapshot:
-        """Return what changed after a revision, or all when that is not known."""
-        if after_revision < self._deletions_from or after_revision == 0:
+        """Return the changes after a revision, or all entries if they are not known."""
+        if after_revision < self._tombstones_since_revision or after_revision == 0:
             return Snapshot(revision=self.revision, entries=self.entries, is_whole=True)
         changed = tuple(e for e in self.entries if e.revision > after_revision)
-        gone = tuple(
+        deleted = tuple(
             key
-            for revision, key in self._deletions
+            for revision, key in self._tombstones
             if revision > after_revision and key not in self._entries
         )
-        return Snapshot(revision=self.revision, entries=changed, deleted_keys=gone)
+        return Snapshot(revision=self.revision, entries=changed, deleted_keys=deleted)
 
-    def _remember_deletion(self, key: str, revision: int) -> None:
-        if len(self._deletions) == self._deletions.maxlen:
-            self._deletions_from = self._deletions[0][0]
-        self._deletions.append((revision, key))
+    def _add_tombstone(self, key: str, revision: int) -> None:
+        if len(self._tombstones) == self._tombstones.maxlen:
+            self._tombstones_since_revision = self._tombstones[0][0]
+        self._tombstones.append((revision, key))
 
     def _was_deleted_after(self, key: str, revision: int) -> bool:
-        return any(key == gone and at >= revision for at, gone in self._deletions)
+        return any(
+            key == deleted_key and deleted_at >= revision
+            for deleted_at, deleted_key in self._tombstones
+        )
--- a/trefoilhook/membership/settings.py
+++ b/trefoilhook/membership/settings.py
@@ -1,4 +1,4 @@
-"""Times of membership, each declared once."""
+"""Settings of membership."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class MembershipSettings:
-    """Times of membership."""
+    """Intervals and time limits of membership."""
 
     lease_ttl_ms: float = declare(
         default=4_000.0,
--- a/trefoilhook/membership/tests/test_members.py
+++ b/trefoilhook/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Reading the members' records out of the mirror."""
+"""Decoding member records from the mirror."""
 
 import unittest
 from unittest import mock
@@ -21,11 +21,11 @@
 
 
 class MembersTest(unittest.TestCase):
-    """What is read, and how often."""
+    """Which records are decoded, and how often."""
 
-    def test_only_changed_records_are_read_again(self):
-        # Each change of a team's configuration takes each instance longer the more
-        # instances there are: all members' records are parsed anew.
+    def test_only_changed_records_are_decoded_again(self):
+        # All members are decoded after each change of the mirror. Without a cache, the
+        # cost of every configuration change grows with the number of instances.
         entries = [_build_entry(f"reread-{number}") for number in range(5)]
         first = decode_members(entries, revision=1)
         changed = [*entries[:4], _build_entry("reread-4", port=2, revision=2)]
@@ -36,7 +36,7 @@
         self.assertEqual(second.by_id["reread-4"].port, 2)
         self.assertEqual(second.revision, 2)
 
-    def test_unreadable_records_are_left_out(self):
+    def test_invalid_records_are_skipped(self):
         for value in (b"", b"{}", b"[1]", b"\xff"):
             with self.subTest(value=value):
                 entry = MirrorEntry(key=MEMBERS_PREFIX + "x", value=value, revision=1)
--- a/trefoilhook/membership/tests/test_mirror.py
+++ b/trefoilhook/membership/tests/test_mirror.py
@@ -1,4 +1,4 @@
-"""The copy of the store never goes back, whatever comes in whichever order."""
+"""The mirror never reverts an entry, in whatever order changes arrive."""
 
 import unittest
 
@@ -20,11 +20,11 @@
 
 
 class MirrorTest(unittest.TestCase):
-    """Changes, deletions, listings and snapshots, late and out of order."""
+    """Changes, deletions, listings and snapshots that arrive late or out of order."""
 
-    def test_nothing_old_replaces_what_is_known(self):
-        # A watch that was replaced, a listing read before an own write and a peer that
-        # lags all bring in what is older. An operator would see the setting revert.
+    def test_older_changes_do_not_replace_newer_entries(self):
+        # A replaced watch, a listing read before an own write and a lagging peer all
+        # deliver older changes. Applied, they would revert an operator's setting.
         old = _entry(3)
         cases = {
             "change": lambda m: m.apply_change(old),
@@ -44,9 +44,9 @@
                 self.assertEqual(mirror.get(_KEY), _entry(5))
                 self.assertGreaterEqual(mirror.revision, 5)
 
-    def test_older_listing_takes_no_entry_away(self):
-        # A listing at an older revision lacks what was written since: taken in, it
-        # would delete a member that has just joined.
+    def test_older_listing_removes_no_entry(self):
+        # A listing at an older revision lacks later writes. If it replaced the mirror,
+        # it would remove a member that has just joined.
         mirror = _fill(_entry(3), _entry(7, _OTHER))
         self.assertFalse(mirror.replace([_entry(3)], revision=6))
         self.assertEqual(mirror.get(_OTHER), _entry(7, _OTHER))
@@ -54,25 +54,25 @@
         self.assertFalse(mirror.apply_snapshot(snapshot))
         self.assertEqual(mirror.get(_OTHER), _entry(7, _OTHER))
 
-    def test_listing_overtaken_by_an_own_write_is_taken_in(self):
-        # The watch is reset and the whole is listed at 18; before the listing arrives
-        # this instance's own write at 20 is in the mirror. Another's change at 17 and
-        # a deletion stand in the listing alone, and the watch goes on from 18.
+    def test_listing_older_than_an_own_write_is_applied(self):
+        # After a reset of the watch all keys are listed at revision 18. Before the
+        # listing arrives, an own write at 20 is applied. Only the listing shows another
+        # instance's change at 17 and a deletion, as the watch continues from 18.
         mirror = _fill(_entry(3), _entry(4, _OTHER))
-        mirror.apply_early(_entry(20, "root/shards"))
+        mirror.put_if_newer(_entry(20, "root/shards"))
         self.assertTrue(mirror.replace([_entry(17)], revision=18))
         self.assertEqual(mirror.get(_KEY), _entry(17))
         self.assertIsNone(mirror.get(_OTHER))
         self.assertEqual(mirror.get("root/shards"), _entry(20, "root/shards"))
         self.assertEqual(mirror.revision, 17)
 
-    def test_own_write_does_not_vouch_for_what_came_before_it(self):
-        # An owner writes the table at 20 and loses the store before its watch brings
-        # the member that joined at 19. Told "read up to 20", the newcomer would take
-        # it that the owner needs its promise, and both would act for one shard. A peer
-        # that got the whole from this owner would drop the newcomer's record.
+    def test_own_write_does_not_advance_the_revision(self):
+        # An owner writes the table at 20 and loses the store before its watch delivers
+        # the member that joined at 19. If it reported revision 20, the new member would
+        # conclude that the owner needs its promise, and both would serve one shard. A
+        # peer that applied this owner's full snapshot would drop the new member.
         mirror = _fill(_entry(3))
-        mirror.apply_early(_entry(20, "root/shards"))
+        mirror.put_if_newer(_entry(20, "root/shards"))
         self.assertEqual(mirror.revision, 3)
         peer = _fill(_entry(2), _entry(19, _OTHER))
         self.assertFalse(peer.apply_snapshot(mirror.build_snapshot(after_revision=0)))
@@ -82,9 +82,9 @@
         self.assertEqual(late.get("root/shards"), _entry(20, "root/shards"))
         self.assertEqual(late.revision, 3)
 
-    def test_deleted_stays_deleted(self):
-        # A team is deleted, and a change made before comes in late, from a peer or a
-        # watch that was replaced. The team would be back in force.
+    def test_late_change_does_not_restore_deleted_key(self):
+        # A team is deleted, and an earlier change arrives late from a peer or a
+        # replaced watch. Applied, it would put the team back in force.
         for name, apply in {
             "deletion": lambda m: m.apply_deletion(_KEY, 6),
             "listing without it": lambda m: m.replace([], revision=6),
@@ -105,8 +105,8 @@
                 self.assertEqual(mirror.get(_KEY), _entry(8))
 
     def test_snapshot_after_a_revision_brings_a_peer_up_to_date(self):
-        # A peer asks for what changed since its own revision; deletions are part of it,
-        # and beyond what is remembered of them the whole is sent.
+        # A peer requests the changes since its own revision. They include deletions;
+        # if the tombstones do not reach back that far, all entries are sent.
         mirror = _fill(_entry(2), _entry(3, _OTHER))
         peer = _fill(_entry(2), _entry(3, _OTHER))
         mirror.apply_deletion(_OTHER, 4)
--- a/trefoilhook/shards/evidence.py
+++ b/trefoilhook/shards/evidence.py
@@ -67,7 +67,7 @@
         membership = self._membership
         owner_id = owner.instance_id
         return Evidence(
-            is_in_view=membership.is_unpromised_in_view_of(owner_id),
+            is_in_view=membership.can_attest_stopped(owner_id),
             is_proved_dead=membership.is_proved_dead(owner_id),
             is_attested=owner_id in assignment.attested_owners,
             waited_ms=self._clock.monotonic_ms() - assignment.claimed_at_ms,
--- a/trefoilhook/shards/owner.py
+++ b/trefoilhook/shards/owner.py
@@ -134,7 +134,7 @@
         assignment = self._assignments.get(shard_id)
         return math.inf if assignment is None else assignment.active_since_wall_ms
 
-    def act_until_wall_ms(self, shard_id: str) -> float:
+    def serving_end_wall_ms(self, shard_id: str) -> float:
         """Return until when the instance may serve, in ms since the Unix epoch.
 
         The end is the one known now and may still be extended.
@@ -142,7 +142,7 @@
         assignment = self._assignments.get(shard_id)
         if assignment is None:
             return -math.inf
-        until_ms = self._membership.compute_act_until_ms(assignment.row.incarnation)
+        until_ms = self._membership.compute_serving_end_ms(assignment.row.incarnation)
         return self._clock.wall_ms() + until_ms - self._clock.monotonic_ms()
 
     def subscribe(self) -> trio.MemoryReceiveChannel[OwnershipChange]:
@@ -234,7 +234,7 @@
                 self._assign(shard_id, row)
 
     def _assign(self, shard_id: str, row: ShardRow) -> None:
-        self._membership.begin_incarnation()
+        self._membership.activate_incarnation()
         assignment = self._assignments.get(shard_id)
         if assignment is None:
             now_ms = self._clock.monotonic_ms()
--- a/trefoilhook/shards/tests/test_claims.py
+++ b/trefoilhook/shards/tests/test_claims.py
@@ -74,7 +74,7 @@
         # All nine members detect that an owner died; exactly one of them must claim
         # its shard.
         names = tuple(f"i-{number}" for number in range(9))
-        claimers = [
+        claimants = [
             name
             for name in names
             if plan_claims(
@@ -86,7 +86,7 @@
                 held=(),
             ).claimed
         ]
-        self.assertEqual(len(claimers), 1)
+        self.assertEqual(len(claimants), 1)
 
     def test_claim_keeps_unresolved_previous_owners(self):
         # A claimant dies while it waits for proof that the previous owner stopped. The
