--- a/trefoilhook/store/__init__.py
+++ b/trefoilhook/store/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the platform's configuration store."""
+"""Client of the platform's configuration store."""
 
 from trefoilhook.store.client import StoreClient
 from trefoilhook.store.core import (
--- a/trefoilhook/store/client.py
+++ b/trefoilhook/store/client.py
@@ -1,7 +1,7 @@
-"""Adapter to the platform's configuration store.
+"""Client of the platform's configuration store.
 
-The only module that knows how the store is spoken to: HTTP/1.1 with JSON bodies,
-described in ``docs/INTERFACES.md``.
+The only module that knows the store's protocol: HTTP/1.1 with JSON bodies, described in
+``docs/INTERFACES.md``.
 """
 
 from collections import Counter
@@ -36,7 +36,7 @@
 
 __all__ = ["StoreClient"]
 
-_SERVER_FAULT = 500
+_SERVER_ERROR_STATUS = 500
 _T = TypeVar("_T")
 
 
@@ -62,32 +62,32 @@
 
 
 class StoreClient:
-    """Calls to the store; each may be made at the same time as others.
+    """Client of the store; calls may be made concurrently.
 
     Parameters
     ----------
     host : str
-        Address of the store, an IP number.
+        IP address of the store.
     port : int
         Port of the store.
     clock : Clock
-        Where time comes from.
+        Time source.
     timeout_ms : float
-        Longest time for one call, in ms; a watch may wait on top of it.
+        Timeout of a call, in ms; the wait of a watch is added to it.
     token : str, optional
         Bearer token sent with each call.
 
     Attributes
     ----------
     calls : Counter
-        Calls made, by operation and outcome.
+        Number of calls made, by operation and outcome.
 
     Notes
     -----
-    Every method raises ``StoreUnavailableError`` when no answer came back: a change
-    may then have taken effect, unless the error's ``is_proved_unsent`` is set. Every
-    method raises ``StoreRateError`` when the store refused the call for its rate;
-    nothing changed then.
+    Every method raises ``StoreUnavailableError`` if no answer was received: a change
+    may have taken effect, unless the error's ``is_proved_unsent`` is set. Every method
+    raises ``StoreRateError`` if the store's rate limit was exceeded; in that case
+    nothing has changed.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         )
 
     async def get(self, key: str) -> StoreEntry | None:
-        """Return the entry at ``key``; None when there is none."""
+        """Return the entry at ``key``; None if there is none."""
         response = await self._call("GET", "/v1/entry", query={"key": key})
         return _decode(response, _GetAnswer).entry
 
@@ -118,11 +118,11 @@
         Parameters
         ----------
         prefix : str
-            Beginning of the keys.
+            Prefix of the keys.
         after_key : str, optional
-            Only keys after this one; a page's ``next_key``.
+            Return only keys after this one; the ``next_key`` of the previous page.
         limit : int, optional
-            Most entries of the page.
+            Maximum number of entries in the page.
         """
         query: Query = {"prefix": prefix, "after_key": after_key, "limit": limit}
         response = await self._call("GET", "/v1/entries", query=query)
@@ -145,9 +145,9 @@
         value : bytes or None
             The new value, at most ``MAX_VALUE_BYTES``; None deletes the key.
         expected_revision : int
-            Revision that the key must have; 0 when it must be absent.
+            Revision that the key must have; 0 if it must be absent.
         lease_id : str, optional
-            Lease that the key is to go with.
+            Lease to attach the key to.
 
         Returns
         -------
@@ -157,14 +157,14 @@
         Raises
         ------
         ConflictError
-            If the key is at another revision; carries what stands there.
+            If the key is at another revision; carries the current entry.
         LeaseLostError
-            If the lease has lapsed; nothing changed.
+            If the lease has expired; nothing has changed.
         RequestError
-            If the value is too large; nothing changed.
+            If the value is too large; nothing has changed.
         """
         if value is not None and len(value) > MAX_VALUE_BYTES:
-            message = f"{len(value)} bytes are too many for {key}"
+            message = f"value of {len(value)} bytes is too large for key {key}"
             raise RequestError(message, code=ResultCode.TOO_LARGE)
         request = SwapRequest(
             key=key,
@@ -176,12 +176,12 @@
         return _decode(response, _RevisionAnswer).revision
 
     async def grant_lease(self, ttl_ms: float) -> Lease:
-        """Take a new lease that lapses after ``ttl_ms`` ms without a keep-alive."""
+        """Grant a new lease that expires after ``ttl_ms`` ms without a keep-alive."""
         body = _GrantRequest(ttl_ms=ttl_ms)
         return _decode(await self._call("POST", "/v1/leases", body=body), Lease)
 
     async def keep_alive(self, lease_id: str) -> int:
-        """Start the lease's time anew.
+        """Renew the lease for its full time to live.
 
         Returns
         -------
@@ -191,35 +191,35 @@
         Raises
         ------
         LeaseLostError
-            If the lease has lapsed; its keys are gone.
+            If the lease has expired; its keys have been deleted.
         """
         path = f"/v1/leases/{quote(lease_id, safe='')}/keep-alive"
         return _decode(await self._call("POST", path), _RevisionAnswer).revision
 
     async def revoke_lease(self, lease_id: str) -> None:
-        """End the lease and delete its keys.
+        """Revoke the lease and delete its keys.
 
         Raises
         ------
         LeaseLostError
-            If the lease had lapsed before.
+            If the lease had already expired.
         """
         await self._call("DELETE", f"/v1/leases/{quote(lease_id, safe='')}")
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_ms: float
     ) -> WatchBatch:
-        """Wait until something under ``prefix`` changes.
+        """Wait until a key under ``prefix`` changes.
 
         Parameters
         ----------
         prefix : str
-            Beginning of the keys.
+            Prefix of the keys.
         after_revision : int
-            Only later changes count: the revision of the last batch or page.
+            Return only later changes; the revision of the last batch or page.
         wait_ms : float
-            Longest wait at the store, in ms; then the batch is empty. A watch that is
-            silent for longer than this and the timeout is given up.
+            Longest wait at the store, in ms, after which an empty batch is returned.
+            The call fails if no answer arrives within this time and the timeout.
         """
         query: Query = {
             "prefix": prefix,
@@ -256,7 +256,7 @@
         finally:
             self.calls[operation, outcome] += 1
         if response.status != 200:
-            _raise_refusal(response)
+            _raise_store_error(response)
         return response
 
 
@@ -267,15 +267,15 @@
         raise StoreUnavailableError(str(error)) from error
 
 
-def _raise_refusal(response: HttpResponse) -> NoReturn:
+def _raise_store_error(response: HttpResponse) -> NoReturn:
     name = read_error_name(response)
     if name == "conflict":
         current = _decode(response, _ConflictAnswer).current
         raise ConflictError("the key is at another revision", current=current)
     if name == "rate_exceeded":
-        raise StoreRateError("the store's rate is used up")
+        raise StoreRateError("the store's rate limit is exceeded")
     if name == "lease_lost":
-        raise LeaseLostError("the lease has lapsed")
-    if response.status >= _SERVER_FAULT:
-        raise StoreUnavailableError(f"the store answered {response.status}")
+        raise LeaseLostError("the lease has expired")
+    if response.status >= _SERVER_ERROR_STATUS:
+        raise StoreUnavailableError(f"the store answered with status {response.status}")
     raise StoreError(f"the store refused the call: {response.status} {name}")
--- a/trefoilhook/store/core.py
+++ b/trefoilhook/store/core.py
@@ -1,8 +1,8 @@
 """Typed messages of the platform's configuration store.
 
-The store keeps one counter, its revision, for all keys: each change raises it by one
-and the changed key carries the new value. A compare-and-swap names the revision that
-the writer has read, 0 for a key that must be absent.
+The store has one revision counter for all keys: each change increments it, and the
+changed key gets the new revision. A compare-and-swap gives the revision that the writer
+has read, or 0 for a key that must be absent.
 """
 
 import attrs
@@ -26,18 +26,18 @@
 
 @attrs.frozen(kw_only=True)
 class StoreEntry:
-    """One key as it stands.
+    """A key with its current value.
 
     Parameters
     ----------
     key : str
         Path of the key.
     value : bytes
-        What stands there, at most ``MAX_VALUE_BYTES``.
+        The value, at most ``MAX_VALUE_BYTES``.
     revision : int
         Store revision of the key's last change.
     lease_id : str, optional
-        Lease that the key goes with.
+        Lease that the key is attached to.
     """
 
     key: str
@@ -47,14 +47,14 @@
 
 
 class ConflictError(StoreError):
-    """A compare-and-swap lost: the key is at another revision.
+    """A compare-and-swap failed because the key is at another revision.
 
     Parameters
     ----------
     message : str
-        What happened, for people.
+        Description of the conflict.
     current : StoreEntry, optional
-        What stands at the key now; None when the key is absent.
+        Current entry at the key; None if the key is absent.
     """
 
     code = ResultCode.CONFLICT
@@ -66,17 +66,17 @@
 
 @attrs.frozen(kw_only=True)
 class StorePage:
-    """A page of entries in the order of their keys.
+    """A page of entries, sorted by key.
 
     Parameters
     ----------
     entries : tuple of StoreEntry
-        The entries; a page ends early when its values are large.
+        The entries; a page with large values holds fewer of them.
     revision : int
-        Store revision when the page was read. A watch that goes on from a list starts
-        after the revision of the first page.
+        Store revision at which the page was read. A watch that continues from a list
+        starts after the revision of the first page.
     next_key : str, optional
-        Where the next page starts (pass as ``after_key``); None at the end.
+        Value of ``after_key`` for the next page; None on the last page.
     """
 
     entries: tuple[StoreEntry, ...]
@@ -86,14 +86,14 @@
 
 @attrs.frozen(kw_only=True)
 class Lease:
-    """A lease as granted.
+    """A granted lease.
 
     Parameters
     ----------
     lease_id : str
-        Its name.
+        Id of the lease.
     ttl_ms : float
-        Time without a keep-alive after which it lapses, in ms.
+        Time without a keep-alive after which the lease expires, in ms.
     """
 
     lease_id: str
@@ -110,18 +110,18 @@
 
 @attrs.frozen(kw_only=True)
 class WatchBatch:
-    """What changed under a prefix.
+    """Changes under a prefix.
 
     Parameters
     ----------
     entries : tuple of StoreEntry
-        Keys that changed, once each, as they stand now.
+        Current entries of the changed keys, each key once.
     deleted : tuple of DeletedKey
-        Keys that are gone.
+        Deleted keys.
     revision : int
-        Where the next watch goes on from.
+        Revision from which the next watch continues.
     is_reset : bool
-        The store no longer knows what changed: list anew.
+        Whether the store no longer has the changes and the watcher must list again.
     """
 
     entries: tuple[StoreEntry, ...]
@@ -141,9 +141,9 @@
     value : bytes, optional
         The new value; None deletes the key.
     expected_revision : int
-        Revision that the key must have; 0 when it must be absent.
+        Revision that the key must have; 0 if it must be absent.
     lease_id : str, optional
-        Lease that the key is to go with.
+        Lease to attach the key to.
     """
 
     key: str
--- a/trefoilhook/store/swaps.py
+++ b/trefoilhook/store/swaps.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap that finds out what became of a lost answer."""
+"""Compare-and-swap that determines its outcome when the answer is lost."""
 
 import uuid
 
@@ -9,12 +9,12 @@
 
 __all__ = ["build_nonce", "swap_reading_back"]
 
-_FIRST_PAUSE_MS = 25.0
-_LONGEST_PAUSE_MS = 1_000.0
+_INITIAL_RETRY_DELAY_MS = 25.0
+_MAX_RETRY_DELAY_MS = 1_000.0
 
 
 def build_nonce() -> str:
-    """Return a text that no other write carries, to be put into a value."""
+    """Return a unique string to include in a value, to identify its write."""
     return uuid.uuid4().hex
 
 
@@ -28,25 +28,25 @@
     timeout_ms: float,
     lease_id: str | None = None,
 ) -> int:
-    """Swap, and on a lost answer read back whether the swap took effect.
+    """Compare-and-swap; if the answer is lost, find out whether it took effect.
 
     Parameters
     ----------
     client : StoreClient
-        The store.
+        Client of the store.
     key : str
         Path of the key.
     value : bytes
-        The new value. It must hold a nonce of this write (`build_nonce`), so that
-        equal bytes at the key prove that they came from it.
+        The new value. It must contain a nonce of this write (`build_nonce`), so that
+        equal bytes at the key prove that this write took effect.
     expected_revision : int
-        Revision that the key must have; 0 when it must be absent.
+        Revision that the key must have; 0 if it must be absent.
     clock : Clock
-        Where time comes from.
+        Time source.
     timeout_ms : float
-        How long to go on finding out, in ms.
+        Time after which no further attempt is made, in ms.
     lease_id : str, optional
-        Lease that the key is to go with.
+        Lease to attach the key to.
 
     Returns
     -------
@@ -58,53 +58,53 @@
     ConflictError
         If another write came first; this one did not take effect and never will.
     StoreUnavailableError
-        If it stays unknown whether the write took effect, or may yet; it is a
-        ``StoreUnsentError`` when the write never left.
+        If it remains unknown whether the write took effect or may still do so; a
+        ``StoreUnsentError`` if the write was never sent.
     StoreRateError
-        If the store refused the only attempt; nothing changed.
+        If the store refused the only attempt; nothing has changed.
     LeaseLostError
-        If the lease has lapsed.
+        If the lease has expired.
 
     Notes
     -----
-    The failure guarded against: the store applies a swap and the answer is lost. Sent
-    again, the swap meets its own effect and looks like a lost race; its writer would
-    report "not done" for what was done. The value's nonce tells the two apart. To
-    send it again is safe, since at most one of several swaps that expect the same
-    revision can take effect, however late one of them arrives.
+    If the store applies a swap and its answer is lost, sending the swap again results
+    in a conflict with its own effect, and the caller would report a failure for a write
+    that succeeded. The nonce in the value distinguishes this from a conflict with
+    another write. Sending the swap again is safe, since at most one of several swaps
+    that expect the same revision can take effect, however late they arrive.
     """
     deadline_ms = clock.monotonic_ms() + timeout_ms
-    pause_ms = _FIRST_PAUSE_MS
-    lost: StoreUnavailableError | None = None
+    delay_ms = _INITIAL_RETRY_DELAY_MS
+    lost_answer: StoreUnavailableError | None = None
     while True:
         try:
             return await client.swap(
                 key, value, expected_revision=expected_revision, lease_id=lease_id
             )
         except ConflictError as conflict:
-            return _judge_conflict(conflict, value=value, lost=lost)
+            return _resolve_conflict(conflict, value=value, lost_answer=lost_answer)
         except StoreRateError:
-            if lost is None:
+            if lost_answer is None:
                 raise
         except StoreUnavailableError as error:
-            if error.is_proved_unsent and lost is None:
+            if error.is_proved_unsent and lost_answer is None:
                 raise
-            lost = lost or error
-        if clock.monotonic_ms() + pause_ms >= deadline_ms:
-            raise lost
-        await clock.sleep_ms(pause_ms)
-        pause_ms = min(2 * pause_ms, _LONGEST_PAUSE_MS)
+            lost_answer = lost_answer or error
+        if clock.monotonic_ms() + delay_ms >= deadline_ms:
+            raise lost_answer
+        await clock.sleep_ms(delay_ms)
+        delay_ms = min(2 * delay_ms, _MAX_RETRY_DELAY_MS)
 
 
-def _judge_conflict(
-    conflict: ConflictError, *, value: bytes, lost: StoreUnavailableError | None
+def _resolve_conflict(
+    conflict: ConflictError, *, value: bytes, lost_answer: StoreUnavailableError | None
 ) -> int:
-    """Tell an own write from another's; the conflict carries what stands there."""
+    """Return the revision of this write if the conflict is with itself, else raise."""
     current = conflict.current
     if current is not None and current.value == value:
         return current.revision
-    if lost is None:
+    if lost_answer is None:
         raise conflict
-    # Another's write stands here, but an earlier attempt of ours may have come before
-    # it and been written over: only "unknown" is true.
-    raise lost
+    # The current value is another writer's, but an earlier attempt of this write may
+    # have been applied before and overwritten: the outcome is unknown.
+    raise lost_answer
--- a/trefoilhook/store/tests/bench.py
+++ b/trefoilhook/store/tests/bench.py
@@ -1,4 +1,4 @@
-"""A store in virtual time, for the tests of this package."""
+"""Test fixture: a store and its client on virtual time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -16,15 +16,15 @@
     build_nonce,
 )
 
-__all__ = ["Bench", "run_with_store"]
+__all__ = ["StoreFixture", "run_with_store"]
 
 _TIMEOUT_MS = 500.0
 _LONG_TIMEOUT_MS = 60_000.0
 
 
 @attrs.frozen(kw_only=True)
-class Bench:
-    """A store and a client of it."""
+class StoreFixture:
+    """A store and a client connected to it."""
 
     clock: Clock
     store: StoreStandin
@@ -32,7 +32,7 @@
     token: str
 
     def connect(self, port: int | None = None) -> StoreClient:
-        """Build another client, to the store or to what stands before it."""
+        """Build another client, connected to the store or to a proxy at ``port``."""
         return StoreClient(
             host="127.0.0.1",
             port=port or self.store.server.port,
@@ -43,15 +43,15 @@
 
 
 def run_with_store(
-    scenario: Callable[[Bench], Awaitable[None]],
+    scenario: Callable[[StoreFixture], Awaitable[None]],
     *,
     settings: StoreSettings | None = None,
     is_large: bool = False,
 ) -> None:
-    """Run ``scenario`` against a store in virtual time.
+    """Run ``scenario`` against a store on virtual time.
 
-    Large values go through the kernel in pieces with pauses of its own, which a
-    virtual clock would take for quiet: these run in real time with a long timeout.
+    The kernel transfers large values in pieces with pauses, during which the virtual
+    clock would jump: such scenarios run in real time with a long timeout.
     """
     timeout_ms = _LONG_TIMEOUT_MS if is_large else _TIMEOUT_MS
 
@@ -68,10 +68,12 @@
                 timeout_ms=timeout_ms,
                 token=token,
             )
-            await scenario(Bench(clock=clock, store=store, client=client, token=token))
+            await scenario(
+                StoreFixture(clock=clock, store=store, client=client, token=token)
+            )
             nursery.cancel_scope.cancel()
 
-    # The sockets are real, so the virtual clock must not jump while bytes are on
-    # their way through the kernel: it waits for quiet first.
+    # The sockets are real, so the virtual clock must not jump while the kernel still
+    # transfers bytes: it jumps only after 50 ms without activity.
     virtual = trio.testing.MockClock(autojump_threshold=0.05)
     trio.run(main, clock=None if is_large else virtual)
