--- a/trefoilhook/membership/core.py
+++ b/trefoilhook/membership/core.py
@@ -97,7 +97,7 @@
             inner=inner,
             clock=clock,
             settings=settings,
-            on_change=self._read_mirror,
+            on_change=self._update_members,
             seed_ids=tuple(seed.instance_id for seed in seeds),
         )
         self._update_peers()
@@ -175,7 +175,7 @@
             return held_until_ms
         return max(held_until_ms, self._compute_promised_end_ms(now_ms))
 
-    def may_act(self, incarnation: str) -> bool:
+    def may_serve(self, incarnation: str) -> bool:
         """Return whether this instance may now serve the shards that it claimed."""
         return self._clock.monotonic_ms() < self.compute_serving_end_ms(incarnation)
 
@@ -293,7 +293,7 @@
 
     def _compute_promised_end_ms(self, now_ms: float) -> float:
         return self._promises.compute_serving_end_ms(
-            view=[member.instance_id for member in self._list_others()],
+            view=[member.instance_id for member in self._list_other_members()],
             is_dead=self.is_proved_dead,
             expired_at_ms=self._get_lease_end_ms(),
             now_ms=now_ms,
@@ -308,7 +308,7 @@
             return self._lease.held_until_ms
         return self._lease_expired_at_ms
 
-    def _list_others(self) -> list[Member]:
+    def _list_other_members(self) -> list[Member]:
         return [m for m in self.members if m.instance_id != self.instance_id]
 
     async def _maintain_lease(self) -> None:
@@ -370,7 +370,7 @@
         requests between instances would fail.
         """
         now_ms = self._clock.monotonic_ms()
-        for member in self._list_others():
+        for member in self._list_other_members():
             address = PeerAddress(
                 instance_id=member.instance_id, host=member.host, port=member.port
             )
@@ -391,7 +391,7 @@
             self._probed_addresses = probed
             self._update_peers()
 
-    def _read_mirror(self) -> None:
+    def _update_members(self) -> None:
         mirror = self.follower.mirror
         self.members = decode_members(mirror.entries, revision=mirror.revision)
         self._update_peers()
@@ -405,7 +405,7 @@
             if self._health.is_reachable or not self.follower.is_filled:
                 continue
             async with trio.open_nursery() as nursery:
-                for member in self._list_others():
+                for member in self._list_other_members():
                     nursery.start_soon(self._request_promise, member.instance_id)
 
     async def _request_promise(self, member_id: str) -> None:
--- a/trefoilhook/shards/owner.py
+++ b/trefoilhook/shards/owner.py
@@ -81,7 +81,7 @@
         outage_limit_ms: float,
     ) -> None:
         self._membership = membership
-        self._tables = TableStore(store=store, clock=clock)
+        self._table_store = TableStore(store=store, clock=clock)
         self._inner = inner
         self._clock = clock
         self._shard_ids = list_shards(settings)
@@ -125,7 +125,7 @@
         assignment = self._assignments.get(shard_id)
         if assignment is None or not assignment.is_active:
             return None
-        if not self._membership.may_act(assignment.row.incarnation):
+        if not self._membership.may_serve(assignment.row.incarnation):
             return None
         return assignment.row.epoch
 
@@ -181,7 +181,7 @@
         """Claim, serve and hand over shards until cancelled."""
         changes = self._membership.follower.subscribe()
         while True:
-            is_contended = await self.step()
+            is_contended = await self.run_once()
             if is_contended:
                 # Many instances write the table at once when an instance is lost or
                 # the store is reachable again; the random delay spreads their writes.
@@ -190,7 +190,7 @@
             with trio.move_on_after(_POLL_INTERVAL_MS / 1000.0):
                 await changes.receive()
 
-    async def step(self) -> bool:
+    async def run_once(self) -> bool:
         """Bring ownership in line with members and table once.
 
         Returns
@@ -216,7 +216,7 @@
 
         `Membership.announce_leaving` must have been called before.
         """
-        while any(not h.is_releasing for h in self._assignments.values()):
+        while any(not a.is_releasing for a in self._assignments.values()):
             if not self._membership.is_lease_held():
                 return
             await self._clock.sleep_ms(_POLL_INTERVAL_MS / 5)
@@ -263,8 +263,8 @@
         """
         if self._plan(self._table, self._membership.members).is_empty:
             return
-        table = await self._tables.fetch()
-        members = await self._tables.fetch_members()
+        table = await self._table_store.fetch()
+        members = await self._table_store.fetch_members()
         plan = self._plan(table, members)
         if plan.is_empty:
             return
@@ -288,7 +288,7 @@
         )
 
     async def _write_table(self, table: ShardTable) -> None:
-        entry = await self._tables.write(table)
+        entry = await self._table_store.write(table)
         self._membership.follower.apply_own_write(entry)
         self._apply_table()
 
--- a/trefoilhook/shards/tests/cluster.py
+++ b/trefoilhook/shards/tests/cluster.py
@@ -96,7 +96,7 @@
                 await nursery.start(instance.membership.run)
                 nursery.start_soon(instance.ownership.run)
 
-    async def watch(self) -> None:
+    async def monitor_owners(self) -> None:
         """Record when several instances, or none, may serve a shard."""
         while True:
             now_ms = self.clock.monotonic_ms()
@@ -170,7 +170,7 @@
             for number in range(size):
                 cluster.add(f"i{number}")
             await cluster.sleep_s(15)
-            nursery.start_soon(cluster.watch)
+            nursery.start_soon(cluster.monitor_owners)
             await scenario(cluster)
             nursery.cancel_scope.cancel()
 
