--- a/trefoilhook/requests/callers.py
+++ b/trefoilhook/requests/callers.py
@@ -1,22 +1,27 @@
-"""The role of the entry: find the key's owner, and tell the caller the truth."""
+"""Entry role: forward a request to its key's owner and answer the caller."""
 
 import attrs
 import trio
 
 from trefoilhook.exceptions import AnswerLostError, NotSentError, TrefoilhookError
 from trefoilhook.requests.coordination import coordinate
-from trefoilhook.requests.keyowner import take_quota
+from trefoilhook.requests.keyowner import charge_quota
 from trefoilhook.requests.keys import compute_key_shard
 from trefoilhook.requests.models import Attempt, CallerAnswer, CallerRequest
-from trefoilhook.requests.work import Parts, Work, decode_answer, encode_work
+from trefoilhook.requests.pending import (
+    Components,
+    PendingRequest,
+    decode_answer,
+    encode_request,
+)
 from trefoilhook.results import Outcome, ResultCode
 
-__all__ = ["Journey", "ask_owner", "run_unkeyed"]
+__all__ = ["ForwardedRequest", "forward_to_key_owner", "run_unkeyed"]
 
 _MS_PER_S = 1000.0
-_FIRST_WAIT_MS = 10.0
-_LONGEST_WAIT_MS = 200.0
-_NOT_ASKED = frozenset(
+_INITIAL_BACKOFF_MS = 10.0
+_MAX_BACKOFF_MS = 200.0
+_OWNER_UNAVAILABLE_CODES = frozenset(
     {
         ResultCode.NO_OWNER,
         ResultCode.OWNER_UNREACHABLE,
@@ -26,30 +31,30 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Journey:
-    """One request's way from the entry to its key's owner.
+class ForwardedRequest:
+    """A request that the entry forwards to its key's owner.
 
     Parameters
     ----------
     request : CallerRequest
-        What the caller sent.
-    work : Work
-        The request, with the caller's deadline.
-    is_received : bool
-        Whether some owner may have got it without answering.
-    is_answered : bool
-        Whether the newest word is an owner's own.
+        The caller's request.
+    pending : PendingRequest
+        Internal form of the request, with the caller's deadline.
+    is_answer_lost : bool
+        Whether an owner may have received the request without its answer arriving.
+    is_from_owner : bool
+        Whether the latest answer came from an owner.
     """
 
     request: CallerRequest
-    work: Work
-    is_received: bool = False
-    is_answered: bool = False
+    pending: PendingRequest
+    is_answer_lost: bool = False
+    is_from_owner: bool = False
 
 
-async def run_unkeyed(parts: Parts, work: Work) -> CallerAnswer:
-    """Run an idempotent request without a key, from here."""
-    refusal = take_quota(parts, work.team)
+async def run_unkeyed(components: Components, pending: PendingRequest) -> CallerAnswer:
+    """Run an idempotent request without involving a key owner."""
+    refusal = charge_quota(components, pending.team)
     if refusal is not None:
         return refusal
     sent: list[bool] = [False]
@@ -63,119 +68,134 @@
     async def run() -> None:
         try:
             answer = await coordinate(
-                parts, work, mark_sent=mark_sent, entry_id=parts.instance_id
+                components,
+                pending,
+                mark_sent=mark_sent,
+                entry_id=components.instance_id,
             )
             answers.append(answer)
         finally:
             done.set()
 
-    parts.start(run)
-    left_ms = max(0.0, work.deadline_ms - parts.clock.monotonic_ms())
-    with trio.move_on_after(left_ms / _MS_PER_S):
+    components.start(run)
+    remaining_ms = max(0.0, pending.deadline_ms - components.clock.monotonic_ms())
+    with trio.move_on_after(remaining_ms / _MS_PER_S):
         await done.wait()
     if answers:
         return answers[0]
     if sent[0]:
-        return parts.refuse(ResultCode.DEADLINE_AFTER_SEND)
-    return parts.refuse(ResultCode.QUEUE_DEADLINE)
+        return components.refuse(ResultCode.DEADLINE_AFTER_SEND)
+    return components.refuse(ResultCode.QUEUE_DEADLINE)
 
 
-async def ask_owner(parts: Parts, journey: Journey) -> CallerAnswer:
-    """Ask the owner of a request's key, and ask again where that is safe.
+async def forward_to_key_owner(
+    components: Components, forwarded: ForwardedRequest
+) -> CallerAnswer:
+    """Forward a request to the owner of its key, retrying until the deadline.
 
-    An owner is looked for only as long as a handover takes: a key minted before a
-    takeover is refused by the new owner, so that waiting for one would hold the
-    caller back in vain.
+    If no owner is available, retries end after the time that a handover takes. Waiting
+    for a takeover without a handover would be useless, because the new owner refuses
+    keys created before it.
 
-    Asking again is always safe, also after an answer was lost: the key's owner never
-    runs a key twice, and a later owner refuses what an earlier one may have run.
+    Retrying is always safe, even after an answer was lost. The owner never runs a key
+    twice, and a later owner refuses keys that an earlier one may have run.
 
     Parameters
     ----------
-    parts : Parts
-        What the roles share.
-    journey : Journey
+    components : Components
+        Components shared by all roles.
+    forwarded : ForwardedRequest
         The request.
     """
-    deadline_ms = journey.work.deadline_ms
-    give_up_ms = parts.clock.monotonic_ms() + parts.settings.owner_wait_ms
-    wait_ms = _FIRST_WAIT_MS
+    deadline_ms = forwarded.pending.deadline_ms
+    give_up_ms = components.clock.monotonic_ms() + components.settings.owner_wait_ms
+    backoff_ms = _INITIAL_BACKOFF_MS
     while True:
-        answer = await _ask_once(parts, journey)
-        now_ms = parts.clock.monotonic_ms()
-        is_final = journey.is_answered and answer.code not in _NOT_ASKED
+        answer = await _forward_once(components, forwarded)
+        now_ms = components.clock.monotonic_ms()
+        is_final = (
+            forwarded.is_from_owner and answer.code not in _OWNER_UNAVAILABLE_CODES
+        )
         if is_final or now_ms >= deadline_ms:
             break
-        if not journey.is_received and now_ms + wait_ms > give_up_ms:
+        if not forwarded.is_answer_lost and now_ms + backoff_ms > give_up_ms:
             break
-        if now_ms + wait_ms >= deadline_ms:
+        if now_ms + backoff_ms >= deadline_ms:
             break
-        await parts.clock.sleep_ms(wait_ms)
-        wait_ms = min(2 * wait_ms, _LONGEST_WAIT_MS)
-    return tell_truth(parts, journey, answer)
+        await components.clock.sleep_ms(backoff_ms)
+        backoff_ms = min(2 * backoff_ms, _MAX_BACKOFF_MS)
+    return adjust_for_caller(components, forwarded, answer)
 
 
-async def _ask_once(parts: Parts, journey: Journey) -> CallerAnswer:
-    work = journey.work
-    journey.is_answered = False
-    count = parts.settings.shard_count
-    shard_id = compute_key_shard(work.key, shard_count=count)
-    owner = parts.ownership.find_owner(shard_id)
+async def _forward_once(
+    components: Components, forwarded: ForwardedRequest
+) -> CallerAnswer:
+    pending = forwarded.pending
+    forwarded.is_from_owner = False
+    count = components.settings.shard_count
+    shard_id = compute_key_shard(pending.key, shard_count=count)
+    owner = components.ownership.find_owner(shard_id)
     if owner is None:
-        return parts.refuse(ResultCode.NO_OWNER)
-    left_ms = work.deadline_ms - parts.clock.monotonic_ms()
-    if left_ms <= 0:
-        return parts.refuse(ResultCode.OWNER_UNREACHABLE)
-    message = encode_work(
-        work, executor_id="", shard_epoch=owner.epoch, entry_id=parts.instance_id
+        return components.refuse(ResultCode.NO_OWNER)
+    remaining_ms = pending.deadline_ms - components.clock.monotonic_ms()
+    if remaining_ms <= 0:
+        return components.refuse(ResultCode.OWNER_UNREACHABLE)
+    message = encode_request(
+        pending,
+        executor_id="",
+        shard_epoch=owner.epoch,
+        entry_id=components.instance_id,
     )
-    if owner.instance_id == parts.instance_id:
-        journey.is_answered = True
-        return await parts.serve_own(message, left_ms)
+    if owner.instance_id == components.instance_id:
+        forwarded.is_from_owner = True
+        return await components.serve_own(message, remaining_ms)
     try:
-        with trio.fail_after(left_ms / _MS_PER_S):
-            reply = await parts.inner.call(
-                owner.instance_id, message, timeout_ms=left_ms
+        with trio.fail_after(remaining_ms / _MS_PER_S):
+            reply = await components.inner.call(
+                owner.instance_id, message, timeout_ms=remaining_ms
             )
     except NotSentError as error:
-        return parts.refuse(ResultCode.OWNER_UNREACHABLE, str(error))
+        return components.refuse(ResultCode.OWNER_UNREACHABLE, str(error))
     except (AnswerLostError, trio.TooSlowError) as error:
-        journey.is_received = True
-        return parts.refuse(ResultCode.ANSWER_LOST, str(error))
+        forwarded.is_answer_lost = True
+        return components.refuse(ResultCode.ANSWER_LOST, str(error))
     except TrefoilhookError as error:
-        journey.is_answered = True
-        return parts.refuse(error.code, str(error))
-    journey.is_answered = True
+        forwarded.is_from_owner = True
+        return components.refuse(error.code, str(error))
+    forwarded.is_from_owner = True
     return decode_answer(reply)
 
 
-def tell_truth(parts: Parts, journey: Journey, answer: CallerAnswer) -> CallerAnswer:
-    """Turn what was learnt on the way into what may be said of the key.
+def adjust_for_caller(
+    components: Components, forwarded: ForwardedRequest, answer: CallerAnswer
+) -> CallerAnswer:
+    """Adjust an answer so that it is also correct for earlier attempts with the key.
 
-    Guards against a caller that is told "not run" on its second attempt while its
-    first one was run: it would send the order again under a new key. Without the
-    word of the key's owner nobody knows of earlier attempts, but a caller that says
-    it made none.
+    Only the key's owner knows of earlier attempts. If a caller were told "not run" for
+    its second attempt although the first one was run, it would send the request again
+    with a new key. Without an answer from the owner, "not run" is therefore returned
+    only to callers that declare their first attempt. Others are told that this attempt
+    was not run or that the outcome is unknown.
     """
     code = answer.code
-    if journey.is_received:
-        return _tell_after_loss(parts, journey, answer)
-    is_first = journey.request.attempt is Attempt.FIRST
+    if forwarded.is_answer_lost:
+        return _adjust_after_lost_answer(components, forwarded, answer)
+    is_first = forwarded.request.attempt is Attempt.FIRST
     if code is ResultCode.KEY_TOO_OLD and not is_first:
         return attrs.evolve(answer, code=ResultCode.OUTCOME_UNKNOWN)
-    if code in _NOT_ASKED and not is_first:
+    if code in _OWNER_UNAVAILABLE_CODES and not is_first:
         detail = answer.detail or code.name
         return attrs.evolve(answer, code=ResultCode.ATTEMPT_NOT_RUN, detail=detail)
     return answer
 
 
-def _tell_after_loss(
-    parts: Parts, journey: Journey, answer: CallerAnswer
+def _adjust_after_lost_answer(
+    components: Components, forwarded: ForwardedRequest, answer: CallerAnswer
 ) -> CallerAnswer:
-    """Say "unknown" where a copy that was lost on the way might still arrive."""
-    is_late = parts.clock.monotonic_ms() >= journey.work.deadline_ms
-    is_own_word = not journey.is_answered
-    if is_own_word and is_late:
+    """Replace "not run" by "unknown" if an earlier copy may still arrive."""
+    is_late = components.clock.monotonic_ms() >= forwarded.pending.deadline_ms
+    is_local_answer = not forwarded.is_from_owner
+    if is_local_answer and is_late:
         return attrs.evolve(answer, code=ResultCode.DEADLINE_AFTER_SEND)
     if answer.code.outcome is Outcome.NOT_RUN:
         return attrs.evolve(answer, code=ResultCode.ANSWER_LOST)
--- a/trefoilhook/requests/tests/fakes.py
+++ b/trefoilhook/requests/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of the request path, on virtual time."""
+"""Fakes of the interfaces of the request path, using virtual time."""
 
 import math
 import random
@@ -32,14 +32,14 @@
 
 
 def mint_at(wall_ms: float, generator: random.Random | None = None) -> bytes:
-    """Return a fresh UUIDv7 that was minted at the given wall time."""
+    """Return a new UUIDv7 with the given creation time."""
     value = (generator or random.Random()).getrandbits(80)
     return uuid6.UUID(int=(int(wall_ms) << 80) | value, version=7).bytes
 
 
 @attrs.frozen(kw_only=True)
 class FakeOwner:
-    """Owner of a shard."""
+    """Fake owner of a shard."""
 
     instance_id: str
     epoch: int
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class FakeOwnership:
-    """One instance's view; ``owners`` is shared, the rights are its own."""
+    """Fake ownership view of one instance; ``owners`` is shared by all instances."""
 
     instance_id: str
     owners: dict[str, FakeOwner]
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class FakeCall:
-    """A call as the inner protocol hands it over."""
+    """Fake incoming call of the inner protocol."""
 
     sender_id: str
     message: object
@@ -77,7 +77,7 @@
 
 @attrs.define(kw_only=True)
 class FakeInner:
-    """Delivers calls between services after a delay; links may be cut."""
+    """Delivers calls between services after a delay, with optional link faults."""
 
     instance_id: str
     services: dict[str, RequestService]
@@ -86,7 +86,7 @@
     silent: set[str] = attrs.field(factory=set)
     lost_answers: int = 0
     calls: int = 0
-    tells: int = 0
+    messages_sent: int = 0
 
     async def call(self, instance_id, message, *, timeout_ms):
         self.calls += 1
@@ -111,18 +111,20 @@
         return reply
 
     def tell(self, instance_id, message):
-        self.tells += 1
+        self.messages_sent += 1
         if not isinstance(message, ExecutorLoads) or instance_id in self.unreachable:
             return False
         copy = ExecutorLoads.FromString(message.SerializeToString())
         call = FakeCall(sender_id=self.instance_id, message=copy, timeout_ms=0.0)
-        self.services[instance_id]._upkeep.hear_loads(call.sender_id, call.message)
+        self.services[instance_id]._upkeep.receive_load_summary(
+            call.sender_id, call.message
+        )
         return True
 
 
 @attrs.define(kw_only=True)
 class FakeExecutor:
-    """Records what it runs; fails as told."""
+    """Fake executor that records its requests and fails as configured."""
 
     executor_id: str = "exec-0"
     slots: int = 8
@@ -132,7 +134,7 @@
     lose_answers: int = 0
     stall_before_send: trio.Event | None = None
     stalled: trio.Event = attrs.field(factory=trio.Event)
-    ghosts: int = 0
+    orphans: int = 0
     running: int = 0
     high_water: int = 0
     runs: list[str] = attrs.field(factory=list)
@@ -147,11 +149,11 @@
             raise NotSentError("withdrawn")
         self.runs.append(request_id)
         self.running += 1
-        self.high_water = max(self.high_water, self.running + self.ghosts)
+        self.high_water = max(self.high_water, self.running + self.orphans)
         if self.lose_answers > 0:
             self.lose_answers -= 1
             self.running -= 1
-            self.ghosts += 1
+            self.orphans += 1
             raise AnswerLostError("cut")
         try:
             with trio.fail_after(timeout_ms / 1000):
@@ -166,7 +168,7 @@
 
     async def check_health(self, *, timeout_ms):
         await trio.sleep(0.001)
-        return ExecutorHealth(slots=self.slots, in_use=self.running + self.ghosts)
+        return ExecutorHealth(slots=self.slots, in_use=self.running + self.orphans)
 
     async def close(self):
         pass
@@ -174,7 +176,7 @@
 
 @attrs.define(kw_only=True)
 class Cluster:
-    """Several instances over shared executors, with shards spread in turn."""
+    """Several instances with shared executors and evenly distributed shards."""
 
     instance_count: int = 3
     executor_count: int = 3
@@ -185,7 +187,7 @@
     quota_per_s: float = math.inf
     generator: random.Random = attrs.field(factory=lambda: random.Random(7))
     wall_offset_ms: float = 0.0
-    jump_ms: float = 0.0
+    wall_jump_ms: float = 0.0
     clock: object = attrs.field(init=False)
     clocks: dict[str, object] = attrs.field(factory=dict, init=False)
     owners: dict[str, FakeOwner] = attrs.field(factory=dict, init=False)
@@ -231,7 +233,7 @@
         offset_ms = sign * self.wall_offset_ms
         clock = attrs.evolve(
             self.clock,
-            wall_ms=lambda: self.clock.wall_ms() + offset_ms + self.jump_ms,
+            wall_ms=lambda: self.clock.wall_ms() + offset_ms + self.wall_jump_ms,
         )
         self.clocks[name] = clock
         self.ownerships[name] = ownership
@@ -261,13 +263,13 @@
         await trio.sleep(0.3)
 
     def move_shard(self, shard_id: str, name: str) -> None:
-        """Let another instance claim a shard, with the old one's right ended."""
+        """Move a shard to another instance after the old owner lost its ownership."""
         old = self.owners[shard_id]
         self.ownerships[old.instance_id].rights.pop(shard_id, None)
         self.claim_shard(shard_id, name)
 
     def claim_shard(self, shard_id: str, name: str) -> None:
-        """Claim a shard without a word to its old owner."""
+        """Claim a shard for an instance without notifying the old owner."""
         epoch = self.owners[shard_id].epoch + 1
         self.owners[shard_id] = FakeOwner(instance_id=name, epoch=epoch)
         self.ownerships[name].rights[shard_id] = epoch
@@ -282,7 +284,7 @@
         )
 
     def mint(self, owner: str = "") -> bytes:
-        """Return a key of now, on request one that a given instance owns."""
+        """Return a new key, optionally one that a given instance owns."""
         while True:
             key = mint_at(self.clock.wall_ms(), self.generator)
             shard_id = self.find_key_shard(key)
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""What owners tell their peers about executors, and how soon they take them in."""
+"""Load summaries sent to peers, and executors of newly claimed shards."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 from trefoilhook.results import ResultCode
 
 
-def run_in(cluster, scenario):
+def run_scenario(cluster, scenario):
     """Run ``scenario`` against a started cluster."""
 
     async def body():
@@ -28,12 +28,12 @@
 
 
 class SummaryTest(unittest.TestCase):
-    """Summaries of executors' loads."""
+    """Load summaries of executors."""
 
-    def test_summaries_are_sent_for_news_only(self):
-        # Summaries leave each 200 ms and grow old after 1,000 ms. An idle owner sends
-        # them just often enough; one whose executors run requests sends each, also
-        # when the counts happen to look the same each time.
+    def test_unchanged_summaries_are_sent_only_before_expiry(self):
+        # Summaries are due every 200 ms and expire after 1,000 ms. An idle owner sends
+        # them only before they expire. An owner whose executors run requests sends each
+        # of them, even if the counts are equal.
         for is_busy, least, most in ((False, 2, 3), (True, 9, 11)):
             with self.subTest(is_busy=is_busy):
                 cluster = Cluster(instance_count=2, executor_count=1)
@@ -45,7 +45,7 @@
                 async def scenario(cluster=cluster, is_busy=is_busy, counts=counts):
                     shard_id = cluster.find_executor_shard("exec-0")
                     name = cluster.owners[shard_id].instance_id
-                    before = cluster.inners[name].tells
+                    before = cluster.inners[name].messages_sent
                     end = trio.current_time() + 2
                     while trio.current_time() < end:
                         if is_busy:
@@ -54,15 +54,15 @@
                             await trio.sleep(0.04)
                         else:
                             await trio.sleep(0.1)
-                    counts.append(cluster.inners[name].tells - before)
+                    counts.append(cluster.inners[name].messages_sent - before)
 
-                run_in(cluster, scenario)
+                run_scenario(cluster, scenario)
                 self.assertGreaterEqual(counts[0], least)
                 self.assertLessEqual(counts[0], most)
 
-    def test_idle_summaries_do_not_grow_old(self):
-        # An owner with nothing new must still be known to its peers, or they would
-        # leave its free executors out.
+    def test_summaries_of_idle_owner_do_not_expire(self):
+        # Peers must keep a current summary of an idle owner. Otherwise they would not
+        # use its free executors.
         cluster = Cluster(instance_count=2, executor_count=1)
         found = []
 
@@ -70,23 +70,23 @@
             shard_id = cluster.find_executor_shard("exec-0")
             owner = cluster.owners[shard_id].instance_id
             peer = "i1" if owner == "i0" else "i0"
-            loads = cluster.services[peer]._parts.peer_loads
+            loads = cluster.services[peer]._components.peer_loads
             for _ in range(60):
                 await trio.sleep(0.05)
                 now_ms = cluster.clock.monotonic_ms()
                 found.append(loads.find("exec-0", owner_id=owner, now_ms=now_ms))
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertNotIn(None, found)
 
 
-class TakeInTest(unittest.TestCase):
-    """A request that gets to a new owner before the owner has looked."""
+class NewOwnerTest(unittest.TestCase):
+    """Executors of a shard that has just been claimed or is handed over."""
 
-    def test_request_that_follows_at_once_is_served(self):
-        # A shard is claimed, and in the same moment a peer sends on a request for its
-        # executor. The owner looks at its shards ten times a second; until then it
-        # would say that it owns no such executor.
+    def test_request_right_after_claim_is_served(self):
+        # A shard is claimed, and a peer immediately forwards a request for its
+        # executor. The owner must not refuse it although its periodic update, every
+        # 100 ms, has not added the executor yet.
         cluster = Cluster(instance_count=2, executor_count=1)
         codes = []
 
@@ -102,33 +102,35 @@
             answer = await cluster.services[new].handle_inner(call)
             codes.append(answer.result_number)
 
-        run_in(cluster, scenario)
+        run_scenario(cluster, scenario)
         self.assertEqual(codes, [ResultCode.OK.number])
 
-    def test_executor_that_was_never_looked_at_is_handed_over_as_free(self):
-        # An instance hands a shard over right after its start, before it has looked
-        # at the shard's executors. Their next owner serves at once, in place of
-        # waiting for requests that nobody sent. What an earlier owner may have sent,
-        # or this one once did, is still waited for.
+    def test_never_added_executor_is_handed_over_as_idle(self):
+        # An instance hands a shard over right after startup, before it has added the
+        # shard's executors. The next owner must use them at once instead of waiting for
+        # requests that were never sent. It must still wait if an earlier owner existed
+        # or the executor had been added before.
         for fault in ("none", "earlier owner", "seen before"):
             with self.subTest(fault):
                 cluster = Cluster(instance_count=2, executor_count=1)
-                handed = []
+                handed_over = []
 
-                async def scenario(cluster=cluster, fault=fault, handed=handed):
+                async def scenario(
+                    cluster=cluster, fault=fault, handed_over=handed_over
+                ):
                     shard_id = cluster.find_executor_shard("exec-0")
                     name = cluster.owners[shard_id].instance_id
                     service = cluster.services[name]
                     service.pool.remove("exec-0")
                     if fault != "seen before":
-                        service._upkeep._seen.clear()
+                        service._upkeep._added_ids.clear()
                     if fault == "earlier owner":
                         cluster.ownerships[name].since_wall_ms[shard_id] = 1.0
                     handover = service.export_handover(shard_id, 1)
-                    handed.append([each.executor_id for each in handover.in_use])
+                    handed_over.append([each.executor_id for each in handover.in_use])
 
-                run_in(cluster, scenario)
-                self.assertEqual(handed, [["exec-0"] if fault == "none" else []])
+                run_scenario(cluster, scenario)
+                self.assertEqual(handed_over, [["exec-0"] if fault == "none" else []])
 
 
 if __name__ == "__main__":
