--- a/trefoilhook/scheduling/__init__.py
+++ b/trefoilhook/scheduling/__init__.py
@@ -1,8 +1,7 @@
-"""Jobs of steps on shared workers: the decisions, without any input or output."""
+"""Scheduling of multi-step jobs on shared workers, without input or output."""
 
-from trefoilhook.scheduling.advising import choose_advised
+from trefoilhook.scheduling.advice_requests import choose_advised
 from trefoilhook.scheduling.backlog import Backlog, measure_backlogs
-from trefoilhook.scheduling.book import JobState, TaskState
 from trefoilhook.scheduling.changes import (
     JobChange,
     acknowledge,
@@ -22,8 +21,8 @@
     decode_interference,
     encode_interference,
 )
-from trefoilhook.scheduling.lapses import release_lapsed
-from trefoilhook.scheduling.looks import shares_with_services, take_look
+from trefoilhook.scheduling.job_state import JobState, TaskState
+from trefoilhook.scheduling.lease_expiry import release_lapsed
 from trefoilhook.scheduling.messages import (
     End,
     EndKind,
@@ -59,6 +58,7 @@
     list_unheard,
     plan_orders,
 )
+from trefoilhook.scheduling.polling import shares_with_services, take_look
 from trefoilhook.scheduling.records import (
     JobPhase,
     JobRecord,
--- a/trefoilhook/scheduling/advising.py
+++ b/trefoilhook/scheduling/advice_requests.py
@@ -1,23 +1,23 @@
-"""Which step, and which workers, to ask the advice service about next."""
+"""Choice of the step and the workers for the next request to the advice service."""
 
-from trefoilhook.scheduling.book import TaskState
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import Crowds
+from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.models import Advice
 from trefoilhook.scheduling.placing import list_open_workers, rate_worker
 from trefoilhook.scheduling.tickets import AdviceRequest, StepName, name_step
 
 __all__ = ["choose_advised"]
 
-_MOST_ADVISED = 30
-"""Workers asked about at a time: the users count one call for so many in a job's
-objective, and each takes the service's time."""
+_MAX_WORKERS_PER_REQUEST = 30
+"""Maximum number of workers per request: a job's objective allows for one request of
+this size, and each worker takes time of the service."""
 
 
 def choose_advised(
     scheduler: Scheduler, now_ms: float
 ) -> tuple[AdviceRequest, Advice] | None:
-    """Choose a step, and workers that have room for it, to ask about next."""
+    """Choose a step, and workers with capacity for it, for the next request."""
     while scheduler.tickets.wanted:
         step = next(iter(scheduler.tickets.wanted))
         del scheduler.tickets.wanted[step]
@@ -25,7 +25,7 @@
         queue = state.job.queue if state is not None else None
         if state is None or queue is None or queue.advice is None:
             continue
-        workers = _rate_unadvised(scheduler, state, queue.service, now_ms)
+        workers = _rank_unadvised_workers(scheduler, state, queue.service, now_ms)
         if workers:
             request = AdviceRequest(step=step, workers=tuple(workers))
             return request, queue.advice
@@ -39,11 +39,11 @@
     return None
 
 
-def _rate_unadvised(
+def _rank_unadvised_workers(
     scheduler: Scheduler, state: TaskState, service: str, now_ms: float
 ) -> list[str]:
-    """Return the best workers for a step of which nothing is known, best first."""
-    crowds = Crowds(
+    """Return the best workers for a step without a known decision, best first."""
+    colocations = ColocationCache(
         jobs=scheduler.jobs, interference=scheduler.interference, now_ms=now_ms
     )
     step = name_step(state.task)
@@ -54,7 +54,7 @@
             continue
         if scheduler.tickets.find(step, worker_id, now_ms) is not None:
             continue
-        score = rate_worker(worker, state, crowds)
+        score = rate_worker(worker, state, colocations)
         if score is not None:
             rated.append((-score, worker_id))
-    return [worker_id for _, worker_id in sorted(rated)[:_MOST_ADVISED]]
+    return [worker_id for _, worker_id in sorted(rated)[:_MAX_WORKERS_PER_REQUEST]]
--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -1,54 +1,61 @@
-"""Assignment of the waiting tasks to workers, in one round over all of them."""
+"""Assignment of waiting tasks to workers in one round over all of them."""
 
 import attrs
 
-from trefoilhook.scheduling.book import TaskState
 from trefoilhook.scheduling.candidates import Candidates
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, Crowds
+from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import is_strongly_suspected
+from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.messages import StopReason
 from trefoilhook.scheduling.models import Demand
-from trefoilhook.scheduling.overflow import relieve_shrunk
+from trefoilhook.scheduling.overcommitment import relieve_overcommitted
 from trefoilhook.scheduling.ranking import rank_step
-from trefoilhook.scheduling.rounds import Round, hold_place, number_attempt
+from trefoilhook.scheduling.rounds import (
+    AssignmentRound,
+    next_attempt_number,
+    reserve_capacity,
+)
 from trefoilhook.scheduling.starvation import admit_starved
 from trefoilhook.scheduling.tickets import StepName, name_step
 from trefoilhook.scheduling.waits import WaitReason
-from trefoilhook.scheduling.watchdog import is_halted
+from trefoilhook.scheduling.watchdog import is_migration_candidate
 
 __all__ = ["assign_waiting"]
 
 
-_MOST_TRIES = 40
-"""Steps of fillers without a place after which a round looks at no more of them: it
-bounds the time of a round under a burst. The first in order are looked at."""
+_MAX_INFEASIBLE_FILLER_STEPS = 40
+"""Number of infeasible filler steps after which a round tries no more of them, to limit
+its duration under a burst. Steps are tried in order of rank."""
 
-_FILLER_PAUSE_MS = 80.0
-"""Pause between two plans that look for places for fillers, in ms. Hundreds of them may
-wait, and a plan for all took 20 ms of an instance with 0.43 of a core, while urgent
-tasks waited for it; a filler runs for two seconds and can wait for this."""
+_FILLER_INTERVAL_MS = 80.0
+"""Minimum interval between two rounds that place fillers. With hundreds of waiting
+fillers each of these rounds took 20 ms on an instance with 0.43 of a core, during which
+urgent tasks waited; a filler runs for about 2 s and can wait this long."""
 
-_FILLER_PAUSE_A_WORKER_MS = 1.0
-"""The same for each worker, in ms: a round with 176 workers and 1,800 fillers that wait
-takes 36 ms of a whole core, so that a fifth of one goes into it."""
+_FILLER_INTERVAL_PER_WORKER_MS = 1.0
+"""Minimum interval per worker: a round with 176 workers and 1,800 waiting fillers takes
+36 ms on a whole core, so that these rounds use about a fifth of a core."""
 
 
-def _is_over_elsewhere(scheduler: Scheduler, state: TaskState, now_ms: float) -> bool:
-    """Tell whether an earlier owner's run of a task can neither run nor matter.
+def _is_previous_run_expired(
+    scheduler: Scheduler, state: TaskState, now_ms: float
+) -> bool:
+    """Return whether no run of an earlier owner can exist for a long-running task.
 
-    A task that lasts has no end as done, so it needn't wait for a worker that may hold
-    one: nothing of an earlier owner runs once the longest lease is over.
+    A long-running task is never completed, so that it does not wait for a worker that
+    may report its completion: after the longest lease no run of an earlier owner is
+    left.
     """
     return state.step.long_running and now_ms >= scheduler.limits.settled_at_ms
 
 
-def _group(state: TaskState) -> tuple[StepName, int, int]:
-    """Return what tasks share that are placed alike.
+def _get_placement_group(state: TaskState) -> tuple[StepName, int, int]:
+    """Return the key of tasks that are placed together.
 
-    Suspected ones of a step find other places than the rest, strongly suspected ones
-    each its own.
+    Suspected tasks of a step are placed separately from the others, and each strongly
+    suspected task is placed on its own.
     """
     step = name_step(state.task)
     if state.suspicion is None or state.step.gang:
@@ -61,7 +68,7 @@
 def assign_waiting(
     scheduler: Scheduler, *, settled: bool, now_ms: float, wall_ms: float
 ) -> None:
-    """Hold room for the waiting tasks that have a place; their orders come due."""
+    """Reserve capacity for waiting tasks; their start orders become due."""
     with_fillers = now_ms >= scheduler.fillers_due_ms
     waiting: set[StepName] = set()
     steps: dict[tuple[StepName, int, int], list[TaskState]] = {}
@@ -70,182 +77,231 @@
             continue
         if state.waiting_since_ms is None:
             state.waiting_since_ms = now_ms
-        group = _group(state)
+        group = _get_placement_group(state)
         if state.job.queue is None or not (
-            settled or state.job.certain or _is_over_elsewhere(scheduler, state, now_ms)
+            settled
+            or state.job.certain
+            or _is_previous_run_expired(scheduler, state, now_ms)
         ):
             waiting.add(group[0])
-            scheduler.waits.note(group[0], WaitReason.OWNER_NEW, now_ms)
+            scheduler.waits.record(group[0], WaitReason.OWNER_NEW, now_ms)
             continue
         steps.setdefault(group, []).append(state)
     ready = sorted(steps.values(), key=lambda tasks: rank_step(tasks, wall_ms))
-    crowds = Crowds(
+    colocations = ColocationCache(
         jobs=scheduler.jobs, interference=scheduler.interference, now_ms=now_ms
     )
-    turn = Round(scheduler=scheduler, crowds=crowds, now_ms=now_ms)
+    assignment_round = AssignmentRound(
+        scheduler=scheduler, colocations=colocations, now_ms=now_ms
+    )
     if with_fillers:
-        scheduler.waits.forget_all_but(waiting | {group[0] for group in steps})
+        scheduler.waits.retain(waiting | {group[0] for group in steps})
         pause_ms = max(
-            _FILLER_PAUSE_MS, _FILLER_PAUSE_A_WORKER_MS * len(scheduler.workers)
+            _FILLER_INTERVAL_MS, _FILLER_INTERVAL_PER_WORKER_MS * len(scheduler.workers)
         )
         scheduler.fillers_due_ms = now_ms + pause_ms
-        halted = _list_halted(turn)
-        _move_halted(turn, [each for each in halted if not each.run.is_throttled])
-    _assign_steps(turn, ready)
-    relieve_shrunk(turn)
+        migration_candidates = _list_migration_candidates(assignment_round)
+        _migrate(
+            assignment_round,
+            [each for each in migration_candidates if not each.run.is_throttled],
+        )
+    _assign_steps(assignment_round, ready)
+    relieve_overcommitted(assignment_round)
     if with_fillers:
-        # Only now: throttled tasks come after all that wait in turn.
-        _move_halted(turn, [each for each in halted if each.run.is_throttled])
-        admit_starved(turn, ready)
+        # Throttled tasks are considered after all regular assignments.
+        _migrate(
+            assignment_round,
+            [each for each in migration_candidates if each.run.is_throttled],
+        )
+        admit_starved(assignment_round, ready)
 
 
-def _assign_steps(turn: Round, ready: list[list[TaskState]]) -> None:
-    waits = turn.scheduler.waits
-    tries = 0
+def _assign_steps(
+    assignment_round: AssignmentRound, ready: list[list[TaskState]]
+) -> None:
+    waits = assignment_round.scheduler.waits
+    infeasible_fillers = 0
     for tasks in ready:
         step = name_step(tasks[0].task)
-        if turn.is_short(tasks[0]):
-            waits.note(step, turn.explain_wait(tasks[0]), turn.now_ms)
+        if assignment_round.is_known_infeasible(tasks[0]):
+            waits.record(
+                step, assignment_round.explain_wait(tasks[0]), assignment_round.now_ms
+            )
             continue
-        if not turn.isolation.may_start(tasks[0], turn.now_ms):
-            waits.note(step, WaitReason.APART, turn.now_ms)
+        if not assignment_round.isolation.may_start(tasks[0], assignment_round.now_ms):
+            waits.record(step, WaitReason.ISOLATION, assignment_round.now_ms)
             continue
-        if tries >= _MOST_TRIES and tasks[0].step.filler:
-            waits.note(step, WaitReason.BEHIND, turn.now_ms)
+        if infeasible_fillers >= _MAX_INFEASIBLE_FILLER_STEPS and tasks[0].step.filler:
+            waits.record(step, WaitReason.ROUND_LIMIT, assignment_round.now_ms)
             continue
         if tasks[0].step.gang:
-            missing = _assign_gang(turn, tasks[0])
+            infeasible = _assign_gang(assignment_round, tasks[0])
         else:
             tasks.sort(key=lambda state: state.task.index)
-            missing = _assign(turn, tasks)
-        if missing is not None:
-            # Counted for fillers only: dozens of services may each miss a task that
-            # must not join those they have, and none may keep another from its turn.
-            waits.note(step, turn.explain_wait(tasks[0]), turn.now_ms)
-            tries += tasks[0].step.filler
-            turn.note_short(tasks[0], missing)
+            infeasible = _assign(assignment_round, tasks)
+        if infeasible is not None:
+            # Only fillers count: dozens of services may each lack a task that must not
+            # share a worker with others of its step, and they must not end the round
+            # for other steps.
+            waits.record(
+                step, assignment_round.explain_wait(tasks[0]), assignment_round.now_ms
+            )
+            infeasible_fillers += tasks[0].step.filler
+            assignment_round.record_infeasible(tasks[0], infeasible)
 
 
 @attrs.frozen(kw_only=True)
-class _Halted:
-    """A filler that was slowed and may gain by moving, and where it is."""
+class _MigrationCandidate:
+    """A throttled filler that may benefit from another worker."""
 
     worker: Worker
     run: Run
     task: TaskState
 
 
-def _list_halted(turn: Round) -> list[_Halted]:
+def _list_migration_candidates(
+    assignment_round: AssignmentRound,
+) -> list[_MigrationCandidate]:
     return [
-        _Halted(worker=worker, run=run, task=task)
-        for worker in turn.scheduler.workers.values()
+        _MigrationCandidate(worker=worker, run=run, task=task)
+        for worker in assignment_round.scheduler.workers.values()
         for run in worker.runs.values()
-        if (task := _find_halted(turn, run)) is not None
+        if (task := _find_migration_task(assignment_round, run)) is not None
     ]
 
 
-def _move_halted(turn: Round, halted: list[_Halted]) -> None:
-    """Have slowed fillers stopped, if another worker has a place for them."""
+def _migrate(
+    assignment_round: AssignmentRound, migration_candidates: list[_MigrationCandidate]
+) -> None:
+    """Stop throttled fillers for which another worker is suitable."""
     rated: dict[StepName, Candidates] = {}
-    for each in halted:
-        if turn.is_short(each.task):
+    for each in migration_candidates:
+        if assignment_round.is_known_infeasible(each.task):
             continue
-        place = name_step(each.task.task)
-        candidates = rated.get(place)
+        step_key = name_step(each.task.task)
+        candidates = rated.get(step_key)
         if candidates is None:
-            candidates = turn.rate(each.task, turn.list_feasible(each.task))
-            rated[place] = candidates
-        target = candidates.take(besides=each.worker)
+            candidates = assignment_round.rate(
+                each.task, assignment_round.list_feasible(each.task)
+            )
+            rated[step_key] = candidates
+        target = candidates.pop_best(exclude=each.worker)
         if target is not None:
-            # Counted there already, so that not all find the same place.
-            turn.crowds.find(target).add(each.task.step, base=0.0)
-            candidates.add(target)
-            turn.scheduler.request_stop(each.worker, each.run, StopReason.SLOWED)
-
-
-def _find_halted(turn: Round, run: Run) -> TaskState | None:
-    """Return the task of a run that may gain by moving."""
+            # Added to the target so that the next candidates account for it.
+            assignment_round.colocations.lookup(target).add_task(
+                each.task.step, base=0.0
+            )
+            candidates.add_worker(target)
+            assignment_round.scheduler.request_stop(
+                each.worker, each.run, StopReason.SLOWED
+            )
+
+
+def _find_migration_task(
+    assignment_round: AssignmentRound, run: Run
+) -> TaskState | None:
+    """Return the task of a run that may benefit from another worker, else None."""
     if run.pace >= FULL_PACE or run.phase is not RunPhase.RUNNING:
         return None
-    job = turn.scheduler.jobs.get(run.task.job_id)
-    if job is None or not is_halted(run, job, turn.now_ms):
+    job = assignment_round.scheduler.jobs.get(run.task.job_id)
+    if job is None or not is_migration_candidate(run, job, assignment_round.now_ms):
         return None
     return job.find_task(run.task)
 
 
-def _assign(turn: Round, tasks: list[TaskState]) -> Demand | None:
-    """Assign tasks of one step; return the size for which there is no place left."""
+def _assign(assignment_round: AssignmentRound, tasks: list[TaskState]) -> Demand | None:
+    """Assign tasks of one step; return the demand that proved infeasible, if any."""
     candidates: Candidates | None = None
     for state in tasks:
         if candidates is None or state.failed_on:
-            # One that failed somewhere rates the workers differently.
-            candidates = turn.rate(state, turn.list_feasible(state))
-        worker = candidates.take()
+            # Failed tasks rate the workers on which they failed differently.
+            candidates = assignment_round.rate(
+                state, assignment_round.list_feasible(state)
+            )
+        worker = candidates.pop_best()
         if worker is None:
-            return _find_missing(state, candidates)
-        hold_place(turn, state, worker, number_attempt(turn.scheduler, state))
-        candidates.add(worker)
+            return _find_infeasible_demand(state, candidates)
+        reserve_capacity(
+            assignment_round,
+            state,
+            worker,
+            next_attempt_number(assignment_round.scheduler, state),
+        )
+        candidates.add_worker(worker)
         if state.failed_on:
             candidates = None
     return None
 
 
-def _find_missing(state: TaskState, candidates: Candidates) -> Demand:
-    """Return the size that finds no place, as one of these tasks found none.
+def _find_infeasible_demand(state: TaskState, candidates: Candidates) -> Demand:
+    """Return the minimum demand that is infeasible, given one infeasible task.
 
-    What keeps a filler out where there is room grows with the processor time that it
-    asks for, whatever its memory. With hundreds of them waiting, most needn't be tried.
+    If a filler is rejected where capacity is left, the reason is its processor time and
+    not its memory. With hundreds of waiting fillers most of them need not be tried.
     """
     demand = state.step.demand
-    if state.step.filler and not candidates.lacked_room:
+    if state.step.filler and not candidates.lacked_capacity:
         return Demand(cpu=demand.cpu)
     return demand
 
 
-def _assign_gang(turn: Round, state: TaskState) -> Demand | None:
-    """Assign all members of a gang at once, or none; then return the size of one."""
-    place = (state.task.occurrence, state.task.step)
+def _assign_gang(assignment_round: AssignmentRound, state: TaskState) -> Demand | None:
+    """Assign all members of a gang or none; return the demand of one if infeasible."""
+    step_key = (state.task.occurrence, state.task.step)
     members = [
         task
         for key, task in state.job.tasks.items()
-        if (key.occurrence, key.step) == place
+        if (key.occurrence, key.step) == step_key
     ]
     if any(member.attempts for member in members):
         return None
-    attempt = max(number_attempt(turn.scheduler, member) for member in members)
-    everywhere = turn.list_open(state)
-    choices = [everywhere]
+    attempt = max(
+        next_attempt_number(assignment_round.scheduler, member) for member in members
+    )
+    all_workers = assignment_round.list_open(state)
+    choices = [all_workers]
     if state.step.same_rack:
-        racks = {label for worker in everywhere for label in worker.report.labels}
+        racks = {label for worker in all_workers for label in worker.report.labels}
         choices = [
-            [worker for worker in everywhere if rack in worker.report.labels]
+            [worker for worker in all_workers if rack in worker.report.labels]
             for rack in sorted(racks)
         ] + choices
-    if any(_hold_members(turn, members, workers, attempt) for workers in choices):
+    if any(
+        _reserve_gang(assignment_round, members, workers, attempt)
+        for workers in choices
+    ):
         return None
     return state.step.demand
 
 
-def _hold_members(
-    turn: Round, members: list[TaskState], workers: list[Worker], attempt: int
+def _reserve_gang(
+    assignment_round: AssignmentRound,
+    members: list[TaskState],
+    workers: list[Worker],
+    attempt: int,
 ) -> bool:
     held: list[tuple[TaskState, Worker, Run, int]] = []
-    candidates = turn.rate(members[0], workers)
+    candidates = assignment_round.rate(members[0], workers)
     for member in members:
-        worker = candidates.take()
+        worker = candidates.pop_best()
         if worker is None:
             break
         earlier = member.last_attempt
         held.append(
-            (member, worker, hold_place(turn, member, worker, attempt), earlier)
+            (
+                member,
+                worker,
+                reserve_capacity(assignment_round, member, worker, attempt),
+                earlier,
+            )
         )
-        candidates.add(worker)
+        candidates.add_worker(worker)
     if len(held) == len(members):
         return True
     for member, worker, run, earlier in held:
         worker.release(run)
         member.detach(run)
         member.last_attempt = earlier
-        turn.scheduler.waiting.add(member)
-    turn.recount()
+        assignment_round.scheduler.waiting.add(member)
+    assignment_round.invalidate()
     return False
--- a/trefoilhook/scheduling/backlog.py
+++ b/trefoilhook/scheduling/backlog.py
@@ -1,15 +1,15 @@
-"""What waits for a worker, and what the workers have left: why a task hasn't begun."""
+"""Waiting tasks by queue, and the free capacity of the workers that could run them."""
 
 from collections import defaultdict
 from collections.abc import Collection, Iterator
 
 import attrs
 
-from trefoilhook.scheduling.book import TaskState
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.fleet import Worker
+from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.placing import list_open_workers
-from trefoilhook.scheduling.ranking import TOO_LATE, judge_lateness
+from trefoilhook.scheduling.ranking import TOO_LATE, get_lateness
 from trefoilhook.scheduling.tickets import name_step
 
 __all__ = ["Backlog", "measure_backlogs"]
@@ -17,32 +17,33 @@
 
 @attrs.frozen(kw_only=True)
 class Backlog:
-    """Tasks of one queue that wait, and the room of its service.
+    """Waiting tasks of one queue, and the capacity of its service.
 
     Parameters
     ----------
     queue : str
-        The queue.
+        Name of the queue.
     tasks : int
-        Tasks that wait.
+        Number of waiting tasks.
     fillers : int
-        Those of them that run on processor time that others leave: they wait for
-        workers whose service tasks bear them, also where there is room.
+        Number of these that are fillers, which use processor time left by others. They
+        wait for workers whose service tasks tolerate them even if there is free
+        capacity.
     too_late : int
-        Those of them whose job is past any use: they come after all others of their
-        priority, for as long as there are any.
+        Number of these whose job is too late to be of value. They follow all other
+        tasks of their priority.
     oldest_job : str
-        The job of theirs that was accepted first.
+        Id of the job that was accepted first.
     oldest_waits_for : str
-        What its step has waited for longest.
+        Main reason for the wait of its step.
     oldest_cpu, oldest_mb, oldest_label : int, int, str
-        What its task asks of a worker, in thousandths of a core and MB.
+        Requirements of its task: thousandths of a core, MB, and label.
     workers, open_workers : int
-        Workers of the service, and those that take new tasks.
+        Number of workers of the service, and of those that accept new tasks.
     free_cpu, free_mb : int
-        What the latter have left, in thousandths of a core and MB.
+        Total free capacity of the latter, in thousandths of a core and MB.
     most_cpu, most_mb : int
-        The most that one of them has left.
+        Maximum free capacity of one of them.
     """
 
     queue: str
@@ -89,7 +90,7 @@
             queue=name,
             tasks=len(tasks),
             fillers=sum(task.step.filler for task in tasks),
-            too_late=sum(judge_lateness(task, wall_ms) == TOO_LATE for task in tasks),
+            too_late=sum(get_lateness(task, wall_ms) == TOO_LATE for task in tasks),
             oldest_job=oldest.job.job.job_id,
             oldest_waits_for=_explain(scheduler, oldest),
             oldest_cpu=oldest.step.room.cpu,
@@ -105,7 +106,7 @@
 
 
 def _explain(scheduler: Scheduler, task: TaskState) -> str:
-    reason = scheduler.waits.find_main(name_step(task.task))
+    reason = scheduler.waits.get_main_reason(name_step(task.task))
     return reason.value if reason is not None else ""
 
 
--- a/trefoilhook/scheduling/changes.py
+++ b/trefoilhook/scheduling/changes.py
@@ -1,28 +1,29 @@
-"""What of a shard's state has to be written, and what may be acknowledged after."""
+"""Unsaved changes of a shard, and the acknowledgements that they permit once saved."""
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.fleet import Worker
+from trefoilhook.scheduling.job_state import JobState
 
 __all__ = ["JobChange", "acknowledge", "collect_changes", "confirm_change"]
 
 
 @attrs.frozen(kw_only=True)
 class JobChange:
-    """What has to be written of a job.
+    """Change of a job that must be saved.
 
     Parameters
     ----------
     state : JobState
-        The job.
+        State of the job.
     version : int
-        Its version that the change stands for.
+        Version of the job that is saved by the change.
     is_end : bool
-        Whether its record changes, because it ended.
+        Whether the record changes because the job ended.
     is_first_start : bool
-        Whether its mark among the waiting jobs goes.
+        Whether the job is removed from the list of jobs that wait for their first
+        start.
     """
 
     state: JobState
@@ -32,7 +33,7 @@
 
 
 def collect_changes(scheduler: Scheduler) -> list[JobChange]:
-    """List what has to be written, the ends of jobs first."""
+    """Return the changes to save, ends of jobs first."""
     changes = [
         JobChange(
             state=state,
@@ -47,7 +48,7 @@
 
 
 def confirm_change(scheduler: Scheduler, change: JobChange, *, revision: int) -> None:
-    """Note that a change is in the store."""
+    """Record that a change is saved."""
     state = change.state
     state.saved_version = max(state.saved_version, change.version)
     if change.is_first_start:
@@ -63,7 +64,7 @@
 
 
 def acknowledge(worker: Worker) -> int:
-    """Return up to which number the worker may forget its ends."""
+    """Return the number up to which a worker may discard its ends."""
     while worker.unacknowledged:
         number, is_saved = worker.unacknowledged[0]
         is_held = worker.unread_from is not None and number >= worker.unread_from
--- a/trefoilhook/scheduling/contention.py
+++ b/trefoilhook/scheduling/contention.py
@@ -1,55 +1,57 @@
-"""How fast the fillers of a worker may work, so that its processors aren't all busy.
+"""Limit on the pace of fillers that keeps a worker from saturation.
 
-A filler takes whatever processor time is there. Near the end of it every service task
-on the worker waits for a processor, however little the filler's image disturbs it: on
-a quiet day three quarters of the time over a limit fell to workers on which more than
-nine tenths of the processors were asked for, and tails rose to ten times the limit
-within half a second of an urgent task's start.
+Fillers take all processor time that is available. Close to saturation every service
+task on the worker waits for a processor, however light the filler is: on a day with low
+load three quarters of the time over a limit occurred on workers with more than 0.9 of
+the processors requested, and tails reached ten times the limit within 0.5 s of the
+start of an urgent task.
 
-So fillers are slowed together as soon as what others reserve leaves too little, before
-a tail shows it, and let go again once it is free.
+All fillers of a worker are therefore throttled as soon as reservations leave too
+little, before the tails react, and sped up again when capacity becomes free.
 """
 
-from trefoilhook.scheduling.book import JobState
 from trefoilhook.scheduling.crowds import (
-    BUSY_SHARE,
-    FILLER_USE,
+    FILLER_UTILISATION,
     FULL_PACE,
-    SERVICE_USE,
+    MAX_UTILISATION,
+    SERVICE_UTILISATION,
     find_step,
 )
 from trefoilhook.scheduling.fleet import Worker
+from trefoilhook.scheduling.job_state import JobState
 
-__all__ = ["limit_pace"]
+__all__ = ["compute_max_pace"]
 
 _PACE_STEP = 20
-"""Paces come in multiples of this, in percent: each order is a call."""
+"""Paces are multiples of this, in percent, as each order is a request."""
 
 
-def limit_pace(worker: Worker, jobs: dict[str, JobState]) -> int:
-    """Return the highest pace for the fillers of a worker, in percent.
+def compute_max_pace(worker: Worker, jobs: dict[str, JobState]) -> int:
+    """Return the maximum pace for the fillers of a worker, in percent.
 
     Parameters
     ----------
     worker : Worker
-        Where they run.
+        Worker that runs them.
     jobs : dict of str to JobState
         The jobs of the shard.
     """
-    kept = 0.0
-    wanted = 0.0
+    reserved_cpu = 0.0
+    filler_cpu = 0.0
     for run in worker.runs.values():
         step = find_step(jobs, run)
         if step is None:
             continue
         if step.filler:
-            wanted += FILLER_USE * step.demand.cpu * run.first_pace / FULL_PACE
+            filler_cpu += (
+                FILLER_UTILISATION * step.demand.cpu * run.initial_pace / FULL_PACE
+            )
         elif step.latency_limit_ms:
-            kept += SERVICE_USE * step.demand.cpu
+            reserved_cpu += SERVICE_UTILISATION * step.demand.cpu
         else:
-            kept += step.demand.cpu
-    left = BUSY_SHARE * worker.report.capacity.cpu - kept
-    if wanted <= 0.0 or left >= wanted:
+            reserved_cpu += step.demand.cpu
+    spare_cpu = MAX_UTILISATION * worker.report.capacity.cpu - reserved_cpu
+    if filler_cpu <= 0.0 or spare_cpu >= filler_cpu:
         return FULL_PACE
-    steps = int(FULL_PACE * max(0.0, left) / wanted) // _PACE_STEP
+    steps = int(FULL_PACE * max(0.0, spare_cpu) / filler_cpu) // _PACE_STEP
     return max(_PACE_STEP, steps * _PACE_STEP)
--- a/trefoilhook/scheduling/core.py
+++ b/trefoilhook/scheduling/core.py
@@ -1,29 +1,31 @@
-"""The scheduler of one shard: takes in what happened, tells what to order next.
+"""Scheduler of one shard: records events and determines the orders that follow.
 
-It does no input or output. Times are handed in, in ms: ``now_ms`` on a steady clock
-that goes on while the process is frozen, ``wall_ms`` since the Unix epoch.
+It performs no input or output. Times are arguments, in ms: ``now_ms`` on a monotonic
+clock that also advances while the process is suspended, ``wall_ms`` since the Unix
+epoch.
 """
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState, TaskState
-from trefoilhook.scheduling.entries import EntriesAge
+from trefoilhook.scheduling.entry_freshness import EntryFreshness
 from trefoilhook.scheduling.evacuations import Evacuations
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.interference import Interference
+from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.messages import EndKind, StopReason
 from trefoilhook.scheduling.models import Configuration, TaskId, WorkerReport
 from trefoilhook.scheduling.records import JobPhase, JobRecord, Progress
-from trefoilhook.scheduling.suspects import SuspectBook
-from trefoilhook.scheduling.tickets import TicketBook
-from trefoilhook.scheduling.waits import WaitBook
+from trefoilhook.scheduling.suspects import SuspectTracker
+from trefoilhook.scheduling.tickets import TicketCache
+from trefoilhook.scheduling.waits import WaitTracker
 
 __all__ = ["ATTEMPTS_PER_EPOCH", "Scheduler", "SchedulerLimits"]
 
 ATTEMPTS_PER_EPOCH = 1_000_000
-"""Attempts of one task that one owner may make. Starts aren't written down, so a new
-owner begins at its epoch times this: above whatever an earlier one has used. A task
-that fails once a second would take eleven days to use them up."""
+"""Number of attempts of one task reserved for each owner. Starts are not persisted, so
+a new owner numbers attempts from its epoch times this value, above all numbers used by
+earlier owners. At one failure per second a task would need eleven days to use them up.
+"""
 
 
 @attrs.frozen(kw_only=True)
@@ -33,17 +35,18 @@
     Parameters
     ----------
     task_lease_ms : float
-        Lease that each look gives to what runs on a worker, in ms.
+        Duration of the lease that each poll renews for the runs of a worker, in ms.
     longest_stop_ms : float
-        Longest time that a task takes to stop, in ms.
+        Maximum time that a task takes to stop, in ms.
     settled_at_ms : float
-        From then on nothing that an earlier owner started can still run unseen, in ms.
+        Time from which no unknown run of an earlier owner can still exist, in ms.
     overload_ms : float
-        How long a service task may be over its latency limit at most, in ms.
+        Maximum time for which a service task may exceed its latency limit, in ms.
     drain_notice_ms : float
-        A worker announces in the store that it leaves at least so long before, in ms.
+        Minimum time between a worker's announcement of a drain in the store and its
+        exit, in ms.
     entry_life_ms : float
-        How long the entry of a dead worker stays in the store, in ms.
+        Time for which the entry of a dead worker remains in the store, in ms.
     """
 
     task_lease_ms: float
@@ -55,46 +58,46 @@
 
 
 class Scheduler:
-    """The state of one shard under one owner.
+    """State of one shard under one owner.
 
     Parameters
     ----------
     epoch : int
-        Number of the ownership; the fencing token of its orders.
+        Number of the ownership, used as the fencing token of its orders.
     limits : SchedulerLimits
         Time limits.
     configuration : Configuration
         The operator's configuration.
     evacuations : Evacuations, optional
-        Failure domains that the operator has evacuated, updated by the caller.
+        Failure domains evacuated by the operator; updated by the caller.
 
     Attributes
     ----------
     jobs, workers : dict
         By id.
     waiting : set of TaskState
-        Tasks of open jobs whose turn has come and that have no attempt.
+        Tasks of open jobs whose step is due and that have no attempt.
     deposed : bool
-        Whether a worker has seen a later owner.
+        Whether a worker has answered a later owner.
     interference : Interference
-        How much fillers disturb service tasks.
-    tickets : TicketBook
-        Who may run the steps of queues with advice.
+        Learned interference between fillers and service tasks.
+    tickets : TicketCache
+        Workers that may run the steps of queues with advice.
     fillers_due_ms : float
-        When places for fillers are to be looked for next, in ms.
+        Time of the next round that places fillers, in ms.
     idle_since_ms : dict of str to float
-        Since when jobs whose fillers wait have had nothing running, in ms.
+        Time since when jobs with waiting fillers have had no run, in ms.
     held_back : set of str
-        Jobs whose records can't be read: nothing of them is started, stopped or
+        Jobs with unreadable records: none of their tasks is started, stopped or
         acknowledged.
     dirty : set of JobState
-        Jobs with something to be written.
-    waits : WaitBook
-        Why steps have waited, and for how long.
-    entries : EntriesAge
-        How well the entries of workers in the store are known.
-    suspects : SuspectBook
-        Tasks that are suspected to crash their workers.
+        Jobs with unsaved changes.
+    waits : WaitTracker
+        Reasons and durations of the waits of steps.
+    entries : EntryFreshness
+        Freshness of the worker entries read from the store.
+    suspects : SuspectTracker
+        Tasks suspected of crashing their workers.
     """
 
     def __init__(
@@ -116,18 +119,18 @@
         self.held_back: set[str] = set()
         self.dirty: set[JobState] = set()
         self.interference = Interference()
-        self.tickets = TicketBook()
+        self.tickets = TicketCache()
         self.fillers_due_ms = 0.0
         self.idle_since_ms: dict[str, float] = {}
-        self.waits = WaitBook()
-        self.entries = EntriesAge()
-        self.suspects = SuspectBook(touch=self._touch)
+        self.waits = WaitTracker()
+        self.entries = EntryFreshness()
+        self.suspects = SuspectTracker(mark_dirty=self._mark_dirty)
         self._timed: set[JobState] = set()
 
-    # What clients and operators did.
+    # Events from clients and operators.
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self.configuration = configuration
         for state in self.jobs.values():
             self._set_queue(state)
@@ -142,7 +145,7 @@
         progress: Progress | None = None,
         progress_revision: int = 0,
     ) -> None:
-        """Take a job in, as it stands in the store; one already known is left alone."""
+        """Add a job as it is stored; a known job is left unchanged."""
         job = record.job
         if job.job_id in self.jobs:
             return
@@ -173,19 +176,19 @@
             state.due_ms += state.queue.objective_ms
         if job.repeats:
             self._timed.add(state)
-        self.suspects.take_recorded(state)
+        self.suspects.load_suspicions(state)
         self._check_end(state)
         self.open_steps(state, wall_ms)
 
     def cancel_job(self, job_id: str, *, revision: int) -> None:
-        """Note that a client cancelled a job; its tasks are stopped."""
+        """Cancel a job at a client's request; its tasks are stopped."""
         state = self.jobs.get(job_id)
         if state is None or state.phase is JobPhase.CANCELLED:
             return
         state.revision = revision
-        # Written once more, so that the record goes with the lease of ended jobs.
+        # Saved again so that the record is attached to the lease of ended jobs.
         state.phase_saved = False
-        self._touch(state)
+        self._mark_dirty(state)
         self._close(state, JobPhase.CANCELLED)
 
     def _set_queue(self, state: JobState) -> None:
@@ -194,10 +197,12 @@
             state.queue = queue
 
     def forget_ended(self) -> None:
-        """Forget the jobs that had ended, with nothing left to do, at the last call.
+        """Remove the jobs that had already ended at the previous call.
 
-        Two calls and not one: what a worker tells of such a job is acknowledged and
-        stopped also when it is unknown, but an end told late should find its job.
+        Only jobs with no unsaved change and no attempt left are removed. Jobs are kept
+        for one more call because workers may report an end late. Reports on an unknown
+        job are acknowledged and its tasks are stopped, but a late end should still be
+        applied to its job.
         """
         for job_id, state in list(self.jobs.items()):
             is_idle = not state.is_open and state.is_saved
@@ -217,7 +222,7 @@
             self.stop_attempts(task)
 
     def open_steps(self, state: JobState, wall_ms: float) -> None:
-        """Make the tasks of the steps whose turn has come wait for a worker."""
+        """Add the tasks of all due steps of a job to the waiting tasks."""
         if not state.is_open:
             return
         job = state.job
@@ -241,18 +246,18 @@
                 self.waiting.add(task)
 
     def open_due_steps(self, wall_ms: float) -> None:
-        """Make the occurrences that have come due wait for a worker."""
+        """Add the tasks of occurrences that have become due to the waiting tasks."""
         for state in list(self._timed):
             self.open_steps(state, wall_ms)
 
-    # What the workers did.
+    # Events from workers.
 
     def update_worker(self, report: WorkerReport) -> None:
-        """Take in what a worker says of itself.
+        """Apply an entry that a worker wrote to the store.
 
-        A report at the address of another worker proves nothing about that one: what a
-        life that has ended wrote last may reach the store after its successor's first
-        report. Which of them is alive tells the answer to a look.
+        An entry with the address of another worker does not prove that the other worker
+        has ended: the last entry of an ended incarnation may reach the store after the
+        first one of its successor. The answer to a poll shows which of them is alive.
         """
         worker = self.workers.get(report.worker_id)
         if worker is None:
@@ -264,23 +269,23 @@
         worker.is_news = True
 
     def bar_worker(self, worker_id: str) -> None:
-        """Start nothing on a worker whose entry names none that may be used.
+        """Exclude a worker whose entry is unusable from new tasks.
 
-        The entry proves nothing about what runs there: that holds its room, and is
-        looked at, until it is proved over.
+        The entry proves nothing about the runs there. They keep their capacity, and the
+        worker is polled, until they are proved to be over.
         """
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.usable = False
 
     def unlist_worker(self, worker_id: str) -> None:
-        """Note that the store lists a worker no more; it may still run its tasks."""
+        """Record that a worker left the store; it may still run its tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.listed = False
 
     def drop_worker(self, worker_id: str) -> None:
-        """Forget a worker that is proved to run nothing; its tasks wait anew."""
+        """Remove a worker that is proved to run nothing; its tasks wait again."""
         worker = self.workers.pop(worker_id, None)
         if worker is None:
             return
@@ -295,22 +300,22 @@
     def finish_run(
         self, worker: Worker, run: Run, kind: EndKind, checkpoint: str
     ) -> None:
-        """Let go of an attempt that is over, and take in what follows from it."""
+        """Release an attempt that is over and apply the consequences."""
         worker.release(run)
         state = self.jobs.get(run.task.job_id)
         task = state.find_task(run.task) if state is not None else None
         if task is None:
             return
         task.detach(run)
-        self.suspects.take_survival(task, run, kind)
+        self.suspects.record_run_end(task, run, kind)
         if kind is EndKind.FAILED:
             task.failed_on.add(worker.report.worker_id)
-        self.take_effect(task, run.attempt, kind, checkpoint)
+        self.apply_end(task, run.attempt, kind, checkpoint)
 
-    def take_effect(
+    def apply_end(
         self, task: TaskState, attempt: int, kind: EndKind, checkpoint: str
     ) -> None:
-        """Take in what follows from the end of an attempt, for its task and its job."""
+        """Apply the end of an attempt to its task and its job."""
         state = task.job
         if not state.is_open or task.done:
             return
@@ -320,7 +325,7 @@
             return
         if kind is EndKind.FAILED and not task.step.long_running:
             progress.failed.setdefault(task.key, set()).add(attempt)
-            self._touch(state)
+            self._mark_dirty(state)
             if state.queue is not None and (
                 state.count_failures(task.task) >= state.queue.max_attempts
             ):
@@ -333,58 +338,58 @@
 
     def _mark_done(self, task: TaskState) -> None:
         state = task.job
-        place = (task.task.occurrence, task.task.step)
-        state.progress.done.setdefault(place, set()).add(task.task.index)
+        step_key = (task.task.occurrence, task.task.step)
+        state.progress.done.setdefault(step_key, set()).add(task.task.index)
         state.progress.failed.pop(task.key, None)
         state.progress.checkpoints.pop(task.key, None)
-        self._touch(state)
+        self._mark_dirty(state)
         self.suspects.forget(task)
         members = [task]
         if task.step.gang:
             members = [
-                t for i, t in state.tasks.items() if (i.occurrence, i.step) == place
+                t for i, t in state.tasks.items() if (i.occurrence, i.step) == step_key
             ]
         for member in members:
             member.done = True
             self.waiting.discard(member)
             self.stop_attempts(member)
-        if not state.is_step_done(*place):
+        if not state.is_step_done(*step_key):
             return
         state.steps_left -= 1
         self._check_end(state)
-        # Whatever comes after this step was due before, or becomes so now.
+        # All steps that depend on this one are due now, if not before.
         self.open_steps(
-            state, state.job.first_due_ms + place[0] * state.job.interval_ms
+            state, state.job.first_due_ms + step_key[0] * state.job.interval_ms
         )
 
     def _check_end(self, state: JobState) -> None:
         if state.steps_left <= 0 and state.is_open:
             state.phase_saved = False
-            self._touch(state)
+            self._mark_dirty(state)
             self._close(state, JobPhase.COMPLETED)
 
     def fail_job(self, state: JobState) -> None:
-        """End a job, as one of its tasks can't be done."""
+        """End a job as failed because one of its tasks cannot be completed."""
         state.phase_saved = False
-        self._touch(state)
+        self._mark_dirty(state)
         self._close(state, JobPhase.FAILED)
 
     def mark_started(self, state: JobState) -> None:
-        """Note that the first task of a job is started."""
-        self._touch(state)
+        """Record that the first task of a job is started."""
+        self._mark_dirty(state)
 
-    def _touch(self, state: JobState) -> None:
+    def _mark_dirty(self, state: JobState) -> None:
         state.version += 1
         self.dirty.add(state)
 
     def stop_attempts(self, task: TaskState, *, keep: int = 0) -> None:
-        """Have a task's attempts stopped, but for the ``keep`` latest."""
+        """Stop the attempts of a task except for the ``keep`` latest."""
         attempts = sorted(task.attempts, key=lambda a: a.run.attempt, reverse=True)
         for attempt in attempts[keep:]:
             self.request_stop(attempt.worker, attempt.run, StopReason.NOT_WANTED)
 
     def request_stop(self, worker: Worker, run: Run, reason: StopReason) -> None:
-        """Have an attempt stopped; it holds its room until it is proved over."""
+        """Mark an attempt to be stopped; it holds capacity until proved over."""
         if run.phase is not RunPhase.STOPPING:
             run.phase = RunPhase.STOPPING
             worker.ordered[run] = None
--- a/trefoilhook/scheduling/crash_records.py
+++ b/trefoilhook/scheduling/crash_records.py
@@ -1,59 +1,61 @@
-"""What of a crash outlives its owner: notes of runs that may have caused one.
+"""Persistent records of runs that may have caused a crash.
 
-A crash is proved some seconds after it, when another life answers. If the owner is lost
-meanwhile, the next one finds in the jobs' progress which runs were exposed to it, and
-where suspected tasks were ordered, and judges them once it knows what runs.
+A crash is proved only some seconds later, when another incarnation of the worker
+answers. If the owner is lost in between, the next owner reads from the jobs' progress
+which runs were exposed and where suspected tasks were started, and evaluates them once
+it knows what is running.
 """
 
-from trefoilhook.scheduling.book import TaskState
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.crashes import (
     SuspectUnit,
-    blame,
+    attribute_to_units,
     find_cause,
-    sort_runs,
+    partition_runs,
 )
 from trefoilhook.scheduling.fleet import Worker
+from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.messages import LossCause, Suspect, WorkerLoss
 
-__all__ = ["note_exposed", "resolve_recorded", "retract_exposed"]
+__all__ = ["record_exposure", "resolve_recorded", "retract_exposure"]
 
-_EXPOSED_MS = 10_000.0
-"""A run that has gone on for longer isn't noted when its worker's process ends, in ms;
-it is weighed all the same once the loss is judged by the same owner."""
+_MAX_EXPOSURE_MS = 10_000.0
+"""Running time above which a run is not recorded when its worker's process ends, in ms.
+It is still evaluated if the same owner evaluates the loss."""
 
-_MOST_EXPOSED = 16
-"""Runs of one worker that are noted, the latest started: the likeliest causes."""
+_MAX_EXPOSED_RUNS = 16
+"""Maximum number of recorded runs per worker: the most recently started ones, which are
+the most likely causes."""
 
-_UNKNOWN_RAN_MS = 1000.0
-"""Time until the loss of a recorded attempt of which that isn't known, in ms."""
+_DEFAULT_RUN_MS = 1000.0
+"""Assumed running time of a recorded attempt if it is unknown, in ms."""
 
 
-def note_exposed(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
-    """Note which runs may have ended a worker's process, as soon as that shows.
+def record_exposure(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
+    """Record the runs that may have ended the process of a worker that refuses calls.
 
-    Guards against a crash that is forgotten because its owner is lost before the
-    worker's end is proved, which takes some seconds: the next owner finds the note.
+    Guards against losing a crash together with the owner before the end of the worker
+    is proved, which takes some seconds: the next owner reads the record.
     """
     silence = worker.silence
-    if silence is None or silence.is_noted or not silence.was_refused:
+    if silence is None or silence.is_recorded or not silence.was_refused:
         return
-    silence.is_noted = True
+    silence.is_recorded = True
     if find_cause(scheduler, worker, now_ms) is not LossCause.CRASHED:
         return
     runs = [run for run in worker.runs.values() if run.may_have_run]
-    cases, _ = sort_runs(scheduler, worker, runs, now_ms)
-    cases.sort(key=lambda case: case.ran_ms)
-    for case in cases[:_MOST_EXPOSED]:
-        if case.ran_ms > _EXPOSED_MS:
+    units, _ = partition_runs(scheduler, worker, runs, now_ms)
+    units.sort(key=lambda unit: unit.ran_ms)
+    for unit in units[:_MAX_EXPOSED_RUNS]:
+        if unit.ran_ms > _MAX_EXPOSURE_MS:
             break
-        suspicion = scheduler.suspects.suspect(case.task)
-        suspicion.place(case.attempt, worker.report.worker_id)
-        suspicion.ran_ms = case.ran_ms
+        suspicion = scheduler.suspects.get_or_add(unit.task)
+        suspicion.record_attempt(unit.attempt, worker.report.worker_id)
+        suspicion.ran_ms = unit.ran_ms
 
 
-def retract_exposed(scheduler: Scheduler, worker: Worker) -> None:
-    """Take the note back, as the worker answers: its process never ended."""
+def retract_exposure(scheduler: Scheduler, worker: Worker) -> None:
+    """Remove the record, as the worker answers and its process has not ended."""
     for run in worker.runs.values():
         state = scheduler.jobs.get(run.task.job_id)
         task = state.find_task(run.task) if state is not None else None
@@ -62,17 +64,17 @@
             continue
         suspicion.ran_ms = None
         if not suspicion.notes:
-            suspicion.settle()
-        scheduler.suspects.clear_blank(task)
+            suspicion.clear_attempt()
+        scheduler.suspects.discard_negligible(task)
 
 
 def resolve_recorded(scheduler: Scheduler, now_ms: float) -> None:
-    """Judge the attempts that an earlier owner recorded and that run nowhere now.
+    """Evaluate the attempts that an earlier owner recorded and that are not running.
 
-    Called once every worker that may run them has told what it knows, or is gone.
+    Called once every worker that may run them has answered or is lost.
     """
     by_worker: dict[str, list[tuple[SuspectUnit, bool]]] = {}
-    unheard: list[TaskState] = []
+    unresolved: list[TaskState] = []
     for task in scheduler.suspects.recorded:
         suspicion = task.suspicion
         if suspicion is None or not suspicion.attempt or not task.job.is_open:
@@ -81,18 +83,18 @@
             continue
         workers = [scheduler.workers.get(name) for name in suspicion.workers]
         if any(worker is not None and not worker.is_known for worker in workers):
-            unheard.append(task)
+            unresolved.append(task)
             continue
         gone = [name for name in suspicion.workers if name not in scheduler.workers]
         if not gone:
-            suspicion.settle()
-            scheduler.suspects.clear_blank(task)
+            suspicion.clear_attempt()
+            scheduler.suspects.discard_negligible(task)
             continue
         is_exposed = suspicion.ran_ms is not None
-        ran_ms = suspicion.ran_ms if suspicion.ran_ms is not None else _UNKNOWN_RAN_MS
-        case = SuspectUnit(task=task, attempt=suspicion.attempt, ran_ms=ran_ms)
-        by_worker.setdefault(gone[0], []).append((case, is_exposed))
-    scheduler.suspects.recorded = unheard
+        ran_ms = suspicion.ran_ms if suspicion.ran_ms is not None else _DEFAULT_RUN_MS
+        unit = SuspectUnit(task=task, attempt=suspicion.attempt, ran_ms=ran_ms)
+        by_worker.setdefault(gone[0], []).append((unit, is_exposed))
+    scheduler.suspects.recorded = unresolved
     for worker_id, rows in by_worker.items():
         _attribute_recorded(scheduler, worker_id, rows, now_ms)
 
@@ -103,18 +105,18 @@
     rows: list[tuple[SuspectUnit, bool]],
     now_ms: float,
 ) -> None:
-    cases = [case for case, _ in rows]
+    units = [unit for unit, _ in rows]
     is_exposed = any(exposed for _, exposed in rows)
     cause = LossCause.CRASHED if is_exposed else LossCause.CUT_OFF
     if worker_id in scheduler.suspects.drained:
         cause = LossCause.DRAINED
     suspects: tuple[Suspect, ...] = ()
     if cause is LossCause.DRAINED:
-        for case in cases:
-            scheduler.suspects.suspect(case.task).settle()
-            scheduler.suspects.clear_blank(case.task)
+        for unit in units:
+            scheduler.suspects.get_or_add(unit.task).clear_attempt()
+            scheduler.suspects.discard_negligible(unit.task)
     else:
-        suspects = blame(scheduler, worker_id, cases, [], cause, now_ms)
+        suspects = attribute_to_units(scheduler, worker_id, units, [], cause, now_ms)
     scheduler.suspects.losses.append(
-        WorkerLoss(worker_id=worker_id, cause=cause, runs=len(cases), suspects=suspects)
+        WorkerLoss(worker_id=worker_id, cause=cause, runs=len(units), suspects=suspects)
     )
--- a/trefoilhook/scheduling/crowds.py
+++ b/trefoilhook/scheduling/crowds.py
@@ -1,165 +1,170 @@
-"""Who shares a worker: the service tasks and the fillers on it."""
+"""Service tasks and fillers that share a worker, and the interference between them."""
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.interference import Interference
+from trefoilhook.scheduling.job_state import JobState
 from trefoilhook.scheduling.models import Step
 from trefoilhook.scheduling.slack import SlackTrack, measure_slack
 
 __all__ = [
-    "BUSY_SHARE",
-    "FILLER_USE",
+    "MAX_UTILISATION",
+    "FILLER_UTILISATION",
     "FULL_PACE",
-    "SERVICE_USE",
-    "Crowd",
-    "Crowds",
+    "SERVICE_UTILISATION",
+    "Colocation",
+    "ColocationCache",
     "Victim",
     "find_step",
-    "learn_crowd",
+    "learn_interference",
 ]
 
 FULL_PACE = 100
-"""Pace of a task that nobody slows, in percent."""
+"""Pace of a task that is not throttled, in percent."""
 
-_AT_WORK = 100
-"""Percent at which a long-running task is at work, and its tail latency counts."""
+_SERVING_PERCENT = 100
+"""Progress at which a long-running task serves requests and its tail latency is
+valid."""
 
-SERVICE_USE = 0.5
-"""Share of what service tasks ask for that is kept for them: fillers run on the rest.
-In a trial they used 0.42 to 0.45, swinging by half of that."""
+SERVICE_UTILISATION = 0.5
+"""Fraction of the processor time requested by service tasks that is reserved for them;
+fillers use the rest. Their mean use was 0.42 to 0.45, varying by half of that."""
 
-BUSY_SHARE = 0.95
-"""Share of a worker's processors that may be in use: a filler takes whatever there is,
-and near the end of it every service task waits for a processor. Of the time with less
-than nine tenths asked for, 2.5 % was over a limit; with a fifth more than all, 14 %."""
+MAX_UTILISATION = 0.95
+"""Maximum fraction of a worker's processors in use. Fillers take all processor time
+that is available, and close to saturation every service task waits for a processor:
+service tasks were over a limit for 2.5 % of the time with less than 0.9 of the
+processors requested, and for 14 % with 1.2 of them requested."""
 
-_AHEAD_MS = 1000.0
-"""A filler is placed for the base that is to come, in ms: it works for two seconds."""
+_PREDICTION_HORIZON_MS = 1000.0
+"""A filler is placed for the base predicted this far ahead, as it runs for about 2
+s."""
 
-_PASSING = 0.4
-"""Share of what a base is above its trough that counts for a filler: the load swings
-with a period of ten seconds and a filler works for two, but a worker has some service
-tasks, and one of them is always near its trough."""
+_TRANSIENT_SHARE = 0.4
+"""Fraction of the current base above its minimum that is usable by a filler. The load
+varies with a period of 10 s and a filler runs for 2 s, but with several service tasks
+on a worker one of them is always close to its minimum."""
 
 
-FILLER_USE = 0.86
-"""Share of the processors that a filler asks for which it uses, left alone: the mean of
-8,700 looks of a day, in which three in eight used two thirds and the others all."""
+FILLER_UTILISATION = 0.86
+"""Fraction of the requested processors that an undisturbed filler uses: the mean of
+8,700 polls, in which three in eight used two thirds and the others all."""
 
 
 @attrs.frozen(kw_only=True)
 class Victim:
-    """A service task: its image, and its slack if no filler were beside it."""
+    """A service task: its image, and its slack without fillers on the worker."""
 
     image: str
     base: float
 
 
 @attrs.define(kw_only=True)
-class Crowd:
-    """Who runs on a worker.
+class Colocation:
+    """Tasks that share a worker.
 
     Parameters
     ----------
     cores : float
-        Thousandths of a core that the worker has.
-    used : float
-        Thousandths of a core that others than fillers are thought to use.
+        Capacity of the worker, in thousandths of a core.
+    used_cpu : float
+        Expected use by tasks other than fillers, in thousandths of a core.
     filler_cpu : float
-        Thousandths of a core that its fillers use at full speed.
+        Use by fillers at full speed, in thousandths of a core.
     victims : list of Victim
-        Its service tasks.
+        Service tasks on the worker.
     shares : dict of str to float
-        Share of its processors that fillers of each image use at full speed: one that
-        is slowed wants to come back, and invites no other in its place. Those
-        started throttled count at their pace: they have no claim to more.
+        Fraction of the worker's processors that fillers of each image use at full
+        speed. A throttled filler counts in full, as it will be sped up again; one that
+        was started throttled counts at its initial pace.
     """
 
     cores: float
-    used: float = 0.0
+    used_cpu: float = 0.0
     filler_cpu: float = 0.0
     victims: list[Victim] = attrs.Factory(list)
     shares: dict[str, float] = attrs.Factory(dict)
     _slacks: list[tuple[str, float]] | None = None
 
     @property
-    def left(self) -> float:
-        """Thousandths of a core that nobody is thought to use, and that may be."""
-        return BUSY_SHARE * self.cores - self.used - self.filler_cpu
+    def spare_cpu(self) -> float:
+        """Unused thousandths of a core, up to the maximum utilisation."""
+        return MAX_UTILISATION * self.cores - self.used_cpu - self.filler_cpu
 
-    def add(self, step: Step, *, base: float, pace: int = FULL_PACE) -> None:
-        """Count one more task.
+    def add_task(self, step: Step, *, base: float, pace: int = FULL_PACE) -> None:
+        """Add one task.
 
-        ``base`` matters for a service task only, ``pace`` in percent for a filler.
+        ``base`` applies to service tasks only, ``pace`` (in percent) to fillers only.
         """
         self._slacks = None
         if step.filler:
-            cpu = FILLER_USE * step.demand.cpu * pace / FULL_PACE
+            cpu = FILLER_UTILISATION * step.demand.cpu * pace / FULL_PACE
             self.filler_cpu += cpu
             share = cpu / max(1.0, self.cores)
             self.shares[step.image] = self.shares.get(step.image, 0.0) + share
         elif step.latency_limit_ms:
             self.victims.append(Victim(image=step.image, base=base))
-            self.used += SERVICE_USE * step.demand.cpu
+            self.used_cpu += SERVICE_UTILISATION * step.demand.cpu
         else:
-            self.used += step.demand.cpu
+            self.used_cpu += step.demand.cpu
 
-    def disturbs(self, interference: Interference, step: Step) -> bool:
-        """Tell whether ``step`` is thought to disturb a service task here."""
+    def is_disturbed_by(self, interference: Interference, step: Step) -> bool:
+        """Return whether ``step`` is expected to disturb a service task here."""
         return any(interference.is_heavy(v.image, step.image) for v in self.victims)
 
     def predict_slack(
         self, interference: Interference, step: Step, *, pace: int = FULL_PACE
     ) -> float:
-        """Predict the least slack of those beside ``step``, or its own.
+        """Predict the minimum slack of the service tasks beside a filler.
 
-        ``pace`` in percent matters for a filler only.
+        For a service task, predict its own slack. ``pace`` (in percent) applies to
+        fillers only.
         """
         if not step.filler:
-            base = interference.find_base(step.image)
-            return base - interference.find_cost(step.image, self.shares)
-        share = FILLER_USE * step.demand.cpu / max(1.0, self.cores)
+            base = interference.get_base(step.image)
+            return base - interference.predict_cost(step.image, self.shares)
+        share = FILLER_UTILISATION * step.demand.cpu / max(1.0, self.cores)
         share *= pace / FULL_PACE
-        least = float("inf")
+        min_slack = float("inf")
         for image, slack in self._list_slacks(interference):
-            cost = interference.weigh_hopefully(image, step.image) * share
-            least = min(least, slack - cost)
-        return least
+            cost = interference.get_optimistic_weight(image, step.image) * share
+            min_slack = min(min_slack, slack - cost)
+        return min_slack
 
-    def limit_filler(
+    def compute_max_filler_cpu(
         self, interference: Interference, image: str, *, least_slack: float
     ) -> float:
-        """Return the most that a filler of an image may ask for, by the slack it costs.
+        """Return the maximum request of a filler that leaves enough slack.
 
-        In thousandths of a core, at full speed; ``least_slack`` is to be left.
+        In thousandths of a core, for a filler of ``image`` at full speed; every victim
+        keeps at least ``least_slack``.
         """
-        most = float("inf")
+        max_share = float("inf")
         for victim, slack in self._list_slacks(interference):
             spare = slack - least_slack
-            weight = interference.weigh_hopefully(victim, image)
+            weight = interference.get_optimistic_weight(victim, image)
             if spare < 0.0:
                 return 0.0
             if weight > 0.0:
-                most = min(most, spare / weight)
-        return most * self.cores / FILLER_USE
+                max_share = min(max_share, spare / weight)
+        return max_share * self.cores / FILLER_UTILISATION
 
     def _list_slacks(self, interference: Interference) -> list[tuple[str, float]]:
-        """Return image and slack of each service task, once for all fillers of a plan.
+        """Return image and slack of each service task, computed once for all fillers.
 
-        Hundreds may wait, and this is most of the work of looking at a worker.
+        With hundreds of waiting fillers this is most of the cost of rating a worker.
         """
         if self._slacks is None:
             self._slacks = [
-                (v.image, v.base - interference.find_cost(v.image, self.shares))
+                (v.image, v.base - interference.predict_cost(v.image, self.shares))
                 for v in self.victims
             ]
         return self._slacks
 
 
 def find_step(jobs: dict[str, JobState], run: Run) -> Step | None:
-    """Return the step of a run, if its job is known and has it."""
+    """Return the step of a run, or None if its job or its step is unknown."""
     state = jobs.get(run.task.job_id)
     if state is None or run.task.step >= len(state.job.steps):
         return None
@@ -167,65 +172,67 @@
 
 
 @attrs.define(kw_only=True)
-class Crowds:
-    """The crowds of all workers during one plan, each counted when it is asked for.
+class ColocationCache:
+    """Colocations of all workers during one plan, computed on demand.
 
     Parameters
     ----------
     jobs : dict of str to JobState
         The jobs of the shard.
     interference : Interference
-        How much fillers disturb service tasks.
+        Learned interference between fillers and service tasks.
     now_ms : float
-        The time of the plan, in ms.
+        Time of the plan, in ms.
     """
 
     jobs: dict[str, JobState]
     interference: Interference
     now_ms: float
-    _known: dict[str, Crowd] = attrs.Factory(dict)
-
-    def find(self, worker: Worker) -> Crowd:
-        """Return the crowd of a worker."""
-        crowd = self._known.get(worker.report.worker_id)
-        if crowd is None:
-            crowd = self._describe(worker)
-            self._known[worker.report.worker_id] = crowd
-        return crowd
-
-    def recount(self) -> None:
-        """Count anew, as runs were taken back."""
-        self._known.clear()
-
-    def _describe(self, worker: Worker) -> Crowd:
-        """Count who runs on a worker."""
-        crowd = Crowd(cores=worker.report.capacity.cpu)
+    _by_worker: dict[str, Colocation] = attrs.Factory(dict)
+
+    def lookup(self, worker: Worker) -> Colocation:
+        """Return the colocation of a worker."""
+        colocation = self._by_worker.get(worker.report.worker_id)
+        if colocation is None:
+            colocation = self._build(worker)
+            self._by_worker[worker.report.worker_id] = colocation
+        return colocation
+
+    def invalidate(self) -> None:
+        """Discard all colocations after runs were released."""
+        self._by_worker.clear()
+
+    def _build(self, worker: Worker) -> Colocation:
+        """Collect the tasks that run on a worker."""
+        colocation = Colocation(cores=worker.report.capacity.cpu)
         for run in worker.runs.values():
             step = find_step(self.jobs, run)
             if step is not None:
                 base = self._predict_base(run, step)
-                crowd.add(step, base=base, pace=run.first_pace)
-        return crowd
+                colocation.add_task(step, base=base, pace=run.initial_pace)
+        return colocation
 
     def _predict_base(self, run: Run, step: Step) -> float:
         if not step.latency_limit_ms:
             return 0.0
-        trough = self.interference.find_trough(step.image)
+        trough_slack = self.interference.get_trough(step.image)
         if run.track is None:
-            return trough
-        above = run.track.predict_base(self.now_ms + _AHEAD_MS) - trough
-        return trough + _PASSING * max(0.0, above)
+            return trough_slack
+        excess = (
+            run.track.predict_base(self.now_ms + _PREDICTION_HORIZON_MS) - trough_slack
+        )
+        return trough_slack + _TRANSIENT_SHARE * max(0.0, excess)
 
 
-def learn_crowd(
+def learn_interference(
     worker: Worker,
     jobs: dict[str, JobState],
     interference: Interference,
     now_ms: float,
 ) -> None:
-    """Learn from what a worker has just listed."""
+    """Update the interference model from the last poll of a worker."""
     shares: dict[str, float] = {}
-    served: list[tuple[Run, Step]] = []
+    serving: list[tuple[Run, Step]] = []
     cores = max(1, worker.report.capacity.cpu)
     for run in worker.runs.values():
         step = find_step(jobs, run)
@@ -233,21 +240,21 @@
             continue
         if step.filler:
             shares[step.image] = shares.get(step.image, 0.0) + run.load / cores
-        elif step.latency_limit_ms and run.percent >= _AT_WORK:
-            served.append((run, step))
-    worker.lagged.update(shares, now_ms)
-    for run, step in served:
-        _sample(run, step, worker.lagged.shares, interference, now_ms)
+        elif step.latency_limit_ms and run.percent >= _SERVING_PERCENT:
+            serving.append((run, step))
+    worker.lagged_shares.update(shares, now_ms)
+    for run, step in serving:
+        _learn_from_sample(run, step, worker.lagged_shares.shares, interference, now_ms)
 
 
-def _sample(
+def _learn_from_sample(
     run: Run,
     step: Step,
     shares: dict[str, float],
     interference: Interference,
     now_ms: float,
 ) -> None:
-    """Learn from the slack of one service task, beside lagged shares of fillers."""
+    """Learn from the slack of one service task and the delayed shares of fillers."""
     track = run.track
     if track is not None and not track.is_due(now_ms):
         return
@@ -260,7 +267,7 @@
             slack_before=track.slack,
             slack_after=slack,
         )
-    base = slack + interference.find_cost(step.image, shares)
+    base = slack + interference.predict_cost(step.image, shares)
     interference.learn_base(step.image, base)
     if track is None:
         run.track = SlackTrack(base=base, sampled_ms=now_ms, slack=slack, shares=shares)
--- a/trefoilhook/scheduling/evacuations.py
+++ b/trefoilhook/scheduling/evacuations.py
@@ -33,7 +33,7 @@
     since_ms: float
 
     def covers(self, failure_domain: str) -> bool:
-        """Tell whether a name, once normalized, is that of the failure domain."""
+        """Return whether a name, once normalized, is that of the failure domain."""
         return _normalize(failure_domain) == _normalize(self.failure_domain)
 
 
@@ -84,11 +84,11 @@
         self.read_ms = now_ms
 
     def is_stale(self, now_ms: float) -> bool:
-        """Tell whether the last read is older than ``max_age_ms``."""
+        """Return whether the last read is older than ``max_age_ms``."""
         return now_ms - self.read_ms > self.max_age_ms
 
     def covers(self, worker: Worker) -> bool:
-        """Tell whether the failure domain of a worker is evacuated."""
+        """Return whether the failure domain of a worker is evacuated."""
         return (
             bool(self._normalized_names)
             and _normalize(worker.report.failure_domain) in self._normalized_names
--- a/trefoilhook/scheduling/fleet.py
+++ b/trefoilhook/scheduling/fleet.py
@@ -1,4 +1,4 @@
-"""The workers as their owner sees them: what runs where, and how sure that is."""
+"""Workers as known to their owner, and the runs on them."""
 
 import collections
 import enum
@@ -14,11 +14,11 @@
 __all__ = ["SLOWEST_CLOCK", "Run", "RunPhase", "Silence", "Worker"]
 
 SLOWEST_CLOCK = 0.98
-"""A worker's steady clock may be 2 % slow, by the platform's statement."""
+"""Minimum rate of a worker's monotonic clock; the platform permits a drift of 2 %."""
 
-_LAPSE_SLACK_MS = 60.0
-"""Added to a lapsed lease before it counts as proved: the rounding of whole ms twice,
-and the turn that a worker's timer may be late by."""
+_EXPIRY_MARGIN_MS = 60.0
+"""Time after the expiry of a lease until it counts as proved, in ms: two roundings to
+whole ms and the delay of the worker's timer."""
 
 
 _PROCESS_ENDED = frozenset(
@@ -27,7 +27,7 @@
 
 
 class RunPhase(enum.Enum):
-    """What is known of an attempt."""
+    """Known state of an attempt."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -36,72 +36,74 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Run:
-    """One attempt at a task on one worker; it holds its room until it is proved over.
+    """One attempt at a task on a worker; it holds capacity until it is proved over.
 
     Parameters
     ----------
     task : TaskId
         The task.
     attempt : int
-        Number of the attempt; a later attempt has a higher one.
+        Number of the attempt; later attempts have higher numbers.
     room : Demand
-        What it takes of the worker.
+        Capacity of the worker that it holds.
     borrowed_cpu : int
-        Thousandths of a core that it uses of what others leave: a filler's.
+        Uncounted processor time that a filler uses, in thousandths of a core.
     phase : RunPhase
-        What is known of it.
+        Known state.
     started_ms : float
-        When its order was first sent, in ms.
+        Time at which its start order was first sent, in ms.
     seen : bool
-        Whether the worker has confirmed it, or listed it as running.
+        Whether the worker has confirmed it or reported it as running.
     confirmed_ms : float
-        When the worker last answered an order for it, in ms; a later look that doesn't
-        list it proves that it is over.
+        Time of the worker's last answer to an order for it, in ms; a later poll that
+        does not list it proves that it is over.
     percent, load : float
-        From the last look that listed it.
+        Progress and load from the last poll that listed it.
     track : SlackTrack or None
-        Of a service task at work: its slack over time.
+        For a running service task, its slack over time.
     checkpoint : str
-        From the last look that listed it.
+        Checkpoint from the last poll that listed it.
     checkpoint_used : str
-        Where its order lets it go on.
+        Checkpoint from which its order resumes.
     deadline_ms : float
-        Until when its order may be carried out, on the worker's clock, in ms.
+        Latest time at which its order may be executed, on the worker's clock, in ms.
     progressed_ms : float
-        When its progress last rose, in ms.
+        Time at which its progress last increased, in ms.
     pace : int
-        Share of its speed that it was last ordered to work at, in percent.
-    first_pace : int
-        Share of its speed that it is ordered to work at as soon as its start is
-        confirmed, in percent. Under 100 it is throttled: where it runs it isn't borne
-        at full speed.
+        Last ordered speed, in percent of full speed.
+    initial_pace : int
+        Speed that is ordered as soon as its start is confirmed, in percent. Below 100
+        the run is throttled: the service tasks on its worker would not tolerate it at
+        full speed.
     paced_ms : float
-        When a pace was last ordered, in ms.
+        Time of the last pace order, in ms.
     slowed_ms : float
-        Since when it has been below full speed, in ms.
+        Time since when it has run below full speed, in ms.
     order_due_ms : float
-        When its pending order is to be sent again, in ms; the first order goes at once.
+        Time at which its pending order is sent again, in ms; the first order is due at
+        once.
     stop_reason : StopReason
-        Why it is stopped, if it is.
+        Reason for stopping it, if it is being stopped.
     seen_ms : float
-        When a look last listed it, in ms; until then when its order was first sent.
+        Time of the last poll that listed it, in ms; initially the time of its start
+        order.
     waited_ms : float
-        How long its task waited for the place, in ms.
+        Time for which its task waited for a worker, in ms.
     wait_reason : WaitReason or None
-        What it waited for longest.
+        Reason for most of that wait.
     slowing_ms : float
-        Time that it has lost by its pace, in ms.
+        Time lost through throttling, in ms.
     pace_since_ms : float
-        Since when it has had its pace, in ms.
+        Time since when its current pace has been in force, in ms.
     recorded_version : int or None
-        Version of its job with the place where it is ordered, which has to be in the
-        store before the order goes; None until it is known whether that is needed.
+        Version of its job that records where it is started, which must be saved before
+        the order is sent; None until it is known whether a record is needed.
     in_flight : bool
-        Whether an order for it is under way, or waits for its turn to be sent.
-    has_left : bool
+        Whether an order for it is queued or sent and not answered.
+    is_sent : bool
         Whether that order has been sent.
     ambiguous : bool
-        Whether a start went without an answer: a copy may still be carried out.
+        Whether a start order went unanswered, so that a copy may still be executed.
     """
 
     task: TaskId
@@ -118,7 +120,7 @@
     checkpoint: str = ""
     progressed_ms: float = 0.0
     pace: int = 100
-    first_pace: int = 100
+    initial_pace: int = 100
     paced_ms: float = 0.0
     slowed_ms: float = 0.0
     order_due_ms: float = 0.0
@@ -130,142 +132,143 @@
     pace_since_ms: float = attrs.field()
     recorded_version: int | None = None
     in_flight: bool = False
-    has_left: bool = False
+    is_sent: bool = False
     ambiguous: bool = False
     checkpoint_used: str = ""
     deadline_ms: float = 0.0
 
     @seen_ms.default
-    def _begin_unseen(self) -> float:
+    def _default_seen_ms(self) -> float:
         return self.started_ms
 
     @pace_since_ms.default
-    def _begin_pace(self) -> float:
+    def _default_pace_since_ms(self) -> float:
         return self.started_ms
 
     def set_pace(self, pace: int, now_ms: float) -> None:
-        """Note that another pace is ordered, in percent."""
+        """Record that a new pace is ordered, in percent."""
         self.slowing_ms = self.measure_slowing(now_ms)
         self.pace_since_ms = now_ms
         self.pace = pace
 
     def measure_slowing(self, now_ms: float) -> float:
-        """Return the time that it has lost by its pace so far, in ms."""
+        """Return the time lost through throttling so far, in ms."""
         lost = 1.0 - self.pace / 100.0
         return self.slowing_ms + lost * max(0.0, now_ms - self.pace_since_ms)
 
     @property
     def may_have_run(self) -> bool:
-        """Whether its start may have been carried out."""
-        is_under_way = self.in_flight and self.has_left
-        return self.seen or self.ambiguous or is_under_way
+        """Whether its start may have been executed."""
+        is_in_transit = self.in_flight and self.is_sent
+        return self.seen or self.ambiguous or is_in_transit
 
     @property
     def proved_ms(self) -> float:
-        """How long it is known to have run, in ms."""
+        """Time for which it is proved to have run, in ms."""
         return max(0.0, self.seen_ms - self.started_ms)
 
     @property
     def is_throttled(self) -> bool:
-        """Whether it was started slowed, where it isn't borne at full speed."""
-        return self.first_pace < 100
+        """Whether it was started below full speed."""
+        return self.initial_pace < 100
 
 
 @attrs.define(kw_only=True)
 class Silence:
-    """A time without answers from a worker.
+    """A period without answers from a worker.
 
     Parameters
     ----------
     began_ms : float
-        When the first call failed, in ms.
+        Time of the first failed call, in ms.
     cause : OrderOutcome
-        How it failed.
+        Outcome of the first failed call.
     was_refused : bool
-        Whether a connection has been refused since: the machine answers, and nothing
-        listens there.
-    is_noted : bool
-        Whether what ran there is noted to be exposed to a crash.
+        Whether a connection has been refused since: the machine responds, but no
+        process listens.
+    is_recorded : bool
+        Whether its runs have been recorded as exposed to a crash.
     """
 
     began_ms: float
     cause: OrderOutcome
     was_refused: bool = False
-    is_noted: bool = False
+    is_recorded: bool = False
 
     @property
-    def tells_of_end(self) -> bool:
-        """Whether it began as it does when the worker's process ends.
+    def indicates_process_exit(self) -> bool:
+        """Whether its cause indicates that the worker's process has ended.
 
-        On a way that is cut off nothing comes back, and calls time out.
+        In a network partition nothing is returned, and calls time out.
         """
         return self.cause in _PROCESS_ENDED
 
 
 @attrs.define(kw_only=True, eq=False)
 class Worker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     Parameters
     ----------
     report : WorkerReport
-        What it last said of itself.
+        Its latest entry in the store.
     listed : bool
-        Whether the store still lists it.
+        Whether its entry is in the store.
     fenced : bool
-        Whether it has answered under the owner's fencing token, so that no order of an
-        earlier owner can be carried out there any more.
+        Whether it has answered under the owner's fencing token, so that it executes no
+        more orders of earlier owners.
     is_known : bool
-        Whether it has listed all that runs and has ended there to this owner. A page of
-        ends that is full may leave out one that was done.
+        Whether it has reported all runs and ends to this owner. A full page of ends may
+        omit a completed one.
     rostered : bool
-        Whether the store's roster names it; only then may a task be started there, so
-        that the next owner knows where to look.
+        Whether the roster in the store contains it. Tasks are started only on workers
+        in the roster, so that the next owner knows which workers to poll.
     runs : dict
-        What holds room there, by task and attempt.
+        Runs that hold capacity, by task and attempt.
     ordered : dict of Run to None
-        Those of them that are being started or stopped, in order: they have orders
-        that may have to be repeated. Thousands run for each one of these.
+        Runs that are being started or stopped, in order, whose orders may have to be
+        repeated. These are few compared with the thousands that are running.
     cpu, memory_mb, gpus : int
-        Room held.
+        Capacity held by runs.
     borrowed_cpu : int
-        Thousandths of a core that its fillers ask for, beside the room held.
+        Uncounted thousandths of a core requested by its fillers.
     clock_ms, clock_read_ms : float
-        Its clock in its last answer, and our time then, in ms.
+        Its clock in the last answer, and the local time at that moment, in ms.
     lease_until_ms : float
-        Latest deadline that it was given, on its clock, in ms.
+        Latest lease deadline granted to it, on its clock, in ms.
     usable : bool
-        Whether what it last said of itself could be read and names a known service;
-        else nothing new is started there.
+        Whether its entry is readable and names a known service; otherwise no task is
+        started.
     ends_taken : set of int
-        Numbers of the ends that were taken in and aren't acknowledged.
+        Numbers of the ends that were applied and are not acknowledged.
     unread_from : int or None
-        Least number of an end that can't be read; none from there is acknowledged.
+        Lowest number of an unreadable end; no end from this number on is acknowledged.
     unacknowledged : deque of (int, callable)
-        Ends taken in, by number, with a test whether their effect is in the store.
+        Applied ends by number, with a function that returns whether the effect is
+        saved.
     acknowledged : int
-        The worker may forget ends up to this number.
+        Number up to which the worker may discard ends.
     silence : Silence or None
-        What is known of it if an order or a look went without an answer since the last
-        look.
+        Set if an order or a poll has failed since the last answered poll.
     is_awaited : bool
-        Whether its leases are over and tasks wait for it to tell how they ended.
+        Whether its leases have expired and tasks wait for it to report how they ended.
     faulty_jobs : set of str
-        Jobs of which attempts failed there since one was last done there.
+        Jobs with attempts that failed there since the last successful attempt.
     is_news : bool
-        Whether it has been looked at, or has reported, since the last plan.
-    over_since_ms : float or None
-        Since when a service task there has been over its latency limit, in ms.
+        Whether it has been polled or its entry has changed since the last plan.
+    over_limit_since_ms : float or None
+        Time since when a service task there has exceeded its latency limit, in ms.
     avoid_until_ms : float
-        No new task goes there before, in ms.
-    lagged : LaggedShares
-        What its fillers use, as it shows in tail latencies.
-    shrunk_since_ms : float or None
-        Since when it has held more than it has, in ms.
+        Time until which it gets no new task, in ms.
+    lagged_shares : LaggedShares
+        Use by its fillers, delayed in the same way as the tail latencies.
+    overcommitted_since_ms : float or None
+        Time since when its runs have held more than its capacity, in ms.
     suspected_runs : int
-        Runs there of tasks that are suspected to crash their workers.
+        Number of runs of tasks suspected of crashing their workers.
     is_reserved : bool
-        Whether a task runs there apart from others, so that no other is started.
+        Whether it is reserved for an isolated run, so that no other task is started
+        there.
     """
 
     report: WorkerReport
@@ -293,66 +296,67 @@
     is_awaited: bool = False
     faulty_jobs: set[str] = attrs.Factory(set)
     is_news: bool = True
-    over_since_ms: float | None = None
+    over_limit_since_ms: float | None = None
     avoid_until_ms: float = 0.0
-    lagged: LaggedShares = attrs.Factory(LaggedShares)
-    shrunk_since_ms: float | None = None
+    lagged_shares: LaggedShares = attrs.Factory(LaggedShares)
+    overcommitted_since_ms: float | None = None
     suspected_runs: int = 0
     is_reserved: bool = False
 
     @property
     def is_known_alive(self) -> bool:
-        """Whether an entry of its own stands in the store, which goes when it dies.
+        """Whether a readable entry of the worker is in the store.
 
-        One that can't be read may be another writer's, and stand there for good: to
-        wait for a dead worker because of it would lose the worker's tasks.
+        The entry expires when the worker dies. An unreadable entry may have been
+        written by another process and may never expire. Waiting for a dead worker
+        because of it would lose the worker's tasks.
         """
         return self.listed and self.usable
 
     def estimate_clock(self, now_ms: float) -> float:
-        """Estimate the worker's clock, in ms; needs one answer of it."""
+        """Estimate the worker's clock, in ms; requires a previous answer."""
         return self.clock_ms + (now_ms - self.clock_read_ms)
 
-    def is_lapsed(self, now_ms: float) -> bool:
-        """Tell whether every lease that it was given is proved to have run out."""
+    def has_expired_leases(self, now_ms: float) -> bool:
+        """Return whether all leases of the worker are proved to have expired."""
         if self.clock_read_ms == float("-inf"):
             return True
         least = self.clock_ms + SLOWEST_CLOCK * (now_ms - self.clock_read_ms)
-        return least > self.lease_until_ms + _LAPSE_SLACK_MS
+        return least > self.lease_until_ms + _EXPIRY_MARGIN_MS
 
     def note_silence(self, outcome: OrderOutcome, now_ms: float) -> None:
-        """Note that a call went without an answer."""
-        is_vague = (
+        """Record that a call was not answered."""
+        is_inconclusive = (
             self.silence is not None
             and self.silence.cause is OrderOutcome.CONNECTIONS_BUSY
         )
-        if self.silence is None or is_vague:
-            # Busy connections of our own tell nothing of how the worker fell silent.
+        if self.silence is None or is_inconclusive:
+            # Exhausted local connections do not show why the worker does not answer.
             self.silence = Silence(began_ms=now_ms, cause=outcome)
         if outcome is OrderOutcome.CONNECTION_REFUSED:
             self.silence.was_refused = True
 
     def measure_time(self, run: Run, now_ms: float) -> float:
-        """Return how long a run was here until the worker fell silent, in ms."""
+        """Return how long a run lasted until the worker stopped answering, in ms."""
         until_ms = now_ms if self.silence is None else self.silence.began_ms
         return max(0.0, until_ms - run.started_ms)
 
     def read_clock(self, look: Look, now_ms: float) -> None:
-        """Note the time on the worker's clock."""
+        """Update the estimate of the worker's clock."""
         if look.clock_ms >= self.clock_ms:
             self.clock_ms = look.clock_ms
             self.clock_read_ms = now_ms
 
     def is_new_end(self, number: int) -> bool:
-        """Tell whether an end has not been taken in yet.
+        """Return whether an end has not been applied yet.
 
-        Not by the highest number alone: an end that could not be read when later ones
-        were taken in may be readable by now.
+        The highest number is not sufficient: an end that was unreadable when later ends
+        were applied may be readable now.
         """
         return number > self.acknowledged and number not in self.ends_taken
 
-    def take_end(self, number: int, is_saved: Callable[[], bool]) -> None:
-        """Note an end, and how to tell whether its effect is in the store."""
+    def record_end(self, number: int, is_saved: Callable[[], bool]) -> None:
+        """Record an applied end and how to tell whether its effect is saved."""
         self.ends_taken.add(number)
         self.unacknowledged.append((number, is_saved))
         if len(self.unacknowledged) > 1 and number < self.unacknowledged[-2][0]:
@@ -360,7 +364,7 @@
             self.unacknowledged = collections.deque(rows)
 
     def has_room(self, demand: Demand) -> bool:
-        """Tell whether ``demand`` fits beside what holds room."""
+        """Return whether ``demand`` fits into the free capacity."""
         capacity = self.report.capacity
         return (
             self.cpu + demand.cpu <= capacity.cpu
@@ -369,7 +373,7 @@
         )
 
     def hold(self, run: Run) -> None:
-        """Take a run in and hold its room."""
+        """Add a run and hold its capacity."""
         self.runs[run.task, run.attempt] = run
         if run.phase is not RunPhase.RUNNING:
             self.ordered[run] = None
@@ -379,7 +383,7 @@
         self.borrowed_cpu += run.borrowed_cpu
 
     def release(self, run: Run) -> None:
-        """Let go of a run that is proved over, and of its room."""
+        """Remove a run that is proved over and free its capacity."""
         if self.runs.pop((run.task, run.attempt), None) is None:
             return
         self.ordered.pop(run, None)
@@ -389,7 +393,7 @@
         self.borrowed_cpu -= run.borrowed_cpu
 
     def count_step(self, task: TaskId) -> int:
-        """Count the runs of the step of ``task``."""
+        """Return the number of runs of the step of ``task``."""
         return sum(
             other.job_id == task.job_id
             and other.step == task.step
--- a/trefoilhook/scheduling/interference.py
+++ b/trefoilhook/scheduling/interference.py
@@ -1,24 +1,29 @@
-"""How much fillers of each image disturb service tasks of each image, learned online.
+"""Online model of how fillers of each image slow service tasks of each image.
 
-The tail latency of a service task grows as it would in a queue, as the inverse of what
-is left of its capacity. Its slack, the limit over the tail, therefore falls in a
-straight line with what the fillers beside it use::
+Tail latency of a service task grows as in a queue, with the inverse of the capacity
+that is left to it. Its slack (latency limit divided by tail latency) therefore falls
+linearly with the processor time used by the fillers on the same worker::
 
     slack = base - sum over images of weight[victim, image] * share[image]
 
-with the share of the worker's processors that fillers of the image use. Below 1 the
-task is over its limit. The base follows the task's own load, up and down within
-seconds; the weights stay. So weights are learned from changes: when fillers start, end
-or are slowed between two looks, the base has moved little, and the change of slack is
-theirs. The weights for one image of service tasks are a Gaussian, updated by each
-change with a Kalman step.
+where ``share`` is the fraction of the worker's processors used by fillers of the image.
+A slack below 1 means that the task exceeds its limit. The base follows the task's own
+load and varies within seconds; the weights are constant. The weights are therefore
+learned from changes: when fillers start, end or are slowed between two polls, the base
+has barely moved and the change of slack is caused by them. The weights of one service
+image have a Gaussian distribution that each change updates with a Kalman step.
 
-Offline, on the 15,000 looks of a day, this told heavy from light in 33 of 34 pairs
-after 20 s and in all 41 after 40 s, where weights learned from slack itself were wrong
-by whole classes: the base tracked the fillers' doing as its own.
+Learning the weights from the slack itself instead of its changes gives wrong results,
+as the base absorbs the effect of the fillers. Evaluated offline on 15,000 polls of one
+day, learning from changes separated heavy from light in 33 of 34 pairs after 20 s and
+in all 41 pairs after 40 s.
 
-In plain Python a step with nine images takes 60 us; a library for matrices would add
-10 MB to every instance.
+Plain Python is sufficient: a step with nine images takes 60 us, and a matrix library
+would add 10 MB to every instance.
+
+References ---------- .. [1] R. E. Kalman, "A New Approach to Linear Filtering and
+Prediction Problems", Journal of Basic Engineering 82, 1960. .. [2] J. Mars et al.,
+"Bubble-Up", MICRO 2011: slowdown as pressure times sensitivity.
 
 References
 ----------
@@ -50,82 +55,84 @@
 ]
 
 _PRIOR_WEIGHT = 4.0
-"""Weight of a pair never seen. In a trial of 1,900 looks without any pacing, pairs lay
-between 0 and 3 (light) or between 9 and 17 (heavy); two thirds were light."""
+"""Weight of an unknown pair: observed pairs lie between 0 and 3 (light, two thirds of
+them) or between 9 and 17 (heavy)."""
 
 _PRIOR_VARIANCE = 30.0
-"""Variance of that, from the same trial."""
+"""Variance of the weight of an unknown pair."""
 
 _PRIOR_BASE = 2.5
-"""Slack without fillers: tails of 4 to 11 ms at a limit of 18 ms in that trial."""
+"""Slack without fillers before any observation: tails of 4 to 11 ms at a limit of 18
+ms."""
 
-_BASE_BLEND = 0.02
-"""Weight of one look in the mean base of an image: phases of the tasks differ, so some
-fifty looks average their swings out."""
+_BASE_SMOOTHING = 0.02
+"""Weight of one poll in the mean base of an image: tasks are out of phase, so that
+about fifty polls average their variation out."""
 
-_PRIOR_SWING = 0.4
-"""Variance of that over time, of the same trial."""
+_PRIOR_BASE_VARIANCE = 0.4
+"""Variance of the base over time before any observation."""
 
-_TROUGH = 1.4
-"""Standard deviations under its mean that a base comes down to: a sine's amplitude."""
+_TROUGH_DEVIATIONS = 1.4
+"""Standard deviations from the mean base to its minimum: the amplitude of a sine."""
 
 _CHANGE_VARIANCE = 0.18
-"""Variance of a change of slack between two samples that fillers don't explain: twice
-the 0.055 that a fit of whole days left, and what the task's own load moves it by."""
+"""Variance of a change of slack between two samples that is not caused by fillers: the
+0.055 of a fit over whole days, doubled, plus the effect of the task's own load."""
 
-_WIDENING = 0.004
-"""Added to a weight's variance by each step: weights stayed over the days seen, but
-what was learned of a pair long ago must not keep it from being tried for good."""
+_PROCESS_VARIANCE = 0.004
+"""Variance added to each weight by each step. Weights were constant over the days
+observed, but an old estimate must not prevent a pair from ever being tried again."""
 
-_LEAST_NEWS = 0.02
-"""A change is left out when what is known predicts it so well that the variance of the
-prediction is this share of the noise: it could narrow a weight by as much at most, and
-on a fleet of hundreds of workers a tenth of an owner's time went into such steps."""
+_MIN_VARIANCE_RATIO = 0.02
+"""A change is skipped if the variance of its prediction is below this fraction of the
+noise, as it could narrow a weight by no more than that. With hundreds of workers such
+steps took a tenth of an owner's time."""
 
-_LIGHT = 3.0
-"""Weight up to which a filler is thought not to disturb: fits of two days put light
-pairs at 2.7 at most, and heavy ones at 5 at least."""
+_MAX_LIGHT_WEIGHT = 3.0
+"""Weight up to which a filler counts as not disturbing: over two days light pairs had
+weights up to 2.7 and heavy pairs weights from 5."""
 
-_HOPE = 0.5
-"""Standard deviations under its mean by which a weight is judged for placement. With a
-whole one too much is tried at once: a trial lost 0.16 of the service tasks' worth."""
+_OPTIMISM_DEVIATIONS = 0.5
+"""Standard deviations subtracted from the mean weight for placement. With 1.0 too many
+pairs are tried at the same time, which reduced the score of service tasks by 0.16."""
 
-_MOST_SLACK = 4.0
-"""Above this nothing is learned: the tail is listed in whole ms, and one of them is a
-fifth of it."""
+_MAX_SLACK = 4.0
+"""No weight is learned above this slack: tails are reported in whole ms, and 1 ms is
+then a fifth of the tail."""
 
-_LEAST_SLACK = 0.12
-"""Below this the tail stands at its ceiling, and says only 'at least as much'."""
+_MIN_SLACK = 0.12
+"""No weight is learned below this slack: the tail is saturated and only a lower
+bound."""
 
-_LEAST_CHANGE = 0.004
-"""A share that changed by less is left out of a step: it is the figure's rounding."""
+_MIN_SHARE_CHANGE = 0.004
+"""Smaller changes of a share are ignored, as they are rounding errors."""
 
 
-_MOST_FIGURE = 1e6
-"""Bound of what is read back: a hundred thousand times the heaviest weight seen."""
+_MAX_DECODED_VALUE = 1e6
+"""Limit on decoded values: a hundred thousand times the heaviest weight observed."""
 
 
 @attrs.define(kw_only=True)
-class _Row:
-    """Base and weights for one image of service tasks.
+class _VictimModel:
+    """Base and weights of one image of service tasks.
 
     Parameters
     ----------
     base, swing : float
         Mean and variance of the slack without fillers.
     means : dict of str to float
-        Weights by image of the fillers.
+        Mean weights by filler image.
     covariance : dict of str to dict of str to float
-        Of the weights.
+        Covariance of the weights.
     """
 
     base: float = _PRIOR_BASE
-    swing: float = _PRIOR_SWING
+    swing: float = _PRIOR_BASE_VARIANCE
     means: dict[str, float] = attrs.Factory(dict)
     covariance: dict[str, dict[str, float]] = attrs.Factory(dict)
 
-    def know(self, image: str) -> None:
-        """Take an image of fillers in at its prior."""
+    def add_image(self, image: str) -> None:
+        """Add a filler image with its prior distribution."""
         if image in self.means:
             return
         self.means[image] = _PRIOR_WEIGHT
@@ -137,77 +144,77 @@
 
 @attrs.define(kw_only=True)
 class Interference:
-    """What was learned so far, by image of the service tasks.
+    """Learned interference by image of the service tasks.
 
     Parameters
     ----------
     rows : dict of str to _Row
         Bases and weights.
     steps : int
-        Changes learned from.
+        Number of changes learned from.
     """
 
-    rows: dict[str, _Row] = attrs.Factory(dict)
+    rows: dict[str, _VictimModel] = attrs.Factory(dict)
     steps: int = 0
-    _hopeful: dict[tuple[str, str], float] = attrs.Factory(dict)
+    _optimistic_weights: dict[tuple[str, str], float] = attrs.Factory(dict)
 
-    def weigh(self, victim: str, filler: str) -> float:
-        """Return the slack that a filler on all of a worker would cost."""
+    def get_weight(self, victim: str, filler: str) -> float:
+        """Return the slack lost beside a filler that uses a whole worker."""
         row = self.rows.get(victim)
         if row is None:
             return _PRIOR_WEIGHT
         return max(0.0, row.means.get(filler, _PRIOR_WEIGHT))
 
-    def weigh_hopefully(self, victim: str, filler: str) -> float:
-        """Return the least weight that what was learned still allows.
+    def get_optimistic_weight(self, victim: str, filler: str) -> float:
+        """Return a lower confidence bound of a weight, for placement.
 
-        For placement: a pair thought heavy on thin evidence is tried again. Judged by
-        its mean it would never be, and nothing would be learned: with 600 fillers
-        waiting, 30 ran on 60 of 550 idle cores.
+        A pair that is considered heavy on little evidence is thus tried again. With the
+        mean it would never be tried and nothing would be learned: of 600 waiting
+        fillers 30 ran, on 60 of 550 idle cores.
         """
-        known = self._hopeful.get((victim, filler))
+        known = self._optimistic_weights.get((victim, filler))
         if known is not None:
             return known
         weight = _PRIOR_WEIGHT
         row = self.rows.get(victim)
         if row is not None and filler in row.means:
             deviation = math.sqrt(max(0.0, row.covariance[filler][filler]))
-            weight = max(0.0, row.means[filler] - _HOPE * deviation)
-        self._hopeful[victim, filler] = weight
+            weight = max(0.0, row.means[filler] - _OPTIMISM_DEVIATIONS * deviation)
+        self._optimistic_weights[victim, filler] = weight
         return weight
 
     def is_heavy(self, victim: str, filler: str) -> bool:
-        """Tell whether a filler is thought to disturb a service task at all."""
-        return self.weigh(victim, filler) > _LIGHT
+        """Return whether fillers of an image are expected to disturb a service task."""
+        return self.get_weight(victim, filler) > _MAX_LIGHT_WEIGHT
 
-    def find_base(self, victim: str) -> float:
+    def get_base(self, victim: str) -> float:
         """Return the mean slack of service tasks without fillers."""
         row = self.rows.get(victim)
         return _PRIOR_BASE if row is None else row.base
 
-    def find_trough(self, victim: str) -> float:
-        """Return the slack without fillers that a swing of the load comes down to."""
-        row = self.rows.get(victim) or _Row()
-        return row.base - _TROUGH * math.sqrt(row.swing)
+    def get_trough(self, victim: str) -> float:
+        """Return the slack without fillers at the peak of the task's own load."""
+        row = self.rows.get(victim) or _VictimModel()
+        return row.base - _TROUGH_DEVIATIONS * math.sqrt(row.swing)
 
-    def find_cost(self, victim: str, shares: Mapping[str, float]) -> float:
-        """Return the slack that fillers cost a service task.
+    def predict_cost(self, victim: str, shares: Mapping[str, float]) -> float:
+        """Return the slack that a service task loses to the fillers beside it.
 
         Parameters
         ----------
         victim : str
             Image of the service task.
         shares : mapping of str to float
-            Share of the worker's processors that fillers of each image use.
+            Fraction of the worker's processors that fillers of each image use.
         """
-        return sum(self.weigh(victim, image) * x for image, x in shares.items())
+        return sum(self.get_weight(victim, image) * x for image, x in shares.items())
 
     def learn_base(self, victim: str, base: float) -> None:
-        """Correct the mean base by that of one service task now."""
-        row = self.rows.setdefault(victim, _Row())
-        surprise = base - row.base
-        row.base += _BASE_BLEND * surprise
-        row.swing += _BASE_BLEND * (surprise * surprise - row.swing)
+        """Update the mean base with the current base of one service task."""
+        row = self.rows.setdefault(victim, _VictimModel())
+        innovation = base - row.base
+        row.base += _BASE_SMOOTHING * innovation
+        row.swing += _BASE_SMOOTHING * (innovation * innovation - row.swing)
 
     def learn_change(
         self,
@@ -218,60 +225,62 @@
         slack_before: float,
         slack_after: float,
     ) -> None:
-        """Correct the weights by what changed beside one service task.
+        """Update the weights from the change observed beside one service task.
 
         Parameters
         ----------
         victim : str
             Image of the service task.
         before, after : mapping of str to float
-            Share of the worker's processors that fillers of each image used, lagged as
-            the slacks are.
+            Fraction of the worker's processors that fillers of each image used, delayed
+            in the same way as the slacks.
         slack_before, slack_after : float
-            Slack of the service task then.
+            Slack of the service task before and after the change.
         """
-        if min(slack_before, slack_after) <= _LEAST_SLACK:
+        if min(slack_before, slack_after) <= _MIN_SLACK:
             return
-        if max(slack_before, slack_after) >= _MOST_SLACK:
+        if max(slack_before, slack_after) >= _MAX_SLACK:
             return
         features: dict[str, float] = {}
         for image in before.keys() | after.keys():
             change = after.get(image, 0.0) - before.get(image, 0.0)
-            if abs(change) > _LEAST_CHANGE:
+            if abs(change) > _MIN_SHARE_CHANGE:
                 features[image] = -change
         if features:
-            self._step(victim, features, slack_after - slack_before)
+            self._update_weights(victim, features, slack_after - slack_before)
 
-    def _step(self, victim: str, features: Mapping[str, float], change: float) -> None:
-        row = self.rows.setdefault(victim, _Row())
+    def _update_weights(
+        self, victim: str, features: Mapping[str, float], change: float
+    ) -> None:
+        row = self.rows.setdefault(victim, _VictimModel())
         for image in features:
-            row.know(image)
+            row.add_image(image)
         for image, cells in row.covariance.items():
-            cells[image] += _WIDENING
-        unsure = sum(
+            cells[image] += _PROCESS_VARIANCE
+        predicted_variance = sum(
             row.covariance[image][image] * x * x for image, x in features.items()
         )
-        if unsure < _LEAST_NEWS * _CHANGE_VARIANCE:
+        if predicted_variance < _MIN_VARIANCE_RATIO * _CHANGE_VARIANCE:
             return
         self.steps += 1
-        self._hopeful.clear()
-        projected = {
+        self._optimistic_weights.clear()
+        gains = {
             image: sum(cells[other] * x for other, x in features.items())
             for image, cells in row.covariance.items()
         }
-        spread = _CHANGE_VARIANCE
-        spread += sum(projected[image] * x for image, x in features.items())
+        innovation_variance = _CHANGE_VARIANCE
+        innovation_variance += sum(gains[image] * x for image, x in features.items())
         predicted = sum(row.means[image] * x for image, x in features.items())
-        error = (change - predicted) / spread
-        for image, gain in projected.items():
-            row.means[image] += gain * error
+        scaled_innovation = (change - predicted) / innovation_variance
+        for image, gain in gains.items():
+            row.means[image] += gain * scaled_innovation
             cells = row.covariance[image]
-            for other, value in projected.items():
-                cells[other] -= gain * value / spread
+            for other, value in gains.items():
+                cells[other] -= gain * value / innovation_variance
 
 
 def encode_interference(interference: Interference) -> bytes:
-    """Encode what was learned, for the next owner."""
+    """Encode the learned model for the next owner."""
     value = {
         victim: {
             "base": round(row.base, 3),
@@ -290,34 +299,38 @@
 def _decode_weights(value: Any) -> dict[str, float]:
     cells = check_table(value, "weights").items()
     return {
-        image: check_number(x, "weight", least=-_MOST_FIGURE, most=_MOST_FIGURE)
+        image: check_number(
+            x, "weight", least=-_MAX_DECODED_VALUE, most=_MAX_DECODED_VALUE
+        )
         for image, x in cells
     }
 
 
-def _decode_row(value: Any) -> _Row:
+def _decode_row(value: Any) -> _VictimModel:
     table = check_table(value, "row")
     means = _decode_weights(table.get("means"))
     rows = read_table(table, "covariance").items()
     covariance = {image: _decode_weights(cells) for image, cells in rows}
     squares = [covariance.keys(), *(cells.keys() for cells in covariance.values())]
     if any(images != means.keys() for images in squares):
-        raise DecodeError("covariance: not of the images")
-    return _Row(
-        base=read_number(table, "base", least=-_MOST_FIGURE, most=_MOST_FIGURE),
-        swing=read_number(table, "swing", most=_MOST_FIGURE),
+        raise DecodeError("covariance: images differ from those of the means")
+    return _VictimModel(
+        base=read_number(
+            table, "base", least=-_MAX_DECODED_VALUE, most=_MAX_DECODED_VALUE
+        ),
+        swing=read_number(table, "swing", most=_MAX_DECODED_VALUE),
         means=means,
         covariance=covariance,
     )
 
 
 def decode_interference(data: bytes) -> Interference:
-    """Decode what ``encode_interference`` made.
+    """Decode the output of ``encode_interference``.
 
     Raises
     ------
     DecodeError
-        If it is something else.
+        If the data is not a valid model.
     """
     rows = {victim: _decode_row(row) for victim, row in parse_table(data).items()}
     return Interference(rows=rows)
--- a/trefoilhook/scheduling/isolation.py
+++ b/trefoilhook/scheduling/isolation.py
@@ -1,115 +1,120 @@
-"""Runs of suspected tasks apart from others.
+"""Isolation of runs of tasks that are suspected of crashing their workers.
 
-A task that is suspected to crash its workers is started again, as most suspects turn
-out to be bystanders. So that its next crash tells whose it was, and takes nothing
-along, a strongly suspected one gets a worker to which nothing else goes until it has
-run for a while, with as little on it as there is. Weakly suspected ones are spread.
+Suspected tasks are started again, as most suspects are bystanders. A strongly suspected
+task gets a worker with as few other runs as possible, to which no other task is
+assigned until it has run for a while. Its next crash then identifies its cause and
+affects nothing else. Weakly suspected tasks are spread over the workers.
 """
 
 from collections import Counter
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState, TaskState
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import Crowds
+from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import Run, Worker
+from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.suspicion import STRONG_ODDS, compute_survival
 
 __all__ = [
     "Isolation",
     "is_run_isolated",
-    "is_recorded",
+    "is_placement_recorded",
     "is_strongly_suspected",
-    "rate_risk",
+    "compute_risk_penalty",
 ]
 
 _ISOLATION_MS = 3000.0
-"""How long a strongly suspected task keeps a worker for itself at most, in ms."""
+"""Maximum time for which a strongly suspected task reserves its worker."""
 
-_MOST_A_JOB = 2
-"""Isolated runs of one job at a time. Where all tasks of a job crash, each takes a
-worker down; where one does, the others wait for their turns."""
+_MAX_RUNS_PER_JOB = 2
+"""Maximum number of concurrent isolated runs of one job. If all tasks of the job crash,
+each takes a worker down; if only one does, the others wait for their turn."""
 
-_LARGEST_SHARE = 0.25
-"""Share of the workers that may be kept for isolated runs."""
+_MAX_WORKER_SHARE = 0.25
+"""Maximum fraction of the workers that is reserved for isolated runs."""
 
-_RUN_RISK = 100_000
-_SERVICE_RISK = 1_000_000
-"""Thousandths of a core that a strongly suspected task would rather leave unused than
-run beside another task, and beside a service task."""
+_COLOCATION_PENALTY = 100_000
+_SERVICE_PENALTY = 1_000_000
+"""Penalties for starting a strongly suspected task beside another run and beside a
+service task, in thousandths of a core."""
 
-_APART_RISK = 100_000
-"""The same for a suspected task beside another one."""
+_SUSPECT_PENALTY = 100_000
+"""Penalty for starting a suspected task beside another one, in thousandths of a
+core."""
 
 
 def is_strongly_suspected(task: TaskState) -> bool:
-    """Tell whether a task is to run apart from others."""
+    """Return whether a task must run in isolation."""
     suspicion = task.suspicion
     return suspicion is not None and suspicion.odds >= STRONG_ODDS
 
 
 def is_run_isolated(task: TaskState, run: Run) -> bool:
-    """Tell whether a run keeps its worker to itself."""
+    """Return whether a run reserves its worker."""
     suspicion = task.suspicion
     if suspicion is None or run.proved_ms >= _ISOLATION_MS:
         return False
     return suspicion.odds * compute_survival(run.proved_ms) >= STRONG_ODDS
 
 
-def is_recorded(scheduler: Scheduler, worker: Worker, run: Run) -> bool:
-    """Tell whether the store knows where a run is ordered, as far as that is needed.
+def is_placement_recorded(scheduler: Scheduler, worker: Worker, run: Run) -> bool:
+    """Return whether the worker of a run is recorded in the store, if required.
 
-    Guards against a crash that is forgotten with its owner: by the record the next
-    owner finds out whether the worker was lost under a task that is suspected.
+    Guards against losing a crash together with the owner: from the record the next
+    owner determines whether the worker was lost while it ran a suspected task.
     """
     state = scheduler.jobs.get(run.task.job_id)
     task = state.find_task(run.task) if state is not None else None
     if state is None or task is None or task.suspicion is None:
         return True
     if run.recorded_version is None:
-        scheduler.suspects.suspect(task).place(run.attempt, worker.report.worker_id)
+        scheduler.suspects.get_or_add(task).record_attempt(
+            run.attempt, worker.report.worker_id
+        )
         run.recorded_version = state.version
     return state.saved_version >= run.recorded_version
 
 
-def rate_risk(worker: Worker, task: TaskState, crowds: Crowds) -> float:
-    """Return what speaks against starting a suspected task on a worker."""
+def compute_risk_penalty(
+    worker: Worker, task: TaskState, colocations: ColocationCache
+) -> float:
+    """Return the penalty for starting a suspected task on a worker."""
     if task.suspicion is None:
         return 0.0
-    risk = float(_APART_RISK * worker.suspected_runs)
+    risk = float(_SUSPECT_PENALTY * worker.suspected_runs)
     if is_strongly_suspected(task):
-        risk += _RUN_RISK * len(worker.runs)
-        risk += _SERVICE_RISK * len(crowds.find(worker).victims)
+        risk += _COLOCATION_PENALTY * len(worker.runs)
+        risk += _SERVICE_PENALTY * len(colocations.lookup(worker).victims)
     return risk
 
 
 @attrs.define(kw_only=True)
 class Isolation:
-    """The isolated runs that go on, for one round of assignment.
+    """Isolated runs during one round of assignment.
 
     Parameters
     ----------
-    most : int
-        Workers that may be kept for isolated runs.
+    max_workers : int
+        Maximum number of workers reserved for isolated runs.
     workers : int
-        Workers that are.
+        Number of reserved workers.
     jobs : Counter of JobState
-        Isolated runs by job.
+        Number of isolated runs by job.
     """
 
-    most: int
+    max_workers: int
     workers: int = 0
     jobs: Counter[JobState] = attrs.Factory(Counter)
 
     @classmethod
     def collect(cls, scheduler: Scheduler) -> "Isolation":
-        """Find the isolated runs that go on, and mark their workers."""
+        """Find the current isolated runs and mark their workers as reserved."""
         for worker in scheduler.workers.values():
             worker.suspected_runs = 0
             worker.is_reserved = False
-        most = max(1, int(_LARGEST_SHARE * len(scheduler.workers)))
-        found = cls(most=most)
+        max_workers = max(1, int(_MAX_WORKER_SHARE * len(scheduler.workers)))
+        found = cls(max_workers=max_workers)
         for state in scheduler.suspects.jobs:
             for unit in state.progress.suspicions:
                 for task in state.list_unit(unit):
@@ -118,7 +123,7 @@
         return found
 
     def add(self, task: TaskState, worker: Worker, run: Run) -> None:
-        """Count a run of a suspected task."""
+        """Add a run of a suspected task."""
         worker.suspected_runs += 1
         if not is_run_isolated(task, run):
             return
@@ -128,9 +133,11 @@
             self.workers += 1
 
     def may_start(self, task: TaskState, now_ms: float) -> bool:
-        """Tell whether a task may be started now, as far as isolation goes."""
+        """Return whether isolation permits starting a task now."""
         if task.held_until_ms > now_ms:
             return False
         if not is_strongly_suspected(task):
             return True
-        return self.workers < self.most and self.jobs[task.job] < _MOST_A_JOB
+        return (
+            self.workers < self.max_workers and self.jobs[task.job] < _MAX_RUNS_PER_JOB
+        )
--- a/trefoilhook/scheduling/book.py
+++ b/trefoilhook/scheduling/job_state.py
@@ -1,4 +1,4 @@
-"""The jobs of a shard: what is done, what waits, what must be written."""
+"""State of the jobs of a shard: completed and waiting tasks, and unsaved changes."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class Attempt:
-    """A run and the worker that it is on."""
+    """A run and its worker."""
 
     worker: Worker
     run: Run
@@ -20,29 +20,29 @@
 
 @attrs.define(kw_only=True, eq=False)
 class TaskState:
-    """One task.
+    """State of one task.
 
     Parameters
     ----------
     task : TaskId
-        Its name.
+        Id of the task.
     step : Step
-        Its step.
+        Step of the task.
     job : JobState
-        Its job.
+        Job of the task.
     attempts : list of Attempt
-        Attempts that aren't proved over.
+        Attempts that are not proved over.
     last_attempt : int
-        Highest number of an attempt so far.
+        Highest attempt number so far.
     failed_on : set of str
-        Workers where it failed.
+        Workers on which it failed.
     done : bool
-        Whether it is done.
+        Whether it is completed.
     waiting_since_ms : float or None
-        Since when it has waited for a place, in ms, as far as rounds have seen it.
+        Time since when it has waited for a worker, as seen by the rounds, in ms.
     held_until_ms : float
-        It isn't started again before, in ms: workers were lost under it, and it is not
-        proved that they crashed.
+        Time until which it is not started again, in ms. Set if workers were lost while
+        it ran there, without proof that they crashed.
     """
 
     task: TaskId
@@ -57,7 +57,7 @@
 
     @property
     def unit(self) -> Unit:
-        """What crashes are counted by: the task, or the gang that it is a member of."""
+        """Unit for which crashes are counted: the task, or the gang it belongs to."""
         return (
             self.task.occurrence,
             self.task.step,
@@ -66,7 +66,7 @@
 
     @property
     def suspicion(self) -> Suspicion | None:
-        """What speaks for it that it crashes its workers."""
+        """Evidence that the task crashes its workers, if any."""
         suspicions = self.job.progress.suspicions
         return suspicions.get(self.unit) if suspicions else None
 
@@ -76,50 +76,50 @@
         return self.task.occurrence, self.task.step, self.task.index
 
     def detach(self, run: Run) -> None:
-        """Forget an attempt that is over."""
+        """Remove an attempt that is over."""
         self.attempts = [a for a in self.attempts if a.run is not run]
 
 
 @attrs.define(kw_only=True, eq=False)
 class JobState:
-    """One job.
+    """State of one job.
 
     Parameters
     ----------
     job : Job
-        As it was submitted.
+        The job as submitted.
     revision : int
         Revision of its record in the store.
     progress : Progress
-        What outlives this instance.
+        Persistent progress.
     progress_revision : int
-        Revision of the progress in the store; 0 when there is none.
+        Revision of the progress in the store; 0 if there is none.
     phase : JobPhase
-        How far it is.
+        Phase of the job.
     certain : bool
         Whether no earlier owner can have started a task of it.
     queue : Queue or None
-        Its queue as last configured.
+        Its queue in the latest configuration that contains it.
     version, saved_version : int
-        Count of changes to what must last, and how many of them are in the store.
+        Number of changes to the persistent state, and number of saved changes.
     phase_saved : bool
-        Whether the phase is in the store.
+        Whether the phase is saved.
     is_stale : bool
-        Whether it had ended, with nothing left to do, when that was last looked at.
+        Whether it had ended, and all changes were saved, at the last check.
     started : bool
-        Whether a task was ever started.
+        Whether a task of it was ever started.
     marked : bool
-        Whether the store still counts it among those that wait for their first start.
+        Whether the store still lists it among the jobs that wait for their first start.
     tasks : dict of TaskId to TaskState
-        Tasks of the steps that have begun.
+        Tasks of the opened steps.
     opened : set of (int, int)
-        Steps that have begun, by occurrence.
+        Occurrence and index of the opened steps.
     steps_left : int
-        Steps that aren't done, over all occurrences.
+        Number of incomplete steps over all occurrences.
     work : float
-        Estimated work of one run of its steps, in core-milliseconds.
+        Estimated work of one occurrence, in core-milliseconds.
     due_ms : float
-        Latest time of its latency objective, in ms since the Unix epoch.
+        End of its latency objective, in ms since the Unix epoch.
     """
 
     job: Job
@@ -143,35 +143,35 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether tasks of it may still be started."""
+        """Whether further tasks of it may be started."""
         return self.phase is JobPhase.OPEN
 
     @property
     def is_saved(self) -> bool:
-        """Whether the store holds all that must last."""
+        """Whether the persistent state is completely saved."""
         return self.saved_version >= self.version and self.phase_saved
 
     def record(self) -> JobRecord:
-        """Return the record as it should stand in the store."""
+        """Return the record to be stored."""
         return JobRecord(job=self.job, phase=self.phase)
 
     def is_step_done(self, occurrence: int, step: int) -> bool:
-        """Tell whether all tasks of a step are done."""
+        """Return whether all tasks of a step are completed."""
         done = self.progress.done.get((occurrence, step))
         if not done:
             return False
         if self.job.steps[step].gang:
-            # One end of a gang stands for all of its members.
+            # The end of one member counts for the whole gang.
             return True
         return len(done) >= self.job.steps[step].count
 
     def is_step_due(self, occurrence: int, step: int) -> bool:
-        """Tell whether the tasks of a step may start, as far as order goes."""
+        """Return whether all steps that a step depends on are completed."""
         after = self.job.steps[step].after
         return all(self.is_step_done(occurrence, earlier) for earlier in after)
 
     def list_unit(self, unit: Unit) -> list[TaskState]:
-        """Return the tasks that crashes are counted for together."""
+        """Return the tasks of a unit for which crashes are counted."""
         occurrence, step, index = unit
         if self.job.steps[step].gang:
             return [
@@ -183,7 +183,7 @@
         return [task] if task is not None else []
 
     def count_failures(self, task: TaskId) -> int:
-        """Count the failed attempts that lead to the job's failure."""
+        """Return the number of failed attempts that count towards the job's failure."""
         failed = self.progress.failed
         if self.job.steps[task.step].gang:
             return sum(
@@ -194,7 +194,7 @@
         return len(failed.get((task.occurrence, task.step, task.index), ()))
 
     def find_task(self, task: TaskId) -> TaskState | None:
-        """Return the state of a task, made anew for one known from elsewhere."""
+        """Return the state of a task, creating it if needed; None for an invalid id."""
         state = self.tasks.get(task)
         if state is not None:
             return state
--- a/trefoilhook/scheduling/lapses.py
+++ b/trefoilhook/scheduling/lease_expiry.py
@@ -1,4 +1,4 @@
-"""Letting go of what ran on silent workers once every lease there has run out."""
+"""Release of runs on silent workers after the expiry of all their leases."""
 
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.crashes import attribute_loss
@@ -10,22 +10,22 @@
 
 
 def release_lapsed(scheduler: Scheduler, now_ms: float) -> list[Lapse]:
-    """Free what is over on silent workers whose leases have all run out.
+    """Release the runs on silent workers whose leases have all expired.
 
     Returns
     -------
     list of Lapse
-        What became of the runs on each worker, where that is news.
+        Outcome for the runs on each worker with a change.
     """
     lapses: list[Lapse] = []
     for worker in list(scheduler.workers.values()):
         if (worker.silence is None and worker.listed) or not worker.fenced:
             continue
-        if not worker.is_lapsed(now_ms):
+        if not worker.has_expired_leases(now_ms):
             continue
         if not worker.listed:
             attribute_loss(scheduler, worker, now_ms)
-        lapse = _release_silent(scheduler, worker, now_ms)
+        lapse = _release_expired(scheduler, worker, now_ms)
         if lapse.given_up or (lapse.awaited and not worker.is_awaited):
             lapses.append(lapse)
         worker.is_awaited = bool(lapse.awaited)
@@ -38,7 +38,7 @@
     """Release a run whose start order was never sent.
 
     The other members of its gang are stopped, as they would otherwise wait for it until
-    their timeout.
+    their time-out.
     """
     state = scheduler.jobs.get(run.task.job_id)
     task = state.find_task(run.task) if state is not None else None
@@ -48,20 +48,19 @@
             scheduler.stop_attempts(member)
 
 
-def _release_silent(scheduler: Scheduler, worker: Worker, now_ms: float) -> Lapse:
-    """Let go of the runs on a lapsed worker, but for those that may be done.
+def _release_expired(scheduler: Scheduler, worker: Worker, now_ms: float) -> Lapse:
+    """Release the runs on a worker with expired leases unless they may be completed.
 
-    Guards against a task that is started again after it was done. Its worker's
-    answers don't reach the owner for a whole lease; the worker lists the end all
-    the while. That no lease is left proves that nothing runs there, not that
-    nothing has ended as done. A worker in the store's list is alive and will tell,
-    so its tasks wait for it; one that is off the list has crashed or left, and
-    waiting for it would lose them.
+    Guards against restarting a completed task: the worker lists its end, but the
+    answers do not reach the owner for a whole lease. Expired leases prove that nothing
+    is running, not that nothing was completed. A worker with an entry in the store is
+    alive and will report, so that its tasks wait; one without an entry has crashed or
+    shut down, and waiting for it would lose its tasks.
     """
     given_up: list[tuple[TaskId, int]] = []
     awaited = 0
     for run in list(worker.runs.values()):
-        if worker.is_known_alive and _may_be_done(scheduler, run):
+        if worker.is_known_alive and _may_have_completed(scheduler, run):
             awaited += 1
             continue
         scheduler.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
@@ -75,8 +74,8 @@
     )
 
 
-def _may_be_done(scheduler: Scheduler, run: Run) -> bool:
-    """Tell whether it matters that a run may have ended as done."""
+def _may_have_completed(scheduler: Scheduler, run: Run) -> bool:
+    """Return whether a run may have been completed and its job is still open."""
     state = scheduler.jobs.get(run.task.job_id)
     if state is None or not state.is_open:
         return False
--- a/trefoilhook/scheduling/messages.py
+++ b/trefoilhook/scheduling/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the scheduler and the workers."""
+"""Messages exchanged between the scheduler and the workers."""
 
 import enum
 
@@ -41,10 +41,10 @@
 class OrderOutcome(enum.Enum):
     """What is known about an order after it was sent.
 
-    ``NO_ANSWER`` and ``CONNECTION_LOST`` say nothing: the order may have been carried
-    out, or may still be. After every other outcome but ``DONE`` this copy of it never
-    will be. ``CONNECTION_LOST`` and ``CONNECTION_REFUSED`` tell that the worker's
-    machine answers, and its process doesn't; silence tells neither.
+    ``NO_ANSWER`` and ``CONNECTION_LOST`` are inconclusive: the order may have been
+    executed, or may still be. After every other outcome except ``DONE`` this copy of it
+    is never executed. ``CONNECTION_LOST`` and ``CONNECTION_REFUSED`` indicate that the
+    worker's machine responds but its process does not; a time-out indicates neither.
     """
 
     DONE = "done"
@@ -64,7 +64,7 @@
     REFUSED = "refused"
 
 
-# An order that is withdrawn was not sent either, and tells nothing of its worker.
+# A withdrawn order was not sent either, but provides no evidence about its worker.
 UNSENT = frozenset(
     {
         OrderOutcome.NOT_SENT,
@@ -72,37 +72,37 @@
         OrderOutcome.CONNECTIONS_BUSY,
     }
 )
-"""The order never left."""
+"""Outcomes of orders that were never sent because of the connection."""
 
 UNANSWERED = frozenset({OrderOutcome.NO_ANSWER, OrderOutcome.CONNECTION_LOST})
-"""The order left, and nobody knows what became of it."""
+"""Outcomes of orders that were sent and may or may not have been executed."""
 
 
 class StopReason(enum.Enum):
-    """Why an attempt is stopped."""
+    """Reason for stopping an attempt."""
 
     NOT_WANTED = "not wanted"
-    """Its job was cancelled or has ended, or another attempt has done its task."""
+    """Its job was cancelled or has ended, or another attempt has completed its task."""
 
     UNCERTAIN = "uncertain"
-    """A start of it without an answer must be ruled out."""
+    """An unanswered start order must be ruled out."""
 
     SLOWED = "slowed"
-    """It disturbs service tasks where it is, and another worker has a place for it."""
+    """It disturbs service tasks on its worker, and another worker is suitable."""
 
     STANDS_STILL = "stands still"
     """It makes no progress."""
 
     NO_ROOM = "no room"
-    """Its worker has shrunk and holds too much, and another has room for it."""
+    """Its worker's capacity has shrunk, and another worker has capacity for it."""
 
     WORKER_LEAVES = "worker leaves"
-    """Its worker is about to leave."""
+    """Its worker is about to shut down."""
 
 
 @attrs.frozen(kw_only=True)
 class Running:
-    """An attempt that runs on a worker.
+    """A running attempt as reported by its worker.
 
     Parameters
     ----------
@@ -111,13 +111,12 @@
     attempt : int
         Number of the attempt.
     checkpoint : str
-        Where another attempt could go on; empty for none.
+        Checkpoint from which another attempt could resume; empty for none.
     percent : float or None
-        Progress; for a long-running task 100 once it is at work. None if it can't be
-        read.
+        Progress; 100 for a long-running task that serves requests. None if unreadable.
     load : float or None
-        Tail latency in ms of a task with a latency limit, else thousandths of a core.
-        None if it can't be read.
+        Tail latency in ms for a task with a latency limit, otherwise use in thousandths
+        of a core. None if unreadable.
     """
 
     task: TaskId
@@ -129,7 +128,7 @@
 
 @attrs.frozen(kw_only=True)
 class End:
-    """The end of an attempt; ``number`` rises within one life of the worker."""
+    """End of an attempt; ``number`` increases within one worker incarnation."""
 
     number: int
     task: TaskId
@@ -140,18 +139,18 @@
 
 @attrs.frozen(kw_only=True)
 class UnreadRow:
-    """A row of a worker's lists that can't be read, with what of it can.
+    """An unreadable row of a worker's lists, with its readable parts.
 
     Parameters
     ----------
     reason : str
-        Why, for people.
+        Human-readable reason.
     is_end : bool
-        Whether it tells of an end; else of something that runs.
+        Whether it reports an end; otherwise it reports a running attempt.
     number : int or None
-        Number of the end, if that much can be read.
+        Number of the end, if readable.
     attempt : (TaskId, int) or None
-        The task and the attempt that it is about, if that much can be read.
+        Task and attempt that it reports, if readable.
     """
 
     reason: str
@@ -162,7 +161,7 @@
 
 @attrs.frozen(kw_only=True)
 class Look:
-    """What a worker tells of itself; ``clock_ms`` is its own steady clock, in ms."""
+    """Answer of a worker to a poll; ``clock_ms`` is its monotonic clock, in ms."""
 
     clock_ms: float
     running: tuple[Running, ...]
@@ -172,20 +171,21 @@
 
 @attrs.frozen(kw_only=True)
 class Lapse:
-    """What became of the runs on a silent worker once every lease of it was over.
+    """Outcome for the runs on a silent worker whose leases have all expired.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     listed : bool
-        Whether the store lists it.
+        Whether its entry is in the store.
     silent_ms : float
-        How long it hasn't been heard, in ms.
+        Time since its last answer, in ms.
     given_up : tuple of (TaskId, int)
-        Tasks and attempts that count as lapsed now; the tasks wait anew.
+        Tasks and attempts that now count as lapsed; the tasks wait again.
     awaited : int
-        Runs that may have ended as done: their tasks wait until the worker tells.
+        Number of runs that may have been completed; their tasks wait for the worker's
+        report.
     """
 
     worker_id: str
@@ -196,47 +196,48 @@
 
 
 class LossCause(enum.Enum):
-    """What ended the life of a worker."""
+    """Cause of the end of a worker incarnation."""
 
     CRASHED = "crashed"
-    """Its process ended under its tasks, unannounced."""
+    """Its process ended unannounced while tasks were running."""
 
     DRAINED = "drained"
-    """It had announced that it would leave."""
+    """It had announced its shutdown."""
 
     LEASES_OVER = "leases over"
-    """Nothing ran there any more when it was lost."""
+    """All its leases had expired when it was lost, so that nothing was running."""
 
     CUT_OFF = "cut off"
-    """It was silent as behind a cut; when its life ended, and what ran, is unknown."""
+    """It was silent as in a network partition; the time of its end and its runs at that
+    time are unknown."""
 
     LIST_STALE = "list stale"
-    """What the store lists wasn't read closely enough to rule out a planned stop."""
+    """The store was not read often enough to rule out an announced shutdown."""
 
     STILL_LISTED = "still listed"
-    """Its entry stood for longer than that of a dead worker: it lived on meanwhile."""
+    """Its entry outlived that of a dead worker, so that it was alive for a while."""
 
 
 @attrs.frozen(kw_only=True)
 class Suspect:
-    """A task that a lost worker may be due to.
+    """A task that may have caused the loss of a worker.
 
     Parameters
     ----------
     task : TaskId
-        The task; a member of it for a gang.
+        Id of the task, or of one member of a gang.
     attempt : int
-        Its attempt there.
+        Number of its attempt on the worker.
     ran_ms : float
         Time from its start to the loss, in ms.
     ratio : float
-        Factor by which the loss changed the odds against it.
+        Factor by which the loss changed the odds that it crashes its workers.
     chance : float
         Probability, after the loss, that it crashes its workers.
     crashes : int
-        Proved crashes that count against it.
+        Number of proved crashes attributed to it.
     given_up : bool
-        Whether its job is given up for them.
+        Whether its job failed because of them.
     """
 
     task: TaskId
@@ -250,18 +251,18 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerLoss:
-    """The end of a worker's life, and what it tells of the tasks that ran there.
+    """End of a worker incarnation and the evidence against the tasks that ran on it.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     cause : LossCause
-        What ended it.
+        Cause of the end.
     runs : int
-        Runs that it had.
+        Number of runs on it.
     suspects : tuple of Suspect
-        Their tasks, the likeliest first; none if the loss is no crash.
+        Their tasks, the most likely cause first; empty if the loss was not a crash.
     """
 
     worker_id: str
@@ -272,7 +273,7 @@
 
 @attrs.frozen(kw_only=True)
 class StartOrder:
-    """Start an attempt, unless the worker's clock is past ``deadline_ms``."""
+    """Order to start an attempt unless the worker's clock is past ``deadline_ms``."""
 
     worker_id: str
     task: TaskId
@@ -286,7 +287,7 @@
 
 @attrs.frozen(kw_only=True)
 class StopOrder:
-    """Stop an attempt; the reason is for people."""
+    """Order to stop an attempt; the reason is informational."""
 
     worker_id: str
     task: TaskId
@@ -297,7 +298,7 @@
 
 @attrs.frozen(kw_only=True)
 class PaceOrder:
-    """Let an attempt work at ``percent`` of its speed."""
+    """Order to run an attempt at ``percent`` of its full speed."""
 
     worker_id: str
     task: TaskId
--- a/trefoilhook/scheduling/models.py
+++ b/trefoilhook/scheduling/models.py
@@ -1,4 +1,4 @@
-"""What clients and operators declare: jobs of steps, queues, workers."""
+"""Declarations of clients and operators: jobs, steps, queues and workers."""
 
 import re
 
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class Demand:
-    """What a task takes of a worker, or what a worker has.
+    """Resources requested by a task or provided by a worker.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     memory_mb : int
         Memory, in MB.
     gpus : int
-        Accelerators.
+        Number of accelerators.
     """
 
     cpu: int = 0
@@ -40,42 +40,44 @@
 
 @attrs.frozen(kw_only=True)
 class Step:
-    """Alike tasks of a job.
+    """Identical tasks of a job.
 
     Parameters
     ----------
     count : int
         Number of tasks.
     demand : Demand
-        What each task takes.
+        Resources of each task.
     estimate_ms : float
-        Rough time of one task, in ms.
+        Estimated duration of one task, in ms.
     after : tuple of int
-        Steps of which all tasks must be done first.
+        Indices of the steps that must be completed first.
     checkpointing : bool
-        Whether a stopped task can go on where it was.
+        Whether a stopped task can resume from a checkpoint.
     gang : bool
-        Whether the tasks work only all together.
+        Whether the tasks can only run all at the same time.
     same_rack : bool
-        Whether the tasks are slowed when they are spread over racks.
+        Whether the tasks are slower if spread over several racks.
     required_label : str
-        Label that a worker must have; empty for any.
+        Label that a worker must have; empty for any worker.
     data_rack : str
-        Rack where the data lies; elsewhere the tasks are slowed. Empty for none.
+        Rack that holds the input data; tasks are slower elsewhere. Empty for none.
     max_per_worker : int
-        Most tasks of the step on one worker; 0 for no limit.
+        Maximum number of tasks of the step on one worker; 0 for no limit.
     speculative : bool
-        Whether copies may run at the same time.
+        Whether a task may have several copies running at the same time.
     long_running : bool
         Whether the tasks run until the job is cancelled.
     image : str
-        Tasks of one image behave alike.
+        Name of the image; tasks of one image behave alike.
     latency_limit_ms : float
-        Limit on the tail latency that the tasks give their users; 0 for none.
+        Limit on the tail latency of the task's responses, in ms; 0 for none.
     filler : bool
-        Whether the tasks run on processor time that others leave, uncounted.
+        Whether the tasks are best-effort: they use processor time that others leave,
+        which is not counted against the capacity.
     max_absent : int or None
-        Most tasks that the system may keep from work at a time; None for no limit.
+        Maximum number of tasks that the system may keep from running at a time; None
+        for no limit.
     """
 
     count: int
@@ -96,7 +98,7 @@
     max_absent: int | None = None
 
     room: Demand = attrs.field(init=False, repr=False, eq=False)
-    """What a task of the step takes of a worker's counted capacity."""
+    """Resources that a task of the step takes of a worker's counted capacity."""
 
     @room.default
     def _count_room(self) -> Demand:
@@ -106,31 +108,31 @@
 
     @property
     def borrowed_cpu(self) -> int:
-        """Thousandths of a core that a task uses of what others leave."""
+        """Thousandths of a core that a filler uses of the uncounted processor time."""
         return self.demand.cpu if self.filler else 0
 
 
 @attrs.frozen(kw_only=True)
 class Job:
-    """A job as a client submitted it.
+    """A job as submitted by a client.
 
     Parameters
     ----------
     job_id : str
-        Chosen by the client; the same id is the same job.
+        Chosen by the client; a job submitted again under the same id is the same job.
     queue : str
         Name of the queue.
     accepted_ms : float
-        When it was accepted, in ms since the Unix epoch.
+        Time of acceptance, in ms since the Unix epoch.
     spec : str
-        Passed on to the workers.
+        Opaque specification that is passed to the workers.
     steps : tuple of Step
-        What is to be done.
+        Steps of the job.
     repeats : int
-        How many times the steps run at set times; 0 for once, at once.
+        Number of scheduled occurrences; 0 to run once, immediately.
     first_due_ms, interval_ms : float
-        When the first of them is due, in ms since the Unix epoch, and the pause
-        between two.
+        Due time of the first occurrence, in ms since the Unix epoch, and the interval
+        between occurrences, in ms.
     """
 
     job_id: str
@@ -144,18 +146,18 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """Number of times that the steps run."""
         return max(1, self.repeats)
 
     def estimate_work(self) -> float:
-        """Estimate the work of one run of the steps, in core-milliseconds."""
+        """Estimate the work of one occurrence, in core-milliseconds."""
         return sum(
             step.count * step.estimate_ms * step.demand.cpu / 1000.0
             for step in self.steps
         )
 
     def estimate_chain(self) -> float:
-        """Estimate the time of the longest chain of steps, in ms."""
+        """Estimate the duration of the critical path of the steps, in ms."""
         ends: list[float] = []
         for step in self.steps:
             begin = max((ends[i] for i in step.after), default=0.0)
@@ -165,16 +167,16 @@
 
 @attrs.frozen(kw_only=True)
 class Advice:
-    """How the service answers that tells which workers a step may run on.
+    """Timing of the advice service, which decides which workers may run a step.
 
     Parameters
     ----------
     decision_ms : float
-        Time of any answer, in ms.
+        Base time of an answer, in ms.
     per_worker_ms : float
-        Further time for each worker asked about, in ms.
+        Additional time for each worker in a request, in ms.
     valid_ms : float
-        How long a ticket can be used, in ms.
+        Validity of a ticket, in ms.
     """
 
     decision_ms: float
@@ -189,21 +191,21 @@
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the queue.
     host, prefix : str
-        Which requests belong to it.
+        Host and path prefix of the requests that belong to the queue.
     service : str
-        The workers that run its tasks.
+        Service whose workers run the tasks.
     priority : int
-        0 comes first.
+        Priority; 0 is the highest.
     max_attempts : int
-        After so many failed attempts of a task its job has failed.
+        Number of failed attempts of a task after which its job fails.
     stretch : float
-        Latency objective, in times of the job's longest chain of work.
+        Latency objective as a multiple of the job's critical path.
     objective_ms : float
-        Added to that, in ms.
+        Constant added to the latency objective, in ms.
     advice : Advice or None
-        Set when only some workers may run a step.
+        Timing of the advice service; None if any worker may run the steps.
     """
 
     name: str
@@ -217,10 +219,10 @@
     advice: Advice | None = None
 
     def compute_objective(self, job: Job) -> float | None:
-        """Return the time that a job should take, in ms.
+        """Return the latency objective of a job, in ms.
 
-        None for a job with set times, of which each has its own, and for one whose
-        tasks run until it is cancelled.
+        None for a scheduled job, whose occurrences have due times of their own, and for
+        a job with long-running tasks.
         """
         if job.repeats or any(step.long_running for step in job.steps):
             return None
@@ -234,9 +236,9 @@
     Parameters
     ----------
     version : int
-        Rises with every change.
+        Version number, increased by every change.
     queues : tuple of Queue
-        Every queue.
+        All queues.
     services : frozenset of str
         Names of the services that workers may belong to.
     """
@@ -265,26 +267,26 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerReport:
-    """What a worker says of itself.
+    """Entry that a worker writes to the store.
 
     Parameters
     ----------
     worker_id : str
-        One life of the worker; a restart has another.
+        Identifies one incarnation of the worker; a restarted worker has another id.
     service : str
         The service whose tasks it runs.
     host, port : str, int
-        Where it takes orders.
+        Address at which it accepts orders.
     failure_domain : str
-        Where it stands.
+        Failure domain of the worker.
     capacity : Demand
-        What it has.
+        Resources of the worker.
     labels : tuple of str
         Its kind and its rack.
     draining : bool
-        Whether it is about to leave.
+        Whether it is about to shut down.
     remaining_ms : float
-        Least time until it leaves, in ms, while it drains.
+        Minimum time until it shuts down, in ms, while it drains.
     """
 
     worker_id: str
@@ -300,7 +302,7 @@
 
 @attrs.frozen
 class TaskId:
-    """Names one task: job, occurrence, step, and index in the step."""
+    """Identifies one task by job, occurrence, step, and index in the step."""
 
     job_id: str
     occurrence: int
@@ -315,14 +317,14 @@
 
 
 def parse_task_id(text: str) -> TaskId:
-    """Read a task's name.
+    """Parse a task id.
 
     Raises
     ------
     DecodeError
-        If it is none.
+        If the text is not a task id.
     """
     match = _TASK_ID.fullmatch(text)
     if match is None:
-        raise DecodeError("not a task's name")
+        raise DecodeError("invalid task id")
     return TaskId(match[1], int(match[2]), int(match[3]), int(match[4]))
--- a/trefoilhook/scheduling/outcomes.py
+++ b/trefoilhook/scheduling/outcomes.py
@@ -1,9 +1,9 @@
-"""What became of orders, taken into the state of a shard."""
+"""Applies the outcomes of orders to the state of a shard."""
 
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.crashes import lose_worker
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
-from trefoilhook.scheduling.lapses import withdraw_start
+from trefoilhook.scheduling.lease_expiry import withdraw_start
 from trefoilhook.scheduling.messages import (
     UNANSWERED,
     UNSENT,
@@ -16,12 +16,12 @@
 
 __all__ = ["take_start_outcome", "take_stop_outcome"]
 
-_RETRY_PAUSE_MS = 80.0
-"""Pause before an order without an answer is sent again; the platform's round trip is
-2 ms, and an order may be repeated without harm."""
+_RETRY_DELAY_MS = 80.0
+"""Delay before an unanswered order is repeated. The round trip on the platform takes 2
+ms, and orders are idempotent."""
 
-_UNHEALTHY_PAUSE_MS = 1000.0
-"""How long a worker that turned an order away gets no new task."""
+_UNHEALTHY_AVOIDANCE_MS = 1000.0
+"""Time for which a worker that reported itself unhealthy gets no new task."""
 
 
 def take_start_outcome(
@@ -32,7 +32,7 @@
     outcome: OrderOutcome,
     now_ms: float,
 ) -> None:
-    """Take in what became of an order to start."""
+    """Apply the outcome of a start order."""
     found = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
     if found is None:
         return
@@ -45,7 +45,7 @@
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
             run.progressed_ms = now_ms
-            # A throttled task works at full speed until its pace is ordered.
+            # A throttled task runs at full speed until its pace is ordered.
             worker.is_news = worker.is_news or run.is_throttled
         return
     if outcome in UNANSWERED:
@@ -58,29 +58,29 @@
         if not (run.ambiguous or run.seen):
             withdraw_start(scheduler, worker, run)
         return
-    _take_refusal(scheduler, worker, run, outcome, now_ms)
+    _apply_refusal(scheduler, worker, run, outcome, now_ms)
 
 
-def _take_refusal(
+def _apply_refusal(
     scheduler: Scheduler,
     worker: Worker,
     run: Run,
     outcome: OrderOutcome,
     now_ms: float,
 ) -> None:
-    """Take in that a start was turned away, or never left."""
+    """Apply the outcome of a start order that was refused or not sent."""
     if outcome is OrderOutcome.NO_TICKET:
         scheduler.tickets.drop(name_step(run.task), worker.report.worker_id)
     elif outcome is not OrderOutcome.TOO_LATE:
         pause = (
-            _UNHEALTHY_PAUSE_MS
+            _UNHEALTHY_AVOIDANCE_MS
             if outcome is OrderOutcome.UNHEALTHY
-            else _RETRY_PAUSE_MS
+            else _RETRY_DELAY_MS
         )
         worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + pause)
     if run.ambiguous:
-        # A copy that went without an answer may still be carried out: only a stop
-        # that the worker has answered rules that out.
+        # An unanswered copy may still be executed: only an answered stop order rules
+        # that out.
         scheduler.request_stop(worker, run, StopReason.UNCERTAIN)
         return
     scheduler.finish_run(worker, run, EndKind.LAPSED, "")
@@ -94,7 +94,7 @@
     outcome: OrderOutcome,
     now_ms: float,
 ) -> None:
-    """Take in what became of an order to stop."""
+    """Apply the outcome of a stop order."""
     found = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
     if found is None:
         return
@@ -102,7 +102,7 @@
     if outcome in UNANSWERED | UNSENT or outcome is OrderOutcome.UNHEALTHY:
         return
     run.confirmed_ms = now_ms
-    run.order_due_ms = now_ms + scheduler.limits.longest_stop_ms + _RETRY_PAUSE_MS
+    run.order_due_ms = now_ms + scheduler.limits.longest_stop_ms + _RETRY_DELAY_MS
 
 
 def _settle_order(
@@ -125,7 +125,7 @@
         return None
     if worker is None or run is None:
         return None
-    run.order_due_ms = now_ms + _RETRY_PAUSE_MS
+    run.order_due_ms = now_ms + _RETRY_DELAY_MS
     if outcome in UNANSWERED | UNSENT:
         worker.note_silence(outcome, now_ms)
     return worker, run
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -1,81 +1,80 @@
 """Choice of a worker for a task.
 
-A worker's counted room is never given twice. Fillers go where most processor time is
-left and where they are thought to disturb service tasks least; all other tasks are
-packed tightly.
+The counted capacity of a worker is never overcommitted. Fillers are placed where most
+processor time is left and where they are expected to disturb service tasks least; all
+other tasks are packed tightly.
 """
 
-from trefoilhook.scheduling.book import TaskState
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import Crowds
+from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import Worker
-from trefoilhook.scheduling.isolation import rate_risk
-from trefoilhook.scheduling.unread import is_clogged
+from trefoilhook.scheduling.isolation import compute_risk_penalty
+from trefoilhook.scheduling.job_state import TaskState
+from trefoilhook.scheduling.unread import has_too_many_held_ends
 
 __all__ = [
-    "has_place",
+    "can_host",
     "is_open",
-    "limit_filler",
+    "compute_max_filler_cpu",
     "list_open_workers",
     "rate_worker",
     "score_worker",
 ]
 
 _SILENCE_LIMIT_MS = 2600.0
-"""A worker not heard for so long gets no new task: one look may wait 1,500 ms and its
-answer be 600 ms late, so one lost look is not yet silence."""
+"""A worker without an answer for this long gets no new task. One poll may be delayed by
+1,500 ms and its answer by 600 ms, so that a single lost poll is tolerated."""
 
-_LEAST_SLACK = 1.15
-"""A filler waits rather than go where it would leave a service task less slack at the
-trough of its load; 1 is the limit. Listed tails are rough: by a fit of a day's looks
-they move the slack by 0.28 (one standard deviation), so that with 1.05 left a service
-task was over its limit now and then though all was as predicted. Slowing aims at the
-same: what is started here needn't be slowed at once."""
+_MIN_PLACEMENT_SLACK = 1.15
+"""Minimum slack that a filler must leave to a service task at the peak of its load; 1
+is the limit. Reported tails are inaccurate: they change the slack by 0.28 (one standard
+deviation), and a minimum of 1.05 led to limits being exceeded although the prediction
+was right. Equal to the target of throttling, so that a new filler need not be throttled
+immediately."""
 
-_ENOUGH_SLACK = 2.5
-"""Slack over this is of no more use: most service tasks have it by themselves."""
+_SUFFICIENT_SLACK = 2.5
+"""More slack than this has no benefit; most service tasks have it without any
+measure."""
 
-_SLACK_COST = 15_000
-"""Thousandths of a core that a task would rather go without than take 1 of the slack
-that is of use: half of a worker."""
+_SLACK_PENALTY = 15_000
+"""Penalty for 1 of useful slack, in thousandths of a core: half of a worker."""
 
-_LEAST_SHARE = 0.9
-"""A filler starts only where it finds this share of what it asks for: with less, the
-fillers of the worker are slowed together, and none ends any sooner."""
+_MIN_CPU_SHARE = 0.9
+"""Minimum fraction of the requested processor time that a filler must find. With less,
+the fillers of the worker are throttled together and none of them ends sooner."""
 
-_ROUNDING = 1.000_001
-"""Of limits that are worked out backwards."""
+_ROUNDING_MARGIN = 1.000_001
+"""Factor that covers rounding errors of limits computed by inverting the model."""
 
-_SQUEEZE_COST = 2.0
-"""What a thousandth of a core costs that a task takes from fillers, in those that it
-would leave unused: fillers that make way are slowed, and until they are the service
-tasks beside them answer late."""
+_PREEMPTION_PENALTY = 2.0
+"""Penalty for each thousandth of a core taken from fillers. Fillers have to be
+throttled first, and until then the service tasks beside them respond late."""
 
-_SPARE_MEMORY = 0.1
-"""Share of a worker's memory that fillers leave to urgent tasks, which they would
-otherwise keep out although there are processors for them."""
+_RESERVED_MEMORY_SHARE = 0.1
+"""Fraction of a worker's memory that is not available to fillers. They would otherwise
+block urgent tasks from workers with free processors."""
 
-_STRANGER_COST = 100_000
-"""Keeps a task from a worker where it failed before, while there is any other."""
+_AVOIDANCE_PENALTY = 100_000
+"""Penalty that excludes a worker where the task failed, unless there is no other."""
 
-_MIXING_COST = 50_000
-"""Thousandths of a core that a service task would rather leave unused than join those
-of another image: a filler is heavy for few images, so it finds workers where it
-disturbs nobody only if images don't mix."""
+_MIXED_IMAGE_PENALTY = 50_000
+"""Penalty for placing a service task beside one of another image, in thousandths of a
+core. A filler is heavy for few images only, so that it finds a suitable worker only if
+the images are not mixed."""
 
-_FAULT_COST = 2000
-"""Thousandths of a core that one failed attempt counts for: a worker that fails all it
-starts always looks free, and would draw one task after the other."""
+_FAULT_PENALTY = 2000
+"""Penalty for each job with a failed attempt on the worker, in thousandths of a core. A
+worker that fails every task always appears free and would attract further tasks."""
 
 
 def is_open(worker: Worker, now_ms: float) -> bool:
-    """Tell whether a worker takes new tasks."""
+    """Return whether a worker takes new tasks."""
     return (
         worker.listed
         and worker.fenced
         and worker.rostered
         and worker.usable
-        and not is_clogged(worker)
+        and not has_too_many_held_ends(worker)
         and worker.silence is None
         and not worker.report.draining
         and worker.avoid_until_ms <= now_ms
@@ -98,8 +97,8 @@
     ]
 
 
-def has_place(worker: Worker, state: TaskState) -> bool:
-    """Tell whether a worker has the room and the label that a task asks for."""
+def can_host(worker: Worker, state: TaskState) -> bool:
+    """Return whether a worker has the capacity and the label that a task requires."""
     step = state.step
     if step.required_label and step.required_label not in worker.report.labels:
         return False
@@ -108,60 +107,70 @@
     if step.filler:
         capacity_mb = worker.report.capacity.memory_mb
         left_mb = capacity_mb - worker.memory_mb - step.demand.memory_mb
-        if left_mb < _SPARE_MEMORY * capacity_mb:
+        if left_mb < _RESERVED_MEMORY_SHARE * capacity_mb:
             return False
     if not step.max_per_worker:
         return True
     return worker.count_step(state.task) < step.max_per_worker
 
 
-def limit_filler(worker: Worker, image: str, crowds: Crowds) -> float:
-    """Return the most processor time that a filler may ask of a worker, as it is now.
+def compute_max_filler_cpu(
+    worker: Worker, image: str, colocations: ColocationCache
+) -> float:
+    """Return the maximum processor time that a filler may request on a worker now.
 
-    In thousandths of a core, with a margin for rounding: ``score_worker`` decides.
+    In thousandths of a core, with a margin for rounding; ``score_worker`` is decisive.
     """
-    crowd = crowds.find(worker)
-    borne = crowd.limit_filler(crowds.interference, image, least_slack=_LEAST_SLACK)
-    return _ROUNDING * min(borne, crowd.left / _LEAST_SHARE)
+    colocation = colocations.lookup(worker)
+    max_cpu = colocation.compute_max_filler_cpu(
+        colocations.interference, image, least_slack=_MIN_PLACEMENT_SLACK
+    )
+    return _ROUNDING_MARGIN * min(max_cpu, colocation.spare_cpu / _MIN_CPU_SHARE)
 
 
-def score_worker(worker: Worker, state: TaskState, crowds: Crowds) -> float | None:
-    """Rate an open worker that has room; higher is better, None is no choice."""
+def score_worker(
+    worker: Worker, state: TaskState, colocations: ColocationCache
+) -> float | None:
+    """Return the score of an open worker with capacity; None if it is not eligible."""
     step = state.step
     slack = float("inf")
     if step.filler:
-        crowd = crowds.find(worker)
-        slack = crowd.predict_slack(crowds.interference, step)
-        if slack < _LEAST_SLACK:
+        colocation = colocations.lookup(worker)
+        slack = colocation.predict_slack(colocations.interference, step)
+        if slack < _MIN_PLACEMENT_SLACK:
             return None
-        if worker.over_since_ms is not None and crowd.disturbs(
-            crowds.interference, step
+        if worker.over_limit_since_ms is not None and colocation.is_disturbed_by(
+            colocations.interference, step
         ):
             return None
-        if crowd.left < _LEAST_SHARE * step.demand.cpu:
+        if colocation.spare_cpu < _MIN_CPU_SHARE * step.demand.cpu:
             return None
-        score = crowd.left
+        score = colocation.spare_cpu
     else:
-        # Packed tightly, so that large tasks find room, too.
+        # Tasks are packed tightly to keep capacity for large tasks.
         score = float(worker.cpu - worker.report.capacity.cpu)
-        wanted = worker.cpu + worker.borrowed_cpu + step.demand.cpu
-        score -= _SQUEEZE_COST * max(0, wanted - worker.report.capacity.cpu)
+        requested_cpu = worker.cpu + worker.borrowed_cpu + step.demand.cpu
+        score -= _PREEMPTION_PENALTY * max(
+            0, requested_cpu - worker.report.capacity.cpu
+        )
         if step.latency_limit_ms:
-            crowd = crowds.find(worker)
-            slack = crowd.predict_slack(crowds.interference, step)
-            others = {victim.image for victim in crowd.victims} - {step.image}
-            score -= _MIXING_COST * len(others)
-    score -= _SLACK_COST * max(0.0, _ENOUGH_SLACK - slack)
+            colocation = colocations.lookup(worker)
+            slack = colocation.predict_slack(colocations.interference, step)
+            others = {victim.image for victim in colocation.victims} - {step.image}
+            score -= _MIXED_IMAGE_PENALTY * len(others)
+    score -= _SLACK_PENALTY * max(0.0, _SUFFICIENT_SLACK - slack)
     if step.data_rack and step.data_rack not in worker.report.labels:
-        score -= _STRANGER_COST / 2
+        score -= _AVOIDANCE_PENALTY / 2
     if worker.report.worker_id in state.failed_on:
-        score -= _STRANGER_COST
-    score -= rate_risk(worker, state, crowds)
-    return score - _FAULT_COST * len(worker.faulty_jobs)
+        score -= _AVOIDANCE_PENALTY
+    score -= compute_risk_penalty(worker, state, colocations)
+    return score - _FAULT_PENALTY * len(worker.faulty_jobs)
 
 
-def rate_worker(worker: Worker, state: TaskState, crowds: Crowds) -> float | None:
-    """Rate an open worker for a task; higher is better, None has no place for it."""
-    if not has_place(worker, state):
+def rate_worker(
+    worker: Worker, state: TaskState, colocations: ColocationCache
+) -> float | None:
+    """Return the score of an open worker for a task; None if it is not eligible."""
+    if not can_host(worker, state):
         return None
-    return score_worker(worker, state, crowds)
+    return score_worker(worker, state, colocations)
--- a/trefoilhook/scheduling/planning.py
+++ b/trefoilhook/scheduling/planning.py
@@ -1,13 +1,13 @@
-"""What to order next, from the state of a shard."""
+"""Determines the orders to send next from the state of a shard."""
 
 from collections.abc import Iterable
 
 from trefoilhook.scheduling.assignment import assign_waiting
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crash_records import note_exposed, resolve_recorded
+from trefoilhook.scheduling.crash_records import record_exposure, resolve_recorded
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
-from trefoilhook.scheduling.isolation import is_recorded
-from trefoilhook.scheduling.lapses import withdraw_start
+from trefoilhook.scheduling.isolation import is_placement_recorded
+from trefoilhook.scheduling.lease_expiry import withdraw_start
 from trefoilhook.scheduling.messages import (
     Order,
     StartOrder,
@@ -21,31 +21,31 @@
 
 __all__ = ["begin_start", "is_settled", "plan_orders"]
 
-_NOTHING = Demand()
+_NO_DEMAND = Demand()
 
-_ORDER_DUE_MS = 20.0
-"""A run's order is due when its time has come, or within this of it."""
+_ORDER_DUE_TOLERANCE_MS = 20.0
+"""Orders that become due within this time are sent now."""
 
 
 def is_settled(scheduler: Scheduler, roster: Iterable[str], now_ms: float) -> bool:
-    """Tell whether what became of every task that an earlier owner started is known.
+    """Return whether the outcome of all tasks started by earlier owners is known.
 
     Parameters
     ----------
     scheduler : Scheduler
-        The shard.
+        Scheduler of the shard.
     roster : iterable of str
-        Workers on which the earlier owner may have started a task.
+        Ids of workers on which an earlier owner may have started a task.
     now_ms : float
-        The time, in ms.
+        Current time, in ms.
 
     Notes
     -----
-    An earlier owner's orders are ruled out once a worker has answered under this
-    owner's fencing token, which tells what runs and what has ended there, too. A worker
-    that can't be reached is given up once the longest lease has run out and the store
-    lists it no more. While it is listed it is alive, and may hold the end of a task
-    that was done; started again elsewhere, that task would be done twice.
+    Once a worker has answered under this owner's fencing token, it executes no more
+    orders of earlier owners, and the answer contains its runs and its ends. An
+    unreachable worker is given up once the longest lease has expired and its entry is
+    no longer in the store. While the entry exists, the worker is alive and may hold the
+    end of a completed task, which would run twice if it were started again elsewhere.
     """
     unheard = list_unheard(scheduler, roster)
     if now_ms < scheduler.limits.settled_at_ms:
@@ -55,7 +55,7 @@
 
 
 def list_unheard(scheduler: Scheduler, worker_ids: Iterable[str]) -> list[str]:
-    """Return those workers that haven't told this owner all that they know."""
+    """Return the workers that have not yet reported all runs and ends to this owner."""
     workers = ((name, scheduler.workers.get(name)) for name in worker_ids)
     return [name for name, worker in workers if worker is None or not worker.is_known]
 
@@ -63,23 +63,23 @@
 def plan_orders(
     scheduler: Scheduler, *, settled: bool, now_ms: float, wall_ms: float
 ) -> list[Order]:
-    """Tell what to order now.
+    """Return the orders to send now.
 
     Parameters
     ----------
     scheduler : Scheduler
-        The shard; the orders returned are noted in it as under way.
+        Scheduler of the shard; it records the returned orders as in flight.
     settled : bool
-        Whether every task that an earlier owner started is known.
+        Whether the outcome of all tasks started by earlier owners is known.
     now_ms, wall_ms : float
-        The time, in ms.
+        Current time, in ms.
     """
     scheduler.open_due_steps(wall_ms)
-    scheduler.suspects.crash_rate.advance(len(scheduler.workers), now_ms)
+    scheduler.suspects.crash_rate.update(len(scheduler.workers), now_ms)
     for worker in scheduler.workers.values():
         if worker.is_news:
             stop_misplaced(scheduler, worker, now_ms)
-        note_exposed(scheduler, worker, now_ms)
+        record_exposure(scheduler, worker, now_ms)
     if scheduler.suspects.recorded and (
         settled or now_ms >= scheduler.limits.settled_at_ms
     ):
@@ -92,7 +92,7 @@
             if run.phase is RunPhase.RUNNING:
                 del worker.ordered[run]
                 continue
-            order = _repeat_order(scheduler, worker, run, now_ms)
+            order = _get_due_order(scheduler, worker, run, now_ms)
             if order is not None:
                 orders.append(order)
         if worker.is_news:
@@ -102,30 +102,30 @@
 
 
 def _has_fresh_state(scheduler: Scheduler, now_ms: float) -> bool:
-    """Tell whether the worker entries and evacuations were read recently enough."""
+    """Return whether worker entries and evacuations were read recently enough."""
     return not (
         scheduler.entries.is_stale(now_ms) or scheduler.evacuations.is_stale(now_ms)
     )
 
 
 def _may_still_start(scheduler: Scheduler, worker: Worker) -> bool:
-    """Tell whether what holds room on a worker may be started there after all.
+    """Return whether reserved capacity on a worker may still be used for a start.
 
-    Its entry may have become another writer's, or name less than it holds, or its
-    failure domain may have been evacuated.
+    Its entry may have become unusable, its capacity may have shrunk, or its failure
+    domain may have been evacuated.
     """
     return (
         worker.usable
-        and worker.has_room(_NOTHING)
+        and worker.has_room(_NO_DEMAND)
         and not scheduler.evacuations.covers(worker)
     )
 
 
 def begin_start(scheduler: Scheduler, order: StartOrder, now_ms: float) -> bool:
-    """Tell whether an order that waited to be sent is still due, and note that it goes.
+    """Return whether a queued start order is still valid, and record that it is sent.
 
-    While it is queued, its worker may shrink, be barred or be evacuated, and its job
-    may be cancelled. Its task can't have run before the order is sent.
+    While an order is queued, its worker may shrink, be excluded or be evacuated, and
+    its job may be cancelled. The task cannot have run before the order is sent.
     """
     worker = scheduler.workers.get(order.worker_id)
     run = worker.runs.get((order.task, order.attempt)) if worker is not None else None
@@ -137,32 +137,35 @@
         return False
     if not run.ambiguous:
         run.started_ms = run.seen_ms = now_ms
-    run.has_left = True
+    run.is_sent = True
     return True
 
 
-def _repeat_order(
+def _get_due_order(
     scheduler: Scheduler, worker: Worker, run: Run, now_ms: float
 ) -> Order | None:
     if run.phase is RunPhase.RUNNING or run.in_flight:
         return None
-    if run.order_due_ms > now_ms + _ORDER_DUE_MS or not worker.fenced:
+    if run.order_due_ms > now_ms + _ORDER_DUE_TOLERANCE_MS or not worker.fenced:
         return None
     if run.phase is RunPhase.STARTING and not _has_fresh_state(scheduler, now_ms):
         return None
     if run.phase is RunPhase.STARTING and worker.is_awaited:
-        # Its time is over: the worker would refuse it, and looks want the connections.
+        # Its lease has expired and the worker would refuse it; the connections are
+        # needed for polls.
         return None
     if run.phase is RunPhase.STARTING and not _may_still_start(scheduler, worker):
         if not run.ambiguous:
             withdraw_start(scheduler, worker, run)
             return None
-        # Sending it again could be the start of it.
+        # Repeating the order could start the task.
         scheduler.request_stop(worker, run, StopReason.UNCERTAIN)
-    if run.phase is RunPhase.STARTING and not is_recorded(scheduler, worker, run):
+    if run.phase is RunPhase.STARTING and not is_placement_recorded(
+        scheduler, worker, run
+    ):
         return None
     run.in_flight = True
-    run.has_left = False
+    run.is_sent = False
     if run.phase is RunPhase.STOPPING:
         return StopOrder(
             worker_id=worker.report.worker_id,
--- a/trefoilhook/scheduling/looks.py
+++ b/trefoilhook/scheduling/polling.py
@@ -1,86 +1,93 @@
-"""What a worker lists, taken into the state of a shard."""
+"""Applies the answers of polled workers to the state of a shard."""
 
-from trefoilhook.scheduling.book import Attempt
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crash_records import retract_exposed
-from trefoilhook.scheduling.crowds import learn_crowd
+from trefoilhook.scheduling.crash_records import retract_exposure
+from trefoilhook.scheduling.crowds import learn_interference
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
+from trefoilhook.scheduling.job_state import Attempt
 from trefoilhook.scheduling.messages import End, EndKind, Look, Running
 from trefoilhook.scheduling.models import Demand, Step, TaskId
-from trefoilhook.scheduling.unread import keep_hidden, names_all, note_unread
+from trefoilhook.scheduling.unread import (
+    find_hidden_attempts,
+    identifies_all_attempts,
+    record_unread,
+)
 
 __all__ = ["shares_with_services", "take_look"]
 
-_FULL_PAGE_OF_ENDS = 500
-"""A look lists so many ends at most: then one that is missing may come later."""
+_ENDS_PAGE_SIZE = 500
+"""Maximum number of ends in an answer; if it is reached, a missing end may follow
+later."""
 
-_FAULTS_TO_AVOID = 2
-"""Jobs of which attempts failed on a worker, with none done between, after which it is
-avoided: at 3 % of attempts that fail by themselves, chance does that once in 1,100."""
+_FAULT_THRESHOLD = 2
+"""Number of jobs with attempts that failed on a worker, without a completed one in
+between, from which it is avoided: with 3 % of attempts failing independently this
+happens by chance once in 1,100."""
 
-_FAULT_PAUSE_MS = 3000.0
-"""How long a worker that fails what it starts gets no new task; doubles each time."""
+_FAULT_AVOIDANCE_MS = 3000.0
+"""Time for which a faulty worker gets no new task; doubled with each further fault."""
 
-_LONGEST_FAULT_PAUSE_MS = 12_000.0
-"""Bound of that doubling: a worker that has been mended is tried again within it."""
+_MAX_FAULT_AVOIDANCE_MS = 12_000.0
+"""Limit of that time, so that a repaired worker is tried again."""
 
-_AT_WORK_MS = 10_000.0
-"""Age that a long-running task at work is taken for, in ms, if nothing is known: past
-its own start, in which most crashes that a task causes come."""
+_SERVING_AGE_MS = 10_000.0
+"""Assumed age of an adopted long-running task that serves requests: past its start-up,
+in which most crashes caused by a task occur."""
 
-_UNSURE_PACE = 99
-"""Pace noted of an attempt that an earlier owner started: any but the full one."""
+_UNKNOWN_PACE = 99
+"""Pace assumed for an attempt that an earlier owner started: any value except full
+speed."""
 
 
 def take_look(
     scheduler: Scheduler, worker_id: str, look: Look, *, sent_ms: float, now_ms: float
 ) -> None:
-    """Take in what a worker listed."""
+    """Apply the answer of a worker to a poll."""
     worker = scheduler.workers.get(worker_id)
     if worker is None:
         return
-    _note_answer(scheduler, worker, look, now_ms)
+    _record_answer(scheduler, worker, look, now_ms)
     for end in look.ends:
-        _take_end(scheduler, worker, end, now_ms)
+        _apply_end(scheduler, worker, end, now_ms)
     for running in look.running:
-        _take_running(scheduler, worker, running, now_ms)
+        _apply_running(scheduler, worker, running, now_ms)
     for row in look.unread:
         if row.attempt is not None:
             _hold_unread(scheduler, worker, row.attempt, now_ms)
-    learn_crowd(worker, scheduler.jobs, scheduler.interference, now_ms)
+    learn_interference(worker, scheduler.jobs, scheduler.interference, now_ms)
     listed = {(running.task, running.attempt) for running in look.running}
-    listed |= keep_hidden(worker, look, listed, now_ms)
-    if len(look.ends) + len(look.unread) >= _FULL_PAGE_OF_ENDS:
+    listed |= find_hidden_attempts(worker, look, listed, now_ms)
+    if len(look.ends) + len(look.unread) >= _ENDS_PAGE_SIZE:
         return
-    worker.is_known = worker.is_known or names_all(look)
+    worker.is_known = worker.is_known or identifies_all_attempts(look)
     for key, run in list(worker.runs.items()):
-        # The worker answered for this run before it was asked for this look: if
-        # it neither runs nor has ended there, it never will run there.
+        # The worker answered an order for this run before this poll was sent: if it is
+        # neither running nor ended now, it will never run there.
         if key not in listed and run.confirmed_ms < sent_ms:
             scheduler.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
 
 
-def _note_answer(
+def _record_answer(
     scheduler: Scheduler, worker: Worker, look: Look, now_ms: float
 ) -> None:
-    """Take in that a worker answers, whatever it lists."""
+    """Record that a worker answers, independently of the content."""
     worker.read_clock(look, now_ms)
     if not worker.fenced:
         scheduler.suspects.retract_losses(worker.report.worker_id)
-        # An earlier owner may have given what runs here a whole lease just now: taken
-        # for one without any lease, it would count as lapsed and start again at once.
+        # An earlier owner may have just renewed the leases here. Without assuming a
+        # full lease, the runs would count as lapsed and be started again immediately.
         earlier_ms = look.clock_ms + scheduler.limits.task_lease_ms
         worker.lease_until_ms = max(worker.lease_until_ms, earlier_ms)
     worker.fenced = True
     if worker.silence is not None:
-        retract_exposed(scheduler, worker)
+        retract_exposure(scheduler, worker)
         worker.silence = None
     worker.is_awaited = False
     worker.is_news = True
-    note_unread(worker, look)
+    record_unread(worker, look)
 
 
-def _take_end(scheduler: Scheduler, worker: Worker, end: End, now_ms: float) -> None:
+def _apply_end(scheduler: Scheduler, worker: Worker, end: End, now_ms: float) -> None:
     if not worker.is_new_end(end.number):
         return
     state = scheduler.jobs.get(end.task.job_id)
@@ -88,12 +95,12 @@
     if run is not None:
         scheduler.finish_run(worker, run, end.kind, end.checkpoint)
     elif state is not None:
-        # An attempt of an earlier owner, or one that was given up as lapsed.
+        # An attempt of an earlier owner, or one that counted as lapsed.
         task = state.find_task(end.task)
         if task is not None:
             task.last_attempt = max(task.last_attempt, end.attempt)
-            scheduler.take_effect(task, end.attempt, end.kind, end.checkpoint)
-    _judge(scheduler, worker, end, now_ms)
+            scheduler.apply_end(task, end.attempt, end.kind, end.checkpoint)
+    _update_faults(scheduler, worker, end, now_ms)
     version = state.version if state is not None else 0
 
     def is_saved() -> bool:
@@ -101,23 +108,26 @@
             return end.task.job_id not in scheduler.held_back
         return state.saved_version >= version and state.phase_saved
 
-    worker.take_end(end.number, is_saved)
+    worker.record_end(end.number, is_saved)
 
 
-def _judge(scheduler: Scheduler, worker: Worker, end: End, now_ms: float) -> None:
+def _update_faults(
+    scheduler: Scheduler, worker: Worker, end: End, now_ms: float
+) -> None:
     if end.kind is EndKind.DONE:
         worker.faulty_jobs.clear()
     elif end.kind is EndKind.FAILED:
-        # Jobs and not attempts: a job that can't be done fails wherever it is.
+        # Counted by job: attempts of a job that cannot be completed fail on every
+        # worker.
         worker.faulty_jobs.add(end.task.job_id)
         faults = len(worker.faulty_jobs)
-        if faults >= _FAULTS_TO_AVOID:
-            pause = _FAULT_PAUSE_MS * 2 ** (faults - _FAULTS_TO_AVOID)
-            pause = min(pause, _LONGEST_FAULT_PAUSE_MS)
+        if faults >= _FAULT_THRESHOLD:
+            pause = _FAULT_AVOIDANCE_MS * 2 ** (faults - _FAULT_THRESHOLD)
+            pause = min(pause, _MAX_FAULT_AVOIDANCE_MS)
             worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + pause)
 
 
-def _take_running(
+def _apply_running(
     scheduler: Scheduler, worker: Worker, running: Running, now_ms: float
 ) -> None:
     run = worker.runs.get((running.task, running.attempt))
@@ -140,11 +150,11 @@
 def _hold_unread(
     scheduler: Scheduler, worker: Worker, key: tuple[TaskId, int], now_ms: float
 ) -> None:
-    """Hold an attempt whose end can't be read as if it ran, while its job is open.
+    """Hold an attempt with an unreadable end as if it ran, while its job is open.
 
-    Guards against a task that is done and started again at a takeover: its end is all
-    that the new owner could know it by. Once the job has ended, how the attempt ended
-    has no effect any more; only stops would be sent to it for good.
+    Guards against restarting a completed task at a takeover: the end is the new owner's
+    only evidence of it. After the end of the job the result of the attempt no longer
+    matters, and holding it would only repeat stop orders forever.
     """
     name, attempt = key
     state = scheduler.jobs.get(name.job_id)
@@ -160,26 +170,26 @@
         running = Running(
             task=name, attempt=attempt, checkpoint="", percent=None, load=None
         )
-        _take_running(scheduler, worker, running, now_ms)
+        _apply_running(scheduler, worker, running, now_ms)
 
 
 def _estimate_age(step: Step, running: Running) -> float:
-    """Return about how long an earlier owner's attempt has run, in ms.
+    """Return the approximate running time of an earlier owner's attempt, in ms.
 
-    Guards against a task that seems to have just started when its worker crashes, only
-    because its owner has just changed.
+    Guards against a task that appears to have just started when its worker crashes only
+    because the owner has changed.
     """
     if running.percent is None:
         return 0.0
     if step.long_running:
-        return _AT_WORK_MS if running.percent >= 100 else 0.0
+        return _SERVING_AGE_MS if running.percent >= 100 else 0.0
     return step.estimate_ms * running.percent / 100.0
 
 
 def _adopt(
     scheduler: Scheduler, worker: Worker, running: Running, now_ms: float
 ) -> Run:
-    """Take in an attempt that an earlier owner started."""
+    """Add an attempt that an earlier owner started."""
     state = scheduler.jobs.get(running.task.job_id)
     task = state.find_task(running.task) if state is not None else None
     run = Run(
@@ -190,8 +200,9 @@
         phase=RunPhase.RUNNING,
         started_ms=now_ms - (_estimate_age(task.step, running) if task else 0.0),
         confirmed_ms=now_ms,
-        # The earlier owner may have slowed it; this has its pace ordered anew.
-        pace=_UNSURE_PACE,
+        # It may have been throttled by the earlier owner; this has its pace ordered
+        # again.
+        pace=_UNKNOWN_PACE,
     )
     worker.hold(run)
     if running.task.job_id in scheduler.held_back:
@@ -210,7 +221,7 @@
 
 
 def shares_with_services(scheduler: Scheduler, worker: Worker) -> bool:
-    """Tell whether fillers run beside tasks with a latency limit on a worker."""
+    """Return whether a worker runs both fillers and tasks with a latency limit."""
     fillers = serving = False
     for run in worker.runs.values():
         state = scheduler.jobs.get(run.task.job_id)
--- a/trefoilhook/scheduling/ranking.py
+++ b/trefoilhook/scheduling/ranking.py
@@ -1,24 +1,24 @@
-"""The order in which waiting steps get their places."""
+"""Order in which waiting steps are assigned."""
 
-from trefoilhook.scheduling.book import TaskState
+from trefoilhook.scheduling.job_state import TaskState
 
-__all__ = ["TOO_LATE", "judge_lateness", "rank_step"]
+__all__ = ["TOO_LATE", "get_lateness", "rank_step"]
 
-_LATE_FACTOR = 3.0
-"""Up to so many times its objective a late job is still of some use to its users."""
+_MAX_LATENESS_FACTOR = 3.0
+"""A late job has some value to its users up to this multiple of its objective."""
 
 TOO_LATE = 2
-"""Rank of a job past that: it comes after all others of its priority."""
+"""Rank of a job beyond that; it follows all other jobs of its priority."""
 
 
-def judge_lateness(state: TaskState, wall_ms: float) -> int:
-    """Return 0 for a job that can be in time, 1 for late, `TOO_LATE` past any use."""
+def get_lateness(state: TaskState, wall_ms: float) -> int:
+    """Return 0 for a job that can meet its objective, 1 for late, or `TOO_LATE`."""
     job = state.job
     left_ms = job.due_ms - wall_ms
     if left_ms > state.step.estimate_ms:
         return 0
     objective_ms = job.due_ms - job.job.accepted_ms
-    if left_ms + (_LATE_FACTOR - 1.0) * objective_ms > state.step.estimate_ms:
+    if left_ms + (_MAX_LATENESS_FACTOR - 1.0) * objective_ms > state.step.estimate_ms:
         return 1
     return TOO_LATE
 
@@ -26,27 +26,29 @@
 def rank_step(
     tasks: list[TaskState], wall_ms: float
 ) -> tuple[int, bool, bool, int, float, str, int, int]:
-    """Order of the waiting steps: by priority, by who can be in time, the small first.
+    """Return the sort key of a waiting step.
 
-    A job is worth a fixed part and a part by its work, so small ones earn most by the
-    core and second.
+    Steps are sorted by priority, then by whether the objective can be met, then by
+    work. A job has a fixed value plus one that grows with its work, so that small jobs
+    have the highest value per core and second.
 
-    Long-running tasks come after the others of their priority: those give their room
-    back in a second, and earn several times as much by the core and second. But one
-    that ran and ended comes first: on a full fleet the place that it left is the only
-    one of its size, and small tasks that keep coming would take it for good.
+    Long-running tasks follow the others of their priority, which free their capacity
+    within a second and have several times their value per core and second. A
+    long-running task that has already run comes first: on a full cluster the capacity
+    that it freed is the only one of its size, and a steady stream of small tasks would
+    occupy it permanently.
     """
     state = tasks[0]
     job = state.job
     priority = job.queue.priority if job.queue is not None else 0
-    late = judge_lateness(state, wall_ms)
-    lasts = state.step.long_running
-    is_new = not (lasts and any(task.last_attempt for task in tasks))
+    late = get_lateness(state, wall_ms)
+    is_long_running = state.step.long_running
+    is_new = not (is_long_running and any(task.last_attempt for task in tasks))
     name = state.task
     return (
         priority,
         is_new,
-        lasts,
+        is_long_running,
         late,
         job.work,
         name.job_id,
--- a/trefoilhook/scheduling/records.py
+++ b/trefoilhook/scheduling/records.py
@@ -1,4 +1,4 @@
-"""Jobs and their progress as bytes, for the store."""
+"""Encoding of jobs and their progress for the store."""
 
 import enum
 import json
@@ -38,17 +38,19 @@
 ]
 
 
-_MOST_TASKS = _MOST_REPEATS = 100_000
-"""Most tasks of a step, and runs of a job's steps: what a submission may ask for."""
+_MAX_TASKS = _MAX_REPEATS = 100_000
+"""Maximum number of tasks per step and of occurrences per job that a client may
+submit."""
 
-_MOST_SUSPICIONS = 64
-"""Suspicions that are written of one job: under 10 KB. A worker holds fewer tasks."""
+_MAX_SUSPICIONS = 64
+"""Maximum number of saved suspicions per job, less than 10 KB in total. A worker holds
+fewer tasks."""
 
 _NUMBER = re.compile(r"[0-9]{1,15}")
 
 
 class JobPhase(enum.Enum):
-    """How far a job is, as far as its record tells."""
+    """Phase of a job in its record."""
 
     OPEN = "open"
     COMPLETED = "completed"
@@ -61,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class JobRecord:
-    """A job and its phase; once it isn't open any more it never changes again."""
+    """A job and its phase; a record that is not open never changes again."""
 
     job: Job
     phase: JobPhase = JobPhase.OPEN
@@ -69,19 +71,19 @@
 
 @attrs.define(kw_only=True)
 class Progress:
-    """What of a job's progress outlives the instance that made it.
+    """Persistent part of a job's progress.
 
     Parameters
     ----------
     done : dict of (int, int) to set of int
-        Indices of the tasks that are done, by occurrence and step.
+        Indices of completed tasks, by occurrence and step.
     failed : dict of (int, int, int) to set of int
-        Numbers of the attempts that failed, by occurrence, step and index. Numbers and
-        not a count: an end that is reported twice counts once.
+        Numbers of failed attempts, by occurrence, step and index. Numbers instead of a
+        count, so that an end that is reported twice counts once.
     checkpoints : dict of (int, int, int) to str
-        Where a stopped task goes on, by occurrence, step and index.
+        Checkpoints from which stopped tasks resume, by occurrence, step and index.
     suspicions : dict of Unit to Suspicion
-        What speaks for it that tasks crash the workers that start them.
+        Evidence that tasks crash the workers that start them.
     """
 
     done: dict[tuple[int, int], set[int]] = attrs.Factory(dict)
@@ -99,7 +101,7 @@
 
 
 def encode_job_record(record: JobRecord) -> bytes:
-    """Encode a record; a job that has ended is kept without its spec."""
+    """Encode a record; the spec of an ended job is omitted."""
     table = _omit_defaults(record.job)
     if record.phase is not JobPhase.OPEN:
         table["spec"] = ""
@@ -116,13 +118,13 @@
     table = check_table(value, "step")
     demand = read_list(table, "demand")
     if len(demand) != 3:
-        raise DecodeError("demand: not three figures")
+        raise DecodeError("demand: expected three integers")
     cpu, memory_mb, gpus = (check_integer(figure, "demand") for figure in demand)
     max_absent = None
     if "max_absent" in table:
         max_absent = read_integer(table, "max_absent")
     return Step(
-        count=read_integer(table, "count", least=1, most=_MOST_TASKS),
+        count=read_integer(table, "count", least=1, most=_MAX_TASKS),
         demand=Demand(cpu=cpu, memory_mb=memory_mb, gpus=gpus),
         estimate_ms=read_number(table, "estimate_ms", default=0.0),
         after=tuple(
@@ -152,19 +154,19 @@
         accepted_ms=read_number(table, "accepted_ms"),
         spec=read_text(table, "spec"),
         steps=tuple(_decode_step(row, number) for number, row in enumerate(rows)),
-        repeats=read_integer(table, "repeats", most=_MOST_REPEATS, default=0),
+        repeats=read_integer(table, "repeats", most=_MAX_REPEATS, default=0),
         first_due_ms=read_number(table, "first_due_ms", default=0.0),
         interval_ms=read_number(table, "interval_ms", default=0.0),
     )
 
 
 def decode_job_record(data: bytes) -> JobRecord:
-    """Decode what ``encode_job_record`` made.
+    """Decode the output of ``encode_job_record``.
 
     Raises
     ------
     DecodeError
-        If it is something else.
+        If the data is not a valid record.
     """
     table = parse_table(data)
     return JobRecord(
@@ -179,18 +181,18 @@
 
 def _split(text: str, count: int) -> tuple[int, ...]:
     parts = text.split(".")
-    # Not what int() takes beside digits: signs, spaces, other scripts.
+    # Digits only: int() would also accept signs, spaces and other scripts.
     if len(parts) != count or not all(_NUMBER.fullmatch(part) for part in parts):
-        raise DecodeError("progress: not a task or step")
+        raise DecodeError("progress: invalid task or step key")
     return tuple(int(part) for part in parts)
 
 
 def _select_suspicions(suspicions: Mapping[Unit, Suspicion]) -> dict[str, Any]:
-    """Return what is written of suspicions, the strongest if there are too many."""
+    """Return the suspicions to save, the strongest ones if there are too many."""
     ranked = sorted(suspicions.items(), key=lambda pair: -pair[1].odds)
     return {
         _join(unit): _encode_suspicion(suspicion)
-        for unit, suspicion in ranked[:_MOST_SUSPICIONS]
+        for unit, suspicion in ranked[:_MAX_SUSPICIONS]
     }
 
 
@@ -225,7 +227,7 @@
 
 def _decode_numbers(value: Any) -> set[int]:
     if not isinstance(value, list):
-        raise DecodeError("progress: not a list")
+        raise DecodeError("progress: expected a list")
     return {check_integer(number, "progress") for number in value}
 
 
@@ -245,9 +247,9 @@
 
 def _decode_note(value: Any) -> CrashNote:
     if not isinstance(value, list) or len(value) != 3:
-        raise DecodeError("note: not three fields")
+        raise DecodeError("note: expected three fields")
     if not isinstance(value[2], bool):
-        raise DecodeError("note: not a flag")
+        raise DecodeError("note: expected a boolean in the third field")
     return CrashNote(
         worker_id=check_text(value[0], "worker"),
         ratio=check_number(value[1], "ratio"),
@@ -256,12 +258,12 @@
 
 
 def decode_progress(data: bytes) -> Progress:
-    """Decode what ``encode_progress`` made.
+    """Decode the output of ``encode_progress``.
 
     Raises
     ------
     DecodeError
-        If it is something else.
+        If the data is not valid progress.
     """
     table = parse_table(data)
     progress = Progress()
