--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -1,55 +1,55 @@
-"""One round of assignment: who is open, who has no place, and places that are held."""
+"""One round of assignment: open workers, infeasible demands and reserved capacity."""
 
 import itertools
 from collections.abc import Iterable
 
 import attrs
 
-from trefoilhook.scheduling.book import Attempt, TaskState
 from trefoilhook.scheduling.candidates import Candidates
 from trefoilhook.scheduling.core import ATTEMPTS_PER_EPOCH, Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, Crowds
+from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import Isolation
+from trefoilhook.scheduling.job_state import Attempt, TaskState
 from trefoilhook.scheduling.models import Demand
-from trefoilhook.scheduling.placing import limit_filler, list_open_workers
+from trefoilhook.scheduling.placing import compute_max_filler_cpu, list_open_workers
 from trefoilhook.scheduling.tickets import name_step
 from trefoilhook.scheduling.waits import FreeRoom, WaitReason
 
-__all__ = ["Round", "extend_lease", "hold_place", "number_attempt"]
+__all__ = ["AssignmentRound", "extend_lease", "reserve_capacity", "next_attempt_number"]
 
 
 @attrs.define(kw_only=True)
-class Round:
-    """One round of assignment, and what it has found out.
+class AssignmentRound:
+    """One round of assignment and its intermediate results.
 
     Parameters
     ----------
     scheduler : Scheduler
-        The shard.
-    crowds : Crowds
-        Who runs where.
+        Scheduler of the shard.
+    colocations : ColocationCache
+        Tasks that share each worker.
     now_ms : float
-        The time, in ms.
+        Current time, in ms.
     isolation : Isolation
-        Runs that keep workers for themselves.
+        Isolated runs and the workers reserved for them.
     """
 
     scheduler: Scheduler
-    crowds: Crowds
+    colocations: ColocationCache
     now_ms: float
     isolation: Isolation = attrs.field()
     _open: dict[str, list[Worker]] = attrs.Factory(dict)
     _feasible: dict[tuple[str, str], list[tuple[float, Worker]]] = attrs.Factory(dict)
     _free: dict[tuple[str, str], FreeRoom] = attrs.Factory(dict)
-    _short: dict[tuple[str, str, str | None], list[Demand]] = attrs.Factory(dict)
+    _infeasible: dict[tuple[str, str, str | None], list[Demand]] = attrs.Factory(dict)
 
     @isolation.default
     def _collect_isolation(self) -> Isolation:
         return Isolation.collect(self.scheduler)
 
     def list_open(self, state: TaskState) -> list[Worker]:
-        """Return the workers that take new tasks of a task's queue."""
+        """Return the workers that accept new tasks of a task's queue."""
         queue = state.job.queue
         if queue is None:
             return []
@@ -68,25 +68,26 @@
         ]
 
     def list_feasible(self, state: TaskState) -> list[Worker]:
-        """Return the open workers that may have a place for a task.
+        """Return the open workers that may be able to run a task.
 
-        For a filler only those whose service tasks bear it: with hundreds of workers
-        and dozens of steps that wait, most pairs needn't be rated. What a worker bears
-        is worked out once a round and image; places that are held only lessen it.
+        For a filler these are the workers with enough processor time and slack, as with
+        hundreds of workers and dozens of waiting steps most pairs need not be rated.
+        The limit of a worker is computed once per round and image; reservations can
+        only lower it.
         """
         step = state.step
         queue = state.job.queue
         if not step.filler or queue is None or queue.advice is not None:
             return self.list_open(state)
-        need = (queue.service, step.image)
-        feasible = self._feasible.get(need)
+        placement_key = (queue.service, step.image)
+        feasible = self._feasible.get(placement_key)
         if feasible is None:
             limits = [
-                (limit_filler(worker, step.image, self.crowds), worker)
+                (compute_max_filler_cpu(worker, step.image, self.colocations), worker)
                 for worker in self.list_open(state)
             ]
             limits.sort(key=lambda pair: pair[0], reverse=True)
-            feasible = self._feasible[need] = limits
+            feasible = self._feasible[placement_key] = limits
         return [
             worker
             for _, worker in itertools.takewhile(
@@ -96,20 +97,20 @@
         ]
 
     def explain_wait(self, state: TaskState) -> WaitReason:
-        """Tell why a task found no place in this round."""
+        """Return why a task could not be placed in this round."""
         service = state.job.queue.service if state.job.queue is not None else ""
-        need = (service, state.step.required_label)
-        free = self._free.get(need)
+        placement_key = (service, state.step.required_label)
+        free = self._free.get(placement_key)
         if free is None:
-            free = self._free[need] = _measure_free(
+            free = self._free[placement_key] = _measure_free(
                 self.list_open(state),
-                need[1],
-                has_evacuated_workers=self._has_evacuated_workers(*need),
+                placement_key[1],
+                has_evacuated_workers=self._has_evacuated_workers(*placement_key),
             )
         return free.explain(state.step.room, filler=state.step.filler)
 
     def _has_evacuated_workers(self, service: str, label: str) -> bool:
-        """Tell whether any worker of a service with a label is evacuated."""
+        """Return whether any worker of a service with a label is evacuated."""
         evacuations = self.scheduler.evacuations
         return any(
             worker.report.service == service
@@ -118,15 +119,17 @@
             for worker in self.scheduler.workers.values()
         )
 
-    def recount(self) -> None:
-        """Count anew who runs where, as runs were taken back."""
-        self.crowds.recount()
+    def invalidate(self) -> None:
+        """Discard cached results after reservations were undone."""
+        self.colocations.invalidate()
         self.isolation = Isolation.collect(self.scheduler)
         self._open.clear()
         self._feasible.clear()
 
-    def note_suspected(self, state: TaskState, worker: Worker, run: Run) -> None:
-        """Note that a suspected task is started; its worker may be taken for it."""
+    def record_suspected_start(
+        self, state: TaskState, worker: Worker, run: Run
+    ) -> None:
+        """Record the start of a suspected task, which may reserve its worker."""
         self.isolation.add(state, worker, run)
         if not worker.is_reserved:
             return
@@ -135,44 +138,48 @@
                 workers.remove(worker)
 
     def rate(self, state: TaskState, workers: Iterable[Worker]) -> Candidates:
-        """Rate workers for the step of a task."""
-        candidates = Candidates(task=state, crowds=self.crowds)
+        """Return candidate workers for the step of a task."""
+        candidates = Candidates(task=state, colocations=self.colocations)
         for worker in workers:
-            candidates.add(worker)
+            candidates.add_worker(worker)
         return candidates
 
-    def is_short(self, state: TaskState) -> bool:
-        """Tell whether one that asks for no more has found no place in this round."""
-        if _has_advice(state):
+    def is_known_infeasible(self, state: TaskState) -> bool:
+        """Return whether no larger demand was placeable earlier in this round.
+
+        A task is infeasible if one with the same placement key and at most the same
+        demand could not be placed.
+        """
+        if _requires_advice(state):
             return False
         demand = state.step.demand
         return any(
-            short.cpu <= demand.cpu
-            and short.memory_mb <= demand.memory_mb
-            and short.gpus <= demand.gpus
-            for short in self._short.get(_describe_need(state), ())
+            infeasible.cpu <= demand.cpu
+            and infeasible.memory_mb <= demand.memory_mb
+            and infeasible.gpus <= demand.gpus
+            for infeasible in self._infeasible.get(_get_placement_key(state), ())
         )
 
-    def _is_only_spread(self, state: TaskState) -> bool:
-        """Tell whether a task has room, but not beside others of its step."""
+    def _is_blocked_by_spread(self, state: TaskState) -> bool:
+        """Return whether a task fits only beside other tasks of its step."""
         step = state.step
         if not step.max_per_worker:
             return False
         return any(worker.has_room(step.room) for worker in self.list_open(state))
 
-    def note_short(self, state: TaskState, size: Demand) -> None:
-        """Note that a task found no place, nor would one of at least this size."""
-        if _has_advice(state):
+    def record_infeasible(self, state: TaskState, size: Demand) -> None:
+        """Record that a task cannot be placed, nor any of at least ``size``."""
+        if _requires_advice(state):
             self.scheduler.tickets.wanted[name_step(state.task)] = None
-        elif not state.step.gang and not self._is_only_spread(state):
-            need = _describe_need(state)
-            self._short.setdefault(need, []).append(size)
+        elif not state.step.gang and not self._is_blocked_by_spread(state):
+            placement_key = _get_placement_key(state)
+            self._infeasible.setdefault(placement_key, []).append(size)
 
 
 def _measure_free(
     workers: Iterable[Worker], label: str, *, has_evacuated_workers: bool
 ) -> FreeRoom:
-    """Return what the workers with a label have left."""
+    """Return the free capacity of the workers with a label."""
     labelled = [w for w in workers if not label or label in w.report.labels]
     cpu = [max(0, w.report.capacity.cpu - w.cpu) for w in labelled]
     memory_mb = [max(0, w.report.capacity.memory_mb - w.memory_mb) for w in labelled]
@@ -185,13 +192,16 @@
     )
 
 
-def _has_advice(state: TaskState) -> bool:
-    """Tell whether only some workers may run a step, so that its places are its own."""
+def _requires_advice(state: TaskState) -> bool:
+    """Return whether a step may run on certain workers only."""
     return state.job.queue is not None and state.job.queue.advice is not None
 
 
-def _describe_need(state: TaskState) -> tuple[str, str, str | None]:
-    """Return what two tasks share that find the same places, but for their size."""
+def _get_placement_key(state: TaskState) -> tuple[str, str, str | None]:
+    """Return the key of tasks that are eligible for the same workers.
+
+    Their demands may differ.
+    """
     step = state.step
     queue = state.job.queue
     service = queue.service if queue is not None else ""
@@ -199,42 +209,42 @@
 
 
 def extend_lease(scheduler: Scheduler, worker: Worker, now_ms: float) -> float:
-    """Return the deadline for what runs on a worker, and note that it was given."""
+    """Return the new lease deadline for the runs of a worker, and record it."""
     deadline = worker.estimate_clock(now_ms) + scheduler.limits.task_lease_ms
     worker.lease_until_ms = max(worker.lease_until_ms, deadline)
     return deadline
 
 
-def number_attempt(scheduler: Scheduler, state: TaskState) -> int:
-    """Return the number of a task's next attempt."""
+def next_attempt_number(scheduler: Scheduler, state: TaskState) -> int:
+    """Return the number of the next attempt of a task."""
     return max(state.last_attempt, scheduler.epoch * ATTEMPTS_PER_EPOCH) + 1
 
 
-def hold_place(
-    turn: Round,
+def reserve_capacity(
+    assignment_round: AssignmentRound,
     state: TaskState,
     worker: Worker,
     attempt: int,
     *,
-    first_pace: int = FULL_PACE,
+    initial_pace: int = FULL_PACE,
 ) -> Run:
-    """Hold room for a task on a worker; the order to start it comes due.
+    """Reserve capacity for a task on a worker; its start order becomes due.
 
     Parameters
     ----------
-    turn : Round
-        The round.
+    assignment_round : AssignmentRound
+        Current round.
     state : TaskState
-        The task.
+        Task to start.
     worker : Worker
-        Where it goes.
+        Worker that runs it.
     attempt : int
         Number of the attempt.
-    first_pace : int
-        Pace in percent that it is ordered to as soon as its start is confirmed.
+    initial_pace : int
+        Pace in percent that is ordered as soon as the start is confirmed.
     """
-    # Described before it holds the run, which would be counted twice.
-    crowd = turn.crowds.find(worker)
+    # Computed before the run is added to the worker, which would count it twice.
+    colocation = assignment_round.colocations.lookup(worker)
     checkpoint = state.job.progress.checkpoints.get(state.key, "")
     run = Run(
         task=state.task,
@@ -242,33 +252,37 @@
         room=state.step.room,
         borrowed_cpu=state.step.borrowed_cpu,
         phase=RunPhase.STARTING,
-        started_ms=turn.now_ms,
+        started_ms=assignment_round.now_ms,
         checkpoint=checkpoint,
         checkpoint_used=checkpoint if state.step.checkpointing else "",
-        progressed_ms=turn.now_ms,
-        first_pace=first_pace,
-        pace=first_pace,
-        slowed_ms=turn.now_ms,
-        deadline_ms=extend_lease(turn.scheduler, worker, turn.now_ms),
+        progressed_ms=assignment_round.now_ms,
+        initial_pace=initial_pace,
+        pace=initial_pace,
+        slowed_ms=assignment_round.now_ms,
+        deadline_ms=extend_lease(
+            assignment_round.scheduler, worker, assignment_round.now_ms
+        ),
     )
     worker.hold(run)
-    # Its fillers may have to make way, in this plan.
+    # Fillers of the worker may have to be throttled by this plan.
     worker.is_news = True
     if state.waiting_since_ms is not None:
-        run.waited_ms = turn.now_ms - state.waiting_since_ms
-        run.wait_reason = turn.scheduler.waits.find_main(name_step(state.task))
+        run.waited_ms = assignment_round.now_ms - state.waiting_since_ms
+        run.wait_reason = assignment_round.scheduler.waits.get_main_reason(
+            name_step(state.task)
+        )
         state.waiting_since_ms = None
     state.last_attempt = attempt
     state.attempts.append(Attempt(worker=worker, run=run))
     if state.suspicion is not None:
-        turn.note_suspected(state, worker, run)
-    turn.scheduler.waiting.discard(state)
+        assignment_round.record_suspected_start(state, worker, run)
+    assignment_round.scheduler.waiting.discard(state)
     if not state.job.started:
         state.job.started = True
-        turn.scheduler.mark_started(state.job)
-    crowd.add(
+        assignment_round.scheduler.mark_started(state.job)
+    colocation.add_task(
         state.step,
-        base=turn.crowds.interference.find_trough(state.step.image),
-        pace=first_pace,
+        base=assignment_round.colocations.interference.get_trough(state.step.image),
+        pace=initial_pace,
     )
     return run
--- a/trefoilhook/scheduling/shortfall.py
+++ b/trefoilhook/scheduling/shortfall.py
@@ -1,40 +1,40 @@
-"""How far long-running jobs fall short: tasks that are away or answer too late."""
+"""Shortfall of long-running jobs: tasks that are absent or exceed their limits."""
 
 from collections.abc import Iterator
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState, TaskState
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
+from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.tickets import name_step
 
 __all__ = ["Shortfall", "ShortfallCounter"]
 
-_AT_WORK = 100.0
-"""Progress of a long-running task that is past its start, in percent."""
+_SERVING_PERCENT = 100.0
+"""Progress of a long-running task that has finished its start-up, in percent."""
 
 
 @attrs.frozen(kw_only=True)
 class Shortfall:
-    """What a long-running job lacked over a while, as means.
+    """Mean shortfall of a long-running job over an interval.
 
     Parameters
     ----------
     job : str
-        The job.
+        Id of the job.
     queue : str
-        Its queue.
+        Name of its queue.
     tasks : int
-        Its long-running tasks.
+        Number of its long-running tasks.
     away : float
-        Tasks that were not at work.
+        Mean number of tasks that did not serve requests.
     over : float
-        Tasks at work whose tail latency was over their limit.
+        Mean number of serving tasks whose tail latency exceeded their limit.
     beside : float
-        Those of them that had batch tasks at work beside them.
+        Mean number of these that shared a worker with running batch tasks.
     waited_for : str
-        What its waiting tasks wait for, if any wait.
+        Reason why a task of it waits, if any does.
     """
 
     job: str
@@ -56,12 +56,12 @@
 
 @attrs.define(kw_only=True)
 class ShortfallCounter:
-    """Samples of long-running jobs since they were last taken."""
+    """Samples of long-running jobs since the last report."""
 
     _sums: dict[str, _Sums] = attrs.Factory(dict)
 
     def sample(self, scheduler: Scheduler) -> None:
-        """Look at every long-running job once."""
+        """Add one sample of every long-running job."""
         for job_id, state in scheduler.jobs.items():
             if not (state.is_open and state.started):
                 continue
@@ -72,7 +72,7 @@
                     _count(scheduler, sums, task)
 
     def take(self, scheduler: Scheduler) -> Iterator[Shortfall]:
-        """Yield what each job that is still open lacked, and begin anew."""
+        """Yield the mean shortfall of each open job, and reset the samples."""
         for job_id, sums in self._sums.items():
             state = scheduler.jobs.get(job_id)
             if state is None or not state.is_open or not (sums.away or sums.over):
@@ -97,7 +97,7 @@
     for task in _list_tasks(state):
         if task.attempts:
             continue
-        reason = scheduler.waits.find_main(name_step(task.task))
+        reason = scheduler.waits.get_main_reason(name_step(task.task))
         if reason is not None:
             return reason.value
     return ""
@@ -120,7 +120,7 @@
 def _is_at_work(worker: Worker, run: Run) -> bool:
     return (
         run.phase is not RunPhase.STARTING
-        and run.percent >= _AT_WORK
+        and run.percent >= _SERVING_PERCENT
         and worker.silence is None
     )
 
--- a/trefoilhook/scheduling/starvation.py
+++ b/trefoilhook/scheduling/starvation.py
@@ -1,91 +1,108 @@
-"""One slowed task for each batch job that would wait for good beside free processors.
-
-A filler is placed where the service tasks bear it at full speed. When the images that
-bear it have left, or never were, there is no such worker, however much of the fleet is
-free: on a day with 24 workers 258 to 534 fillers waited beside 61 % of the processors,
-as each would have cost 0.9 to 1.5 of a slack of 1.5. What it costs falls with its
-speed. So a job that has waited and has nothing running gets one throttled task: it is
-started slowed, stays so, and moves on as soon as there is a place that bears it.
-
-Throttled tasks also keep what is known of their images true: a pair that is never tried
-again can't be learned anew.
+"""Starts one throttled task of each batch job that would otherwise starve.
+
+A filler is placed where the service tasks tolerate it at full speed. If no worker runs
+images that tolerate it, there is no such worker even if much of the cluster is idle: on
+one day with 24 workers, 258 to 534 fillers waited while 61 % of the processors were
+idle, as each would have cost 0.9 to 1.5 of a slack of 1.5. The cost is proportional to
+the filler's speed. Therefore a job that has waited with nothing running gets one
+throttled task, which stays throttled and is moved once a worker tolerates it at full
+speed.
+
+Throttled tasks also keep the interference model of their images up to date: a pair that
+is never tried cannot be learned again.
 """
 
-from trefoilhook.scheduling.book import JobState, TaskState
-from trefoilhook.scheduling.crowds import Crowd
+from trefoilhook.scheduling.crowds import Colocation
 from trefoilhook.scheduling.fleet import Worker
-from trefoilhook.scheduling.placing import has_place
-from trefoilhook.scheduling.rounds import Round, hold_place, number_attempt
+from trefoilhook.scheduling.job_state import JobState, TaskState
+from trefoilhook.scheduling.placing import can_host
+from trefoilhook.scheduling.rounds import (
+    AssignmentRound,
+    next_attempt_number,
+    reserve_capacity,
+)
 
-__all__ = ["THROTTLED_PACE", "STARVED_MS", "admit_starved"]
+__all__ = ["THROTTLED_PACE", "STARVATION_DELAY_MS", "admit_starved"]
 
-STARVED_MS = 5000.0
-"""A job that has had nothing running for so long is starved, in ms. The longest that a
-batch job waits on a busy fleet and is still in time is about this; before it, the order
-of the jobs decides alone."""
+STARVATION_DELAY_MS = 5000.0
+"""Time without a running task after which a job is starved, in ms. It is about the
+longest wait of a batch job on a busy cluster that still meets its objective; before it,
+only the rank of the jobs is decisive."""
 
 THROTTLED_PACE = 5
-"""Pace of a throttled task, in percent. What service tasks bear is spent in order, on
-jobs that can be in time: let go as far as the slack allows, throttled tasks take it
-from them, and fewer jobs end in time."""
+"""Pace of a throttled task, in percent. Slack is assigned by rank to jobs that can meet
+their objectives. Faster throttled tasks would take slack from these jobs, and fewer of
+them would be on time."""
 
-_IDLE_SHARE = 0.5
-"""Share of a service's processors that nothing reserves, over which a job that waits is
-starved. With less of it left, jobs compete, and some of them have to wait."""
+_IDLE_FLEET_SHARE = 0.5
+"""Minimum fraction of a service's processors without reservation for a waiting job to
+be starved. With less, jobs compete and some have to wait."""
 
-_LEAST_SLACK = 1.0
-"""Slack that the service tasks beside a throttled task must keep; 1 is at the limit."""
+_MIN_SLACK = 1.0
+"""Slack that service tasks beside a throttled task must keep; 1 is at the limit."""
 
-_MOST_TRIES = 4
-"""Jobs for which one round looks for a worker: each takes a look at all of them, and
-what a throttled task costs shows in the next rounds."""
+_MAX_JOBS_PER_ROUND = 4
+"""Number of jobs for which one round searches all workers; the cost of a throttled task
+shows in the following rounds."""
 
-_RETRY_MS = 1000.0
-"""Pause until a job for which there was no worker is looked at again, in ms."""
+_RETRY_DELAY_MS = 1000.0
+"""Delay before a job without a suitable worker is tried again, in ms."""
 
 
-def admit_starved(turn: Round, ready: list[list[TaskState]]) -> None:
-    """Hold a place for one slowed task of each job that is starved.
+def admit_starved(
+    assignment_round: AssignmentRound, ready: list[list[TaskState]]
+) -> None:
+    """Reserve capacity for one throttled task of each starved job.
 
     Parameters
     ----------
-    turn : Round
-        The round, after all that found a place has got one.
+    assignment_round : AssignmentRound
+        Current round, after all regular assignments.
     ready : list of list of TaskState
-        The waiting tasks by step, in the order in which they get their places.
+        Waiting tasks by step, in the order of their ranks.
     """
     waiting = _list_idle_jobs(ready)
-    since = turn.scheduler.idle_since_ms
-    for job_id in since.keys() - waiting.keys():
-        del since[job_id]
-    tries = 0
-    idle: dict[str, bool] = {}
+    idle_since = assignment_round.scheduler.idle_since_ms
+    for job_id in idle_since.keys() - waiting.keys():
+        del idle_since[job_id]
+    jobs_tried = 0
+    idle_by_service: dict[str, bool] = {}
     for job_id, task in waiting.items():
-        if turn.now_ms - since.setdefault(job_id, turn.now_ms) < STARVED_MS:
+        if (
+            assignment_round.now_ms
+            - idle_since.setdefault(job_id, assignment_round.now_ms)
+            < STARVATION_DELAY_MS
+        ):
             continue
-        if tries >= _MOST_TRIES or not _is_fleet_idle(turn, task, idle):
+        if jobs_tried >= _MAX_JOBS_PER_ROUND or not _is_fleet_idle(
+            assignment_round, task, idle_by_service
+        ):
             continue
-        if not turn.isolation.may_start(task, turn.now_ms):
+        if not assignment_round.isolation.may_start(task, assignment_round.now_ms):
             continue
-        tries += 1
-        worker = _find_worker(turn, task)
+        jobs_tried += 1
+        worker = _find_worker(assignment_round, task)
         if worker is None:
-            # Others have their turn first: one may ask for less than this one.
-            since[job_id] = turn.now_ms - STARVED_MS + _RETRY_MS
+            # Other jobs are tried first, as they may require less.
+            idle_since[job_id] = (
+                assignment_round.now_ms - STARVATION_DELAY_MS + _RETRY_DELAY_MS
+            )
             continue
-        attempt = number_attempt(turn.scheduler, task)
-        hold_place(turn, task, worker, attempt, first_pace=THROTTLED_PACE)
+        attempt = next_attempt_number(assignment_round.scheduler, task)
+        reserve_capacity(
+            assignment_round, task, worker, attempt, initial_pace=THROTTLED_PACE
+        )
 
 
 def _list_idle_jobs(ready: list[list[TaskState]]) -> dict[str, TaskState]:
-    """Return a filler of each job of which nothing runs, by job, in order.
+    """Return a waiting filler of each job without runs, by job id, in order.
 
-    A member of a gang works only together with all others, so that it isn't throttled.
+    Members of a gang run only together with all others, so that they are not throttled.
     """
     found: dict[str, TaskState] = {}
     running: dict[str, bool] = {}
     for tasks in ready:
-        # One that has got its place in this round waits no more.
+        # Tasks that were placed in this round are skipped.
         task = next((each for each in tasks if not each.attempts), None)
         if task is None or not task.step.filler or task.step.gang:
             continue
@@ -101,37 +118,39 @@
     return any(task.attempts for task in job.tasks.values())
 
 
-def _is_fleet_idle(turn: Round, task: TaskState, known: dict[str, bool]) -> bool:
-    """Tell whether nobody reserves most of the processors of a task's service."""
+def _is_fleet_idle(
+    assignment_round: AssignmentRound, task: TaskState, known: dict[str, bool]
+) -> bool:
+    """Return whether most processors of a task's service have no reservation."""
     service = task.job.queue.service if task.job.queue is not None else ""
     if service not in known:
-        workers = turn.list_open(task)
+        workers = assignment_round.list_open(task)
         capacity = sum(worker.report.capacity.cpu for worker in workers)
         held = sum(worker.cpu for worker in workers)
-        known[service] = capacity - held > _IDLE_SHARE * capacity
+        known[service] = capacity - held > _IDLE_FLEET_SHARE * capacity
     return known[service]
 
 
-def _find_worker(turn: Round, task: TaskState) -> Worker | None:
+def _find_worker(assignment_round: AssignmentRound, task: TaskState) -> Worker | None:
     """Return the worker whose service tasks keep the most slack beside a task."""
     best: Worker | None = None
-    most = _LEAST_SLACK
-    for worker in turn.list_open(task):
-        if worker.over_since_ms is not None or not has_place(worker, task):
+    max_slack = _MIN_SLACK
+    for worker in assignment_round.list_open(task):
+        if worker.over_limit_since_ms is not None or not can_host(worker, task):
             continue
         if worker.report.worker_id in task.failed_on:
-            # Elsewhere it waits for another chance; here it may use up its attempts.
+            # Waiting is preferable to using up the task's attempts on this worker.
             continue
-        crowd = turn.crowds.find(worker)
-        if not _has_time(crowd, task):
+        colocation = assignment_round.colocations.lookup(worker)
+        if not _has_spare_cpu(colocation, task):
             continue
-        slack = crowd.predict_slack(
-            turn.crowds.interference, task.step, pace=THROTTLED_PACE
+        slack = colocation.predict_slack(
+            assignment_round.colocations.interference, task.step, pace=THROTTLED_PACE
         )
-        if slack > most:
-            best, most = worker, slack
+        if slack > max_slack:
+            best, max_slack = worker, slack
     return best
 
 
-def _has_time(crowd: Crowd, task: TaskState) -> bool:
-    return crowd.left >= task.step.demand.cpu * THROTTLED_PACE / 100.0
+def _has_spare_cpu(colocation: Colocation, task: TaskState) -> bool:
+    return colocation.spare_cpu >= task.step.demand.cpu * THROTTLED_PACE / 100.0
--- a/trefoilhook/scheduling/suspects.py
+++ b/trefoilhook/scheduling/suspects.py
@@ -1,78 +1,80 @@
-"""The tasks of a shard that are suspected to crash their workers."""
+"""Tasks of a shard that are suspected of crashing their workers."""
 
 from collections.abc import Callable
 
 import attrs
 
-from trefoilhook.scheduling.book import JobState, TaskState
 from trefoilhook.scheduling.fleet import Run
+from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.messages import EndKind, WorkerLoss
 from trefoilhook.scheduling.models import TaskId
 from trefoilhook.scheduling.suspicion import CrashRate, Suspicion, compute_survival
 
-__all__ = ["SuspectBook"]
+__all__ = ["SuspectTracker"]
 
-_MOST_LOST = 1000
-"""Lost workers that are remembered in case they come back."""
+_MAX_LOST_WORKERS = 1000
+"""Number of lost workers that are remembered in case they answer again."""
 
-_WITHOUT_CRASH = frozenset({EndKind.DONE, EndKind.FAILED, EndKind.STOPPED})
+_CRASH_FREE_ENDS = frozenset({EndKind.DONE, EndKind.FAILED, EndKind.STOPPED})
 
 
 @attrs.define(kw_only=True)
-class SuspectBook:
-    """What is known of suspected tasks, and of the losses that speak against them.
+class SuspectTracker:
+    """Suspected tasks, and the losses that count against them.
 
-    The suspicions themselves stand in the progress of their jobs, which outlives the
-    owner.
+    The suspicions are part of the jobs' progress, which is persistent.
 
     Parameters
     ----------
-    touch : callable
-        Called with a job whose progress has changed and is to be written.
+    mark_dirty : callable
+        Called with a job whose progress has changed and must be saved.
 
     Attributes
     ----------
     jobs : set of JobState
         Open jobs with suspected tasks.
     recorded : list of TaskState
-        Tasks with an attempt that an earlier owner recorded, until that is judged.
+        Tasks with an attempt recorded by an earlier owner, until it is evaluated.
     drained : set of str
-        Workers that are gone and had announced it, while attempts are recorded.
+        Removed workers that had announced their shutdown; kept while recorded attempts
+        exist.
     losses : list of WorkerLoss
-        Workers lost since somebody last took them from here.
+        Lost workers that the caller has not fetched yet.
     crash_rate : CrashRate
-        Rate of the crashes for which no task is to blame.
+        Rate of crashes that no task causes.
     """
 
-    touch: Callable[[JobState], None]
+    mark_dirty: Callable[[JobState], None]
     jobs: set[JobState] = attrs.field(factory=set, init=False)
     recorded: list[TaskState] = attrs.field(factory=list, init=False)
     drained: set[str] = attrs.field(factory=set, init=False)
     losses: list[WorkerLoss] = attrs.field(factory=list, init=False)
     crash_rate: CrashRate = attrs.field(factory=CrashRate, init=False)
-    _lost_under: dict[str, list[TaskState]] = attrs.field(factory=dict, init=False)
+    _tasks_by_lost_worker: dict[str, list[TaskState]] = attrs.field(
+        factory=dict, init=False
+    )
 
-    def suspect(self, task: TaskState) -> Suspicion:
-        """Return what speaks against a task, for a change that is to be written."""
+    def get_or_add(self, task: TaskState) -> Suspicion:
+        """Return the suspicion of a task for modification, adding one if needed."""
         self.jobs.add(task.job)
-        self.touch(task.job)
+        self.mark_dirty(task.job)
         return task.job.progress.suspicions.setdefault(task.unit, Suspicion())
 
-    def clear_blank(self, task: TaskState) -> None:
-        """Forget a suspicion of which nothing is left."""
+    def discard_negligible(self, task: TaskState) -> None:
+        """Remove the suspicion of a task if no evidence is left."""
         suspicion = task.suspicion
-        if suspicion is not None and suspicion.is_blank:
-            self.touch(task.job)
+        if suspicion is not None and suspicion.is_negligible:
+            self.mark_dirty(task.job)
             self.forget(task)
 
     def forget(self, task: TaskState) -> None:
-        """Forget a task that is done or cleared."""
+        """Remove the suspicion of a task that is completed or cleared."""
         suspicions = task.job.progress.suspicions
         if suspicions.pop(task.unit, None) is not None and not suspicions:
             self.jobs.discard(task.job)
 
-    def take_recorded(self, state: JobState) -> None:
-        """Take in what earlier owners found out about a job's tasks."""
+    def load_suspicions(self, state: JobState) -> None:
+        """Load the suspicions that earlier owners recorded for a job's tasks."""
         for (occurrence, step, index), suspicion in state.progress.suspicions.items():
             task = state.find_task(TaskId(state.job.job_id, occurrence, step, index))
             if task is None:
@@ -82,30 +84,30 @@
                 task.last_attempt = max(task.last_attempt, suspicion.attempt)
                 self.recorded.append(task)
             for note in suspicion.notes.values():
-                self.note_lost_under(note.worker_id, task)
+                self.record_lost_worker(note.worker_id, task)
 
-    def take_survival(self, task: TaskState, run: Run, kind: EndKind) -> None:
-        """Take in that a run has ended without a crash of its worker."""
+    def record_run_end(self, task: TaskState, run: Run, kind: EndKind) -> None:
+        """Record that a run ended without a crash of its worker."""
         suspicion = task.suspicion
         if suspicion is None or not task.job.is_open:
             return
-        if kind in _WITHOUT_CRASH:
-            suspicion.survive(compute_survival(run.proved_ms))
-        # The end of one member of a gang doesn't tell how its other workers fare.
+        if kind in _CRASH_FREE_ENDS:
+            suspicion.record_survival(compute_survival(run.proved_ms))
+        # The end of one member does not show whether the gang's other workers survive.
         if not task.step.gang and suspicion.attempt == run.attempt:
-            suspicion.settle()
-            self.touch(task.job)
-        self.clear_blank(task)
+            suspicion.clear_attempt()
+            self.mark_dirty(task.job)
+        self.discard_negligible(task)
 
-    def note_lost_under(self, worker_id: str, task: TaskState) -> None:
-        """Note that a worker counts as lost under a task, should it come back."""
-        self._lost_under.setdefault(worker_id, []).append(task)
-        if len(self._lost_under) > _MOST_LOST:
-            del self._lost_under[next(iter(self._lost_under))]
+    def record_lost_worker(self, worker_id: str, task: TaskState) -> None:
+        """Record the loss of a worker under a task, in case it answers again."""
+        self._tasks_by_lost_worker.setdefault(worker_id, []).append(task)
+        if len(self._tasks_by_lost_worker) > _MAX_LOST_WORKERS:
+            del self._tasks_by_lost_worker[next(iter(self._tasks_by_lost_worker))]
 
     def retract_losses(self, worker_id: str) -> None:
-        """Take back what a worker counted for that answers, and so was never lost."""
-        for task in self._lost_under.pop(worker_id, ()):
+        """Remove the evidence from a worker that answers and was therefore not lost."""
+        for task in self._tasks_by_lost_worker.pop(worker_id, ()):
             suspicion = task.suspicion
             if suspicion is None or not task.job.is_open:
                 continue
@@ -113,5 +115,5 @@
                 if note.worker_id == worker_id:
                     del suspicion.notes[attempt]
             task.held_until_ms = 0.0
-            self.touch(task.job)
-            self.clear_blank(task)
+            self.mark_dirty(task.job)
+            self.discard_negligible(task)
--- a/trefoilhook/scheduling/suspicion.py
+++ b/trefoilhook/scheduling/suspicion.py
@@ -1,14 +1,14 @@
-"""How likely it is that a task crashes the workers that start it.
+"""Probability that a task crashes the workers that start it.
 
-A crash is due to one of the runs that were there, or to something that has to do with
-none of them. What it tells of a task depends on how soon after the start it came, and
-on the other explanations: a run that is strongly suspected explains a crash away for
-all that ran beside it, and a run that goes on without a crash clears its task. The odds
-that follow decide whether a task runs apart from others, and whether it is given up.
+A crash is caused by one of the runs on the worker or by something unrelated to them.
+What it implies for a task depends on the time since the task's start and on the other
+explanations: a strongly suspected run explains the crash for all runs beside it, and a
+run that continues without a crash exonerates its task. The resulting odds determine
+whether a task is isolated and whether its job fails.
 
-The time from the start of a crashing task to the crash is taken as log-uniform: any
-decade is as likely as another. That makes no difference between a run at full speed and
-one that is slowed, for which every time is longer by the same factor.
+The time from the start of a crashing task to the crash is assumed to be log-uniform:
+each decade is equally likely. The assumption holds equally for throttled runs, for
+which all times are longer by the same factor.
 """
 
 import math
@@ -17,7 +17,7 @@
 import attrs
 
 __all__ = [
-    "LEAST_RATIO",
+    "MIN_SUSPECT_RATIO",
     "PRIOR_ODDS",
     "STRONG_ODDS",
     "CrashNote",
@@ -31,57 +31,56 @@
 
 Unit = tuple[int, int, int]
 """Occurrence, step and index of a task. A gang, whose members start and end together,
-is one unit, under the index 0."""
+is one unit with index 0."""
 
 PRIOR_ODDS = 0.0001
-"""Odds that a task of which nothing is known crashes its workers."""
+"""Odds that an unknown task crashes its workers."""
 
 STRONG_ODDS = 0.02
-"""Odds from which a task runs apart from others."""
+"""Odds from which a task is isolated."""
 
-_USUAL_PAUSE_MS = 600_000.0
-"""Time between two crashes of a worker for which no task is to blame, in ms, as far as
-nothing else is seen."""
+_BASE_CRASH_INTERVAL_MS = 600_000.0
+"""Prior mean time between crashes of one worker that no task causes, in ms."""
 
-_MEMORY_MS = 60_000.0
-"""How long crashes raise the rate that is expected of others, in ms: what takes many
-workers down, such as a failing rack, passes."""
+_CRASH_RATE_DECAY_MS = 60_000.0
+"""Time constant with which recent crashes raise the expected rate, in ms, as events
+that affect many workers, such as a rack failure, pass."""
 
-_LEAST_ONSET_MS = 1.0
-_MOST_ONSET_MS = 100_000.0
+_MIN_ONSET_MS = 1.0
+_MAX_ONSET_MS = 100_000.0
 """Bounds of the time from a start to the crash that it causes, in ms."""
 
-_DECADES = math.log(_MOST_ONSET_MS / _LEAST_ONSET_MS)
+_DECADES = math.log(_MAX_ONSET_MS / _MIN_ONSET_MS)
 
-_LEAST_SURVIVAL = 0.001
-"""A run that has outlived the longest onset still clears its task by no more."""
+_MIN_SURVIVAL = 0.001
+"""Lower bound of the likelihood of survival, for runs longer than the maximum onset."""
 
-LEAST_RATIO = 2.0
-"""A crash counts against a task if it raises its odds by this factor at least."""
+MIN_SUSPECT_RATIO = 2.0
+"""Minimum factor on the odds for a crash to count against a task."""
 
-_MOST_DOUBTFUL_RATIO = 20.0
-"""A loss that is not proved to be a crash raises the odds by this factor at most."""
+_MAX_UNPROVED_RATIO = 20.0
+"""Maximum factor on the odds for a loss that is not proved to be a crash."""
 
 _GIVE_UP_ODDS = {2: 1000.0, 3: 100.0, 4: 1.0}
-"""Odds from which a task is given up, by the number of crashes that count against it.
-Two crashes within moments of a start leave no doubt; others need more."""
+"""Odds from which a task's job fails, by the number of crashes that count against the
+task. Two crashes shortly after a start are conclusive; others require more."""
 
-_MOST_CRASHES = 5
-"""A task is given up after so many crashes whatever the odds: the most workers that
-the platform lets one task take down."""
+_MAX_CRASHES = 5
+"""Number of crashes after which a task's job fails at any odds: the platform's limit on
+the number of workers that one task may take down."""
 
-_MOST_DOUBTS = 8
-"""Losses without proof that are kept, the latest."""
+_MAX_UNPROVED_LOSSES = 8
+"""Number of unproved losses that are kept, the latest ones."""
 
 
 @attrs.frozen(kw_only=True)
 class CrashNote:
-    """A lost worker that counts against a task.
+    """Loss of a worker that counts against a task.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     ratio : float
         Factor by which the loss raised the odds.
     proved : bool
@@ -95,21 +94,21 @@
 
 @attrs.define(kw_only=True)
 class Suspicion:
-    """What is known of a unit under which workers were lost.
+    """Evidence on a unit that ran on lost workers.
 
     Parameters
     ----------
     notes : dict of int to CrashNote
-        By attempt, so that a loss that is told twice counts once.
+        Losses by attempt, so that a loss that is reported twice counts once.
     survived : float
-        Factor by which runs that went on without a crash lower the odds.
+        Factor by which runs without a crash lower the odds.
     attempt : int
-        Attempt that may be running, or whose loss hasn't been judged; 0 for none.
+        Attempt that may be running, or whose loss has not been evaluated; 0 for none.
     workers : list of str
-        Where that attempt was ordered.
+        Workers on which that attempt was started.
     ran_ms : float or None
-        How long it had run when the connection to a worker of it ended, in ms; None
-        while none has.
+        Running time of that attempt when the connection to one of its workers ended, in
+        ms; None if none has ended.
     """
 
     notes: dict[int, CrashNote] = attrs.Factory(dict)
@@ -131,45 +130,45 @@
 
     @property
     def crashes(self) -> int:
-        """Crashes that count against it."""
+        """Number of proved crashes that count against it."""
         return sum(note.proved for note in self.notes.values())
 
     @property
-    def doubts(self) -> int:
-        """Losses without proof that count against it."""
+    def unproved_losses(self) -> int:
+        """Number of unproved losses that count against it."""
         return len(self.notes) - self.crashes
 
     @property
-    def is_blank(self) -> bool:
-        """Whether nothing is left that speaks against it."""
+    def is_negligible(self) -> bool:
+        """Whether no evidence against it is left."""
         return not self.attempt and (not self.notes or self.odds < PRIOR_ODDS)
 
     def is_crash_loop(self) -> bool:
-        """Tell whether the unit is to be given up."""
-        if self.crashes >= _MOST_CRASHES:
+        """Return whether the unit's job must fail."""
+        if self.crashes >= _MAX_CRASHES:
             return True
         return self.odds >= _GIVE_UP_ODDS.get(self.crashes, math.inf)
 
-    def take_loss(
+    def record_loss(
         self, attempt: int, worker_id: str, ratio: float, *, proved: bool
     ) -> None:
-        """Take in what a lost worker tells of the unit."""
+        """Apply the loss of a worker."""
         if not proved:
-            ratio = min(ratio, _MOST_DOUBTFUL_RATIO)
-        if ratio < LEAST_RATIO:
-            self.survive(ratio)
+            ratio = min(ratio, _MAX_UNPROVED_RATIO)
+        if ratio < MIN_SUSPECT_RATIO:
+            self.record_survival(ratio)
             return
         self.notes[attempt] = CrashNote(worker_id=worker_id, ratio=ratio, proved=proved)
-        doubts = sorted(n for n, note in self.notes.items() if not note.proved)
-        for oldest in doubts[:-_MOST_DOUBTS]:
+        unproved_losses = sorted(n for n, note in self.notes.items() if not note.proved)
+        for oldest in unproved_losses[:-_MAX_UNPROVED_LOSSES]:
             del self.notes[oldest]
 
-    def survive(self, factor: float) -> None:
-        """Take in that a run went on without a crash."""
-        self.survived = min(1.0, max(_LEAST_SURVIVAL, self.survived * factor))
+    def record_survival(self, factor: float) -> None:
+        """Apply a run that continued without a crash."""
+        self.survived = min(1.0, max(_MIN_SURVIVAL, self.survived * factor))
 
-    def place(self, attempt: int, worker_id: str) -> None:
-        """Note where an attempt is ordered."""
+    def record_attempt(self, attempt: int, worker_id: str) -> None:
+        """Record the worker on which an attempt is started."""
         if self.attempt != attempt:
             self.attempt = attempt
             self.workers = []
@@ -177,8 +176,8 @@
         if worker_id not in self.workers:
             self.workers.append(worker_id)
 
-    def settle(self) -> None:
-        """Note that the last attempt is over, and what became of it is known."""
+    def clear_attempt(self) -> None:
+        """Record that the last attempt is over and its outcome is known."""
         self.attempt = 0
         self.workers = []
         self.ran_ms = None
@@ -186,7 +185,7 @@
 
 @attrs.frozen(kw_only=True)
 class Exposure:
-    """A run that a crash may be due to.
+    """A run that may have caused a crash.
 
     Parameters
     ----------
@@ -202,77 +201,78 @@
 
 @attrs.define(kw_only=True)
 class CrashRate:
-    """Rate of the crashes for which no task is to blame.
+    """Rate of crashes that no task causes.
 
-    Guards against tasks that are given up because workers crash by themselves, many of
-    them in a short time: what happens without a cause explains more of each crash.
+    Guards against giving up tasks because workers crash for other reasons, possibly
+    many of them within a short time: a higher rate explains more of each crash.
 
     Parameters
     ----------
     crashes : float
-        Crashes of late that no task explains; each counts by how likely that is.
+        Decaying sum of recent crashes, each weighted with the probability that no task
+        caused it.
     worker_ms : float
-        Time for which workers were seen meanwhile, in ms, summed over them.
+        Decaying sum of the time for which workers were observed, in ms.
     updated_ms : float or None
-        Up to when that was counted, in ms.
+        Time of the last update, in ms.
     """
 
     crashes: float = 0.0
     worker_ms: float = 0.0
     updated_ms: float | None = None
 
-    def advance(self, workers: int, now_ms: float) -> None:
-        """Count the time that workers were seen."""
+    def update(self, workers: int, now_ms: float) -> None:
+        """Add the time since the last update for the given number of workers."""
         if self.updated_ms is not None:
             passed_ms = max(0.0, now_ms - self.updated_ms)
-            kept = math.exp(-passed_ms / _MEMORY_MS)
+            kept = math.exp(-passed_ms / _CRASH_RATE_DECAY_MS)
             self.crashes *= kept
             self.worker_ms = kept * self.worker_ms + workers * passed_ms
         self.updated_ms = now_ms
 
-    def note(self, share: float) -> None:
-        """Count a crash that no task explains with this probability."""
+    def add_unexplained(self, share: float) -> None:
+        """Add a crash with the probability that no task caused it."""
         self.crashes += share
 
-    def read(self) -> float:
+    def estimate(self) -> float:
         """Return the rate for one worker, per ms."""
-        seen = (1.0 + self.crashes) / (_USUAL_PAUSE_MS + self.worker_ms)
-        return max(1.0 / _USUAL_PAUSE_MS, seen)
+        seen = (1.0 + self.crashes) / (_BASE_CRASH_INTERVAL_MS + self.worker_ms)
+        return max(1.0 / _BASE_CRASH_INTERVAL_MS, seen)
 
 
 def compute_survival(ran_ms: float) -> float:
-    """Return how likely a crashing task is to run for so long without a crash."""
-    decades = math.log(max(ran_ms, _LEAST_ONSET_MS) / _LEAST_ONSET_MS)
-    return max(_LEAST_SURVIVAL, 1.0 - decades / _DECADES)
+    """Return the probability that a crashing task runs this long without a crash."""
+    decades = math.log(max(ran_ms, _MIN_ONSET_MS) / _MIN_ONSET_MS)
+    return max(_MIN_SURVIVAL, 1.0 - decades / _DECADES)
 
 
 def _compute_density(ran_ms: float) -> float:
-    """Return how likely a crashing task is to crash at this time, per ms."""
-    if ran_ms >= _MOST_ONSET_MS:
+    """Return the probability density of a crash at this time, per ms."""
+    if ran_ms >= _MAX_ONSET_MS:
         return 0.0
-    return 1.0 / (_DECADES * max(ran_ms, _LEAST_ONSET_MS))
+    return 1.0 / (_DECADES * max(ran_ms, _MIN_ONSET_MS))
 
 
 def weigh_crash(
     exposures: Sequence[Exposure], other_rate: float
 ) -> tuple[list[float], float]:
-    """Weigh a crash against each run that it may be due to.
+    """Compute the evidence of a crash against each run that may have caused it.
 
     Parameters
     ----------
     exposures : sequence of Exposure
-        The runs.
+        Runs that may have caused the crash.
     other_rate : float
-        Rate of crashes for which no task is to blame, per ms.
+        Rate of crashes that no task causes, per ms.
 
     Returns
     -------
     list of float
-        Factor by which the crash changes the odds of each run's task. One over 1 speaks
-        against the task; one under 1 speaks for it, as it is known to have run until
-        then, and others explain the crash.
+        Likelihood ratio for each run's task. A value above 1 counts against the task. A
+        value below 1 counts for it, as it ran until then and other causes explain the
+        crash.
     float
-        Probability that none of them is to blame.
+        Probability that none of the runs caused the crash.
     """
     densities = [_compute_density(each.ran_ms) for each in exposures]
     survivals = [compute_survival(each.ran_ms) for each in exposures]
--- a/trefoilhook/scheduling/tests/test_crash_loops.py
+++ b/trefoilhook/scheduling/tests/test_crash_loops.py
@@ -200,7 +200,9 @@
         """Have a crash count against the first task of a job."""
         state = shard.scheduler.jobs[job_id]
         task = state.find_task(TaskId(job_id, 0, 0, 0))
-        shard.scheduler.suspects.suspect(task).take_loss(1, "gone", ratio, proved=True)
+        shard.scheduler.suspects.get_or_add(task).record_loss(
+            1, "gone", ratio, proved=True
+        )
         shard.save()
 
     def test_suspect_goes_beside_batch_work_rather_than_a_service(self):
--- a/trefoilhook/scheduling/tests/test_crash_takeovers.py
+++ b/trefoilhook/scheduling/tests/test_crash_takeovers.py
@@ -114,7 +114,7 @@
         second.plan()
         self.assertIs(read_loss(second).cause, LossCause.CUT_OFF)
         self.assertEqual(find_suspicion(second).crashes, 1)
-        self.assertEqual(find_suspicion(second).doubts, 1)
+        self.assertEqual(find_suspicion(second).unproved_losses, 1)
         self.assertNotEqual(order.worker_id, worker_id)
 
     def test_recorded_start_on_a_worker_that_drained_counts_for_nothing(self):
@@ -148,7 +148,7 @@
         second.settled = True
         second.plan()
         self.assertIs(read_loss(second).cause, LossCause.DRAINED)
-        self.assertEqual(find_suspicion(second).doubts, 0)
+        self.assertEqual(find_suspicion(second).unproved_losses, 0)
 
     def test_run_of_an_earlier_owner_keeps_its_age(self):
         # Guards against a watcher that seems to have just started when its worker
@@ -174,10 +174,10 @@
             shard.look("w0")
         shard.submit(build_job(job_id="c"))
         shard.step()
-        suspicion = shard.scheduler.suspects.suspect(
+        suspicion = shard.scheduler.suspects.get_or_add(
             shard.scheduler.jobs["c"].tasks.popitem()[1]
         )
-        suspicion.take_loss(1, "w9", 5000.0, proved=True)
+        suspicion.record_loss(1, "w9", 5000.0, proved=True)
         shard.save()
         crash(shard, "w0")
         dirty = {state.job.job_id for state in shard.scheduler.dirty}
@@ -211,7 +211,7 @@
 
     def test_loss_without_proof_counts_for_little(self):
         suspicion = Suspicion()
-        suspicion.take_loss(1, "w", 5000.0, proved=False)
+        suspicion.record_loss(1, "w", 5000.0, proved=False)
         self.assertLess(suspicion.odds, STRONG_ODDS)
         self.assertEqual(suspicion.crashes, 0)
 
@@ -220,15 +220,15 @@
         # taken for a bystander, without end.
         suspicion = Suspicion()
         for attempt in range(1, MOST_STARTS):
-            suspicion.take_loss(attempt, "w", 2.5, proved=True)
+            suspicion.record_loss(attempt, "w", 2.5, proved=True)
         self.assertFalse(suspicion.is_crash_loop())
-        suspicion.take_loss(MOST_STARTS, "w", 2.5, proved=True)
+        suspicion.record_loss(MOST_STARTS, "w", 2.5, proved=True)
         self.assertTrue(suspicion.is_crash_loop())
 
     def test_crash_is_counted_once_however_often_it_is_told(self):
         suspicion = Suspicion()
         for _ in range(3):
-            suspicion.take_loss(7, "w", 50.0, proved=True)
+            suspicion.record_loss(7, "w", 50.0, proved=True)
         self.assertEqual(suspicion.crashes, 1)
 
     def test_record_round_trip_and_size(self):
@@ -236,9 +236,9 @@
         progress = Progress()
         for index in range(500):
             suspicion = Suspicion(attempt=index + 1, workers=["w" * 20], ran_ms=12.5)
-            suspicion.take_loss(1, "w" * 20, 3.0 + index, proved=True)
+            suspicion.record_loss(1, "w" * 20, 3.0 + index, proved=True)
             for doubt in range(30):
-                suspicion.take_loss(doubt + 2, "w" * 20, 3.0, proved=False)
+                suspicion.record_loss(doubt + 2, "w" * 20, 3.0, proved=False)
             progress.suspicions[0, 0, index] = suspicion
         data = encode_progress(progress)
         self.assertLess(len(data), 64 * 1024)
--- a/trefoilhook/scheduling/tests/test_crashes.py
+++ b/trefoilhook/scheduling/tests/test_crashes.py
@@ -40,27 +40,27 @@
 )
 
 
-def weigh(exposures: list[Exposure]) -> list[float]:
+def get_weight(exposures: list[Exposure]) -> list[float]:
     """Weigh a crash where workers seldom crash by themselves."""
-    return weigh_crash(exposures, CrashRate().read())[0]
+    return weigh_crash(exposures, CrashRate().estimate())[0]
 
 
 class WeighingTest(unittest.TestCase):
     """What a crash tells of the tasks that ran there."""
 
     def test_prompt_crash_of_a_lone_task_speaks_against_it(self):
-        (ratio,) = weigh([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)])
+        (ratio,) = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)])
         self.assertGreater(PRIOR_ODDS * ratio, STRONG_ODDS)
 
     def test_suspects_share_the_blame(self):
-        ratios = weigh([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)] * 6)
+        ratios = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)] * 6)
         total = sum(PRIOR_ODDS * r / (1 + PRIOR_ODDS * r) for r in ratios)
         self.assertLess(total, 1.0)
         self.assertGreater(total, 0.5)
 
     def test_strong_suspect_explains_a_crash_away(self):
         # Guards against a bystander that is blamed at each crash of its neighbour.
-        culprit, bystander = weigh(
+        culprit, bystander = get_weight(
             [
                 Exposure(odds=1.0, ran_ms=10.0),
                 Exposure(odds=PRIOR_ODDS, ran_ms=500.0),
@@ -70,22 +70,22 @@
         self.assertLess(bystander, 1.0)
 
     def test_task_that_has_run_for_minutes_is_cleared(self):
-        (ratio,) = weigh([Exposure(odds=PRIOR_ODDS, ran_ms=300_000.0)])
+        (ratio,) = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=300_000.0)])
         self.assertLess(ratio, 0.01)
 
     def test_crashes_without_a_cause_explain_more_of_the_next(self):
         # Guards against a task that is given up while a rack takes its workers down.
         exposure = Exposure(odds=PRIOR_ODDS, ran_ms=500.0)
         rate = CrashRate()
-        rate.advance(24, 0.0)
-        calm, unexplained = weigh_crash([exposure], rate.read())
+        rate.update(24, 0.0)
+        calm, unexplained = weigh_crash([exposure], rate.estimate())
         for _ in range(10):
-            rate.note(unexplained)
-        rate.advance(24, 1000.0)
-        shaken, _ = weigh_crash([exposure], rate.read())
+            rate.add_unexplained(unexplained)
+        rate.update(24, 1000.0)
+        shaken, _ = weigh_crash([exposure], rate.estimate())
         self.assertLess(shaken[0], calm[0] / 5.0)
-        rate.advance(24, 600_000.0)
-        self.assertEqual(rate.read(), CrashRate().read())
+        rate.update(24, 600_000.0)
+        self.assertEqual(rate.estimate(), CrashRate().estimate())
 
     def test_slowing_makes_no_difference(self):
         # A throttled run takes twenty times as long to its crash, and so do others: as
--- a/trefoilhook/scheduling/tests/test_evacuations.py
+++ b/trefoilhook/scheduling/tests/test_evacuations.py
@@ -153,8 +153,8 @@
         evacuate(shard, EAST)
         shard.submit(build_job())
         task = next(iter(shard.scheduler.waiting))
-        suspicion = shard.scheduler.suspects.suspect(task)
-        suspicion.take_loss(1, "w", 5000.0, proved=True)
+        suspicion = shard.scheduler.suspects.get_or_add(task)
+        suspicion.record_loss(1, "w", 5000.0, proved=True)
         self.assertEqual(len(shard.plan()), 0)
         shard.save()
         self.assertEqual(step_and_list_workers(shard), ["w1"])
@@ -371,7 +371,7 @@
         for _ in range(4):
             shard.step()
         task = next(iter(shard.scheduler.jobs["j"].tasks.values()))
-        reason = shard.scheduler.waits.find_main(name_step(task.task))
+        reason = shard.scheduler.waits.get_main_reason(name_step(task.task))
         self.assertIs(reason, WaitReason.EVACUATED)
 
     def test_backlog_counts_open_workers(self):
--- a/trefoilhook/scheduling/tests/test_foreign_records.py
+++ b/trefoilhook/scheduling/tests/test_foreign_records.py
@@ -81,7 +81,9 @@
             with self.subTest(decode=decode.__name__):
                 decode(data)
         read = decode_interference(SOUND[2][1])
-        self.assertAlmostEqual(read.weigh("a", "f"), learn().weigh("a", "f"), places=3)
+        self.assertAlmostEqual(
+            read.get_weight("a", "f"), learn().get_weight("a", "f"), places=3
+        )
 
     def test_bytes_that_are_none(self):
         for decode, _ in SOUND:
@@ -146,8 +148,8 @@
             return
         self.assertIsInstance(value, JobRecord | Progress | Interference)
         if isinstance(value, Interference):
-            self.assertGreater(value.find_trough("a"), float("-inf"))
-            value.weigh_hopefully("a", "f")
+            self.assertGreater(value.get_trough("a"), float("-inf"))
+            value.get_optimistic_weight("a", "f")
 
 
 if __name__ == "__main__":
--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -15,10 +15,10 @@
 from trefoilhook.scheduling import Demand, Step, StopReason
 from trefoilhook.scheduling import planning as planning_module
 from trefoilhook.scheduling.candidates import Candidates
-from trefoilhook.scheduling.crowds import Crowds
+from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import RunPhase
 from trefoilhook.scheduling.placing import rate_worker
-from trefoilhook.scheduling.rounds import Round
+from trefoilhook.scheduling.rounds import AssignmentRound
 from trefoilhook.scheduling.tests.cases import Shard, build_job, list_starts
 
 _SERVICE = Step(
@@ -50,7 +50,7 @@
 
     def _count_ratings(self) -> int:
         rated = 0
-        add = Candidates.add
+        add = Candidates.add_worker
 
         def count(candidates, worker):
             nonlocal rated
@@ -58,7 +58,7 @@
             add(candidates, worker)
 
         self.shard.pass_time(2000.0)
-        with mock.patch.object(Candidates, "add", count):
+        with mock.patch.object(Candidates, "add_worker", count):
             self.shard.plan()
         return rated
 
@@ -121,19 +121,24 @@
 
     def _compare(self, shard) -> None:
         scheduler = shard.scheduler
-        crowds = Crowds(
+        colocations = ColocationCache(
             jobs=scheduler.jobs,
             interference=scheduler.interference,
             now_ms=shard.now_ms,
         )
-        turn = Round(scheduler=scheduler, crowds=crowds, now_ms=shard.now_ms)
+        assignment_round = AssignmentRound(
+            scheduler=scheduler, colocations=colocations, now_ms=shard.now_ms
+        )
         for state in scheduler.waiting:
             accepted = {
                 worker.report.worker_id
-                for worker in turn.list_open(state)
-                if rate_worker(worker, state, crowds) is not None
+                for worker in assignment_round.list_open(state)
+                if rate_worker(worker, state, colocations) is not None
+            }
+            feasible = {
+                worker.report.worker_id
+                for worker in assignment_round.list_feasible(state)
             }
-            feasible = {worker.report.worker_id for worker in turn.list_feasible(state)}
             self.assertLessEqual(accepted, feasible)
 
 
@@ -148,7 +153,7 @@
     def test_running_tasks_are_not_gone_over(self):
         self.shard.plan()
         with mock.patch.object(
-            planning_module, "_repeat_order", return_value=None
+            planning_module, "_get_due_order", return_value=None
         ) as repeat:
             self.shard.plan()
         self.assertEqual(repeat.call_count, 0)
--- a/trefoilhook/scheduling/tests/test_sharing.py
+++ b/trefoilhook/scheduling/tests/test_sharing.py
@@ -61,8 +61,8 @@
         for _ in range(30):
             _change(model, "s", "heavy", 0.1, 1.2)
             _change(model, "s", "light", 0.1, 0.1)
-        self.assertGreater(model.weigh("s", "heavy"), 8.0)
-        self.assertLess(model.weigh("s", "light"), 3.0)
+        self.assertGreater(model.get_weight("s", "heavy"), 8.0)
+        self.assertLess(model.get_weight("s", "light"), 3.0)
         self.assertTrue(model.is_heavy("s", "heavy"))
         self.assertFalse(model.is_heavy("s", "light"))
 
@@ -77,10 +77,10 @@
             other.learn_base("s", 1.0)
         for image in ("f", "g"):
             self.assertAlmostEqual(
-                read.weigh("s", image), model.weigh("s", image), places=1
+                read.get_weight("s", image), model.get_weight("s", image), places=1
             )
-        self.assertAlmostEqual(read.find_base("s"), model.find_base("s"), places=2)
-        self.assertAlmostEqual(read.find_trough("s"), model.find_trough("s"), places=2)
+        self.assertAlmostEqual(read.get_base("s"), model.get_base("s"), places=2)
+        self.assertAlmostEqual(read.get_trough("s"), model.get_trough("s"), places=2)
 
     def test_pair_learned_long_ago_is_tried_again(self):
         # A filler was heavy once. Nothing else runs beside the service task any more,
@@ -88,10 +88,10 @@
         model = Interference()
         for _ in range(20):
             _change(model, "s", "f", 0.2, 1.6)
-        sure = model.weigh("s", "f") - model.weigh_hopefully("s", "f")
+        sure = model.get_weight("s", "f") - model.get_optimistic_weight("s", "f")
         for _ in range(1500):
             _change(model, "s", "g", 0.1, 0.0)
-        unsure = model.weigh("s", "f") - model.weigh_hopefully("s", "f")
+        unsure = model.get_weight("s", "f") - model.get_optimistic_weight("s", "f")
         self.assertGreater(unsure, sure + 1.5)
 
     def test_change_that_was_to_be_expected_costs_no_step(self):
@@ -99,12 +99,12 @@
         model = Interference()
         for _ in range(60):
             _change(model, "s", "f", 0.3, 2.0)
-        steps, weight = model.steps, model.weigh("s", "f")
+        steps, weight = model.steps, model.get_weight("s", "f")
         _change(model, "s", "f", 0.005, 0.0)
         self.assertEqual(model.steps, steps)
         _change(model, "s", "f", 0.3, 0.5)
         self.assertEqual(model.steps, steps + 2)
-        self.assertLess(model.weigh("s", "f"), weight)
+        self.assertLess(model.get_weight("s", "f"), weight)
 
     def test_slack_table(self):
         for tail_ms, expected in ((0.0, 5.0), (9.0, 2.0), (18.0, 1.0), (180.0, 0.1)):
@@ -117,7 +117,7 @@
         model = Interference()
         for _ in range(40):
             _change(model, "s", "f", 0.3, 2.4)
-        weight = model.weigh("s", "f")
+        weight = model.get_weight("s", "f")
         for _ in range(40):
             model.learn_change(
                 "s",
@@ -126,7 +126,7 @@
                 slack_before=0.05,
                 slack_after=0.05,
             )
-        self.assertGreaterEqual(model.weigh("s", "f"), weight)
+        self.assertGreaterEqual(model.get_weight("s", "f"), weight)
 
 
 class SwingTest(unittest.TestCase):
@@ -141,7 +141,7 @@
         shard.submit(build_job(attrs.evolve(_SERVICE, count=3), job_id="service"))
         services = list_starts(shard.step())
         weights = {"heavy": 9.0, "light": 0.8}
-        lagged = dict.fromkeys(weights, 0.0)
+        lagged_shares = dict.fromkeys(weights, 0.0)
         worker = shard.workers["w0"]
         for number in range(24):
             image = ("heavy", "light")[number % 2]
@@ -150,23 +150,25 @@
             for order in fillers:
                 worker.update(order.task, order.attempt, load=2800.0)
             for _ in range(4):
-                self._swing(shard, services, weights, lagged, bool(fillers) and image)
+                self._swing(
+                    shard, services, weights, lagged_shares, bool(fillers) and image
+                )
             for order in fillers:
                 shard.end(order, EndKind.DONE)
             for _ in range(3):
-                self._swing(shard, services, weights, lagged, "")
+                self._swing(shard, services, weights, lagged_shares, "")
         interference = shard.scheduler.interference
-        self.assertGreater(interference.weigh("s", "heavy"), 6.0)
-        self.assertLess(interference.weigh("s", "light"), 2.0)
+        self.assertGreater(interference.get_weight("s", "heavy"), 6.0)
+        self.assertLess(interference.get_weight("s", "light"), 2.0)
 
-    def _swing(self, shard, services, weights, lagged, image) -> None:
+    def _swing(self, shard, services, weights, lagged_shares, image) -> None:
         """Pass half a second, with an image of fillers at work."""
         shard.pass_time(500.0)
         kept = math.exp(-1.0)
-        for name in lagged:
+        for name in lagged_shares:
             share = 2800.0 / 32_000 if name == image else 0.0
-            lagged[name] = kept * lagged[name] + (1.0 - kept) * share
-        cost = sum(weights[name] * share for name, share in lagged.items())
+            lagged_shares[name] = kept * lagged_shares[name] + (1.0 - kept) * share
+        cost = sum(weights[name] * share for name, share in lagged_shares.items())
         for number, order in enumerate(services):
             swing = 0.9 * math.sin(shard.now_ms / 1600.0 + 2.0 * number)
             tail_ms = 18.0 / max(0.2, 2.5 + swing - cost)
--- a/trefoilhook/scheduling/tests/test_starvation.py
+++ b/trefoilhook/scheduling/tests/test_starvation.py
@@ -11,8 +11,8 @@
 import attrs
 
 from trefoilhook.scheduling import Demand, EndKind, OrderOutcome, PaceOrder, Step
-from trefoilhook.scheduling.crowds import Crowds
-from trefoilhook.scheduling.starvation import STARVED_MS, THROTTLED_PACE
+from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.starvation import STARVATION_DELAY_MS, THROTTLED_PACE
 from trefoilhook.scheduling.tests.cases import Shard, build_job, list_starts
 
 _SERVICE = Step(
@@ -70,7 +70,7 @@
 
     def test_starved_job_gets_one_slowed_task(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
-        self.assertEqual(list_starts(self._wait(STARVED_MS - 300.0)), [])
+        self.assertEqual(list_starts(self._wait(STARVATION_DELAY_MS - 300.0)), [])
         orders = self._wait(1000.0)
         (start,) = list_starts(orders)
         paces = [order for order in orders if isinstance(order, PaceOrder)]
@@ -83,14 +83,14 @@
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         self.shard.plan()
         for task in self.shard.scheduler.waiting:
-            task.held_until_ms = self.shard.now_ms + 2.0 * STARVED_MS
-        self.assertEqual(list_starts(self._wait(1.5 * STARVED_MS)), [])
-        self.assertEqual(len(list_starts(self._wait(STARVED_MS))), 1)
+            task.held_until_ms = self.shard.now_ms + 2.0 * STARVATION_DELAY_MS
+        self.assertEqual(list_starts(self._wait(1.5 * STARVATION_DELAY_MS)), [])
+        self.assertEqual(len(list_starts(self._wait(STARVATION_DELAY_MS))), 1)
 
     def test_it_is_slowed_as_soon_as_its_start_is_confirmed(self):
         # Not with the next look: until its first order it works at full speed.
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
-        self._wait(STARVED_MS - 300.0)
+        self._wait(STARVATION_DELAY_MS - 300.0)
         starts = []
         for _ in range(10):
             starts = starts or list_starts(self.shard.plan())
@@ -101,14 +101,14 @@
 
     def test_next_task_follows_when_the_first_has_ended(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
-        (first,) = list_starts(self._wait(STARVED_MS + 500.0))
+        (first,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         self.shard.end(first, EndKind.DONE)
-        self.assertEqual(len(list_starts(self._wait(STARVED_MS + 500.0))), 1)
+        self.assertEqual(len(list_starts(self._wait(STARVATION_DELAY_MS + 500.0))), 1)
 
     def test_every_starved_job_gets_one(self):
         for number in range(4):
             self.shard.submit(build_job(_filler("f"), job_id=f"batch{number}"))
-        starts = list_starts(self._wait(STARVED_MS + 2000.0))
+        starts = list_starts(self._wait(STARVATION_DELAY_MS + 2000.0))
         self.assertEqual(len({start.task.job_id for start in starts}), 4)
 
     def test_nothing_is_added_on_a_fleet_that_is_half_full(self):
@@ -120,7 +120,7 @@
         others = list_starts(self.shard.step())
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         starts = []
-        for percent in range(round((STARVED_MS + 1000.0) / 100.0)):
+        for percent in range(round((STARVATION_DELAY_MS + 1000.0) / 100.0)):
             for order in others:
                 worker = self.shard.workers[order.worker_id]
                 worker.update(order.task, order.attempt, percent=float(percent))
@@ -132,33 +132,35 @@
         for order in self.services:
             worker = self.shard.workers[order.worker_id]
             worker.update(order.task, order.attempt, load=60.0)
-        self.assertEqual(list_starts(self._wait(STARVED_MS + 1000.0)), [])
+        self.assertEqual(list_starts(self._wait(STARVATION_DELAY_MS + 1000.0)), [])
 
     def test_throttled_task_does_not_return_where_it_failed(self):
         # A worker that fails what it starts would use up the attempts of the job.
         self.shard.submit(build_job(_filler("f", count=1), job_id="batch"))
-        (first,) = list_starts(self._wait(STARVED_MS + 500.0))
+        (first,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         self.shard.end(first, EndKind.FAILED)
-        (second,) = list_starts(self._wait(STARVED_MS + 1000.0))
+        (second,) = list_starts(self._wait(STARVATION_DELAY_MS + 1000.0))
         self.assertNotEqual(second.worker_id, first.worker_id)
 
     def test_light_fillers_still_find_their_places(self):
         _make_heavy(self.shard, "light", 0.2)
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
-        self._wait(STARVED_MS + 1000.0)
+        self._wait(STARVATION_DELAY_MS + 1000.0)
         self.shard.submit(build_job(_filler("light", count=2), job_id="light"))
         self.assertEqual(len(list_starts(self._wait(500.0))), 2)
 
     def test_throttled_task_counts_at_its_pace(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
-        (start,) = list_starts(self._wait(STARVED_MS + 500.0))
+        (start,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         worker = self.shard.scheduler.workers[start.worker_id]
-        crowds = Crowds(
+        colocations = ColocationCache(
             jobs=self.shard.scheduler.jobs,
             interference=self.shard.scheduler.interference,
             now_ms=self.shard.now_ms,
         )
         full = 0.86 * 3000 / _CPU
         self.assertAlmostEqual(
-            crowds.find(worker).shares["f"], full * THROTTLED_PACE / 100.0, places=6
+            colocations.lookup(worker).shares["f"],
+            full * THROTTLED_PACE / 100.0,
+            places=6,
         )
--- a/trefoilhook/scheduling/tests/test_unread.py
+++ b/trefoilhook/scheduling/tests/test_unread.py
@@ -21,7 +21,7 @@
 from trefoilhook.scheduling.fleet import RunPhase
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
 
-_STILL_MS = 10_000.0
+_STALL_TIMEOUT_MS = 10_000.0
 """Well over the time after which an attempt without progress is stopped, in ms."""
 
 
@@ -97,7 +97,7 @@
             build_unread(1),
         ):
             with self.subTest(row=row):
-                shard.pass_time(_STILL_MS)
+                shard.pass_time(_STALL_TIMEOUT_MS)
                 look_with(shard, row)
                 self.assertIn((order.task, order.attempt), worker.runs)
                 self.assertEqual(shard.plan(), [])
@@ -179,7 +179,7 @@
         worker = shard.scheduler.workers["w0"]
         worker.unread_from = 1
         for number in range(2, 253):
-            worker.take_end(number, lambda: True)
+            worker.record_end(number, lambda: True)
         shard.submit(build_job())
         self.assertEqual(acknowledge(worker), 0)
         self.assertEqual(shard.plan(), [])
@@ -214,7 +214,7 @@
         self.assertTrue(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         self.assertEqual(shard.plan(), [])
         for _ in range(2):
-            shard.pass_time(_STILL_MS)
+            shard.pass_time(_STALL_TIMEOUT_MS)
             look_with(shard, build_unread(1, (order.task, order.attempt)))
             self.assertEqual(shard.plan(), [])
         shard.look("w0")
@@ -226,7 +226,7 @@
         # task of the earlier owner may start, however long that takes.
         shard, _ = self._take_over(build_unread(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
-        shard.pass_time(2 * _STILL_MS)
+        shard.pass_time(2 * _STALL_TIMEOUT_MS)
         look_with(shard, UnreadRow(reason="task", is_end=False), build_unread(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         shard.look("w0")
@@ -256,7 +256,7 @@
         row = UnreadRow(reason="task", is_end=False)
         shard.workers["w0"].running.clear()
         for _ in range(3):
-            shard.pass_time(_STILL_MS)
+            shard.pass_time(_STALL_TIMEOUT_MS)
             shard.look("w1")
             look_with(shard, row)
             self.assertIn((order.task, order.attempt), worker.runs)
@@ -272,7 +272,7 @@
         shard.workers["w0"].update(order.task, order.attempt, percent=40.0, load=7.0)
         shard.look("w0")
         shard.workers["w0"].update(order.task, order.attempt, percent=None, load=None)
-        shard.pass_time(_STILL_MS)
+        shard.pass_time(_STALL_TIMEOUT_MS)
         shard.look("w0")
         self.assertEqual((run.percent, run.load), (40.0, 7.0))
         self.assertEqual(shard.plan(), [])
--- a/trefoilhook/scheduling/tests/test_waits.py
+++ b/trefoilhook/scheduling/tests/test_waits.py
@@ -7,7 +7,7 @@
 from trefoilhook.scheduling import Demand, EndKind, ShortfallCounter, Step
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
 from trefoilhook.scheduling.tickets import name_step
-from trefoilhook.scheduling.waits import WaitBook, WaitReason
+from trefoilhook.scheduling.waits import WaitReason, WaitTracker
 
 LARGE = Step(count=1, demand=Demand(cpu=3000, memory_mb=100), estimate_ms=500.0)
 
@@ -20,7 +20,7 @@
         for _ in range(4):
             shard.step()
         task = next(iter(shard.scheduler.jobs[job_id].tasks.values()))
-        return shard.scheduler.waits.find_main(name_step(task.task))
+        return shard.scheduler.waits.get_main_reason(name_step(task.task))
 
     def test_no_worker(self):
         shard = Shard(workers=0)
@@ -35,7 +35,7 @@
     def test_room_in_pieces(self):
         shard = Shard(workers=2, cpu=2000)
         shard.submit(build_job(LARGE))
-        self.assertIs(self.wait(shard), WaitReason.IN_PIECES)
+        self.assertIs(self.wait(shard), WaitReason.FRAGMENTED)
 
     def test_behind_one_that_is_as_large(self):
         shard = Shard(workers=1, cpu=2000)
@@ -53,9 +53,11 @@
         shard.submit(build_job())
         state = shard.scheduler.jobs["j"]
         task = state.find_task(next(iter(shard.scheduler.waiting)).task)
-        shard.scheduler.suspects.suspect(task).take_loss(1, "w", 5000.0, proved=True)
+        shard.scheduler.suspects.get_or_add(task).record_loss(
+            1, "w", 5000.0, proved=True
+        )
         task.held_until_ms = shard.now_ms + 10_000.0
-        self.assertIs(self.wait(shard), WaitReason.APART)
+        self.assertIs(self.wait(shard), WaitReason.ISOLATION)
 
     def test_filler_that_services_do_not_bear(self):
         service = Step(
@@ -73,7 +75,7 @@
         order = shard.start_one()
         shard.workers["w0"].update(order.task, order.attempt, percent=100.0, load=20.0)
         shard.submit(build_job(filler))
-        self.assertIs(self.wait(shard), WaitReason.NOT_BORNE)
+        self.assertIs(self.wait(shard), WaitReason.INTERFERENCE)
 
     def test_start_tells_wait_and_reason(self):
         shard = Shard(workers=1, cpu=2000)
@@ -94,14 +96,14 @@
 
     def test_longest_reason_counts_and_gaps_do_not(self):
         # Guards against a pause of the owner that is told as a lack of room.
-        book = WaitBook()
+        book = WaitTracker()
         step = ("j", 0, 0)
-        book.note(step, WaitReason.NO_ROOM, 0.0)
-        book.note(step, WaitReason.IN_PIECES, 60_000.0)
-        book.note(step, WaitReason.IN_PIECES, 60_300.0)
-        self.assertIs(book.find_main(step), WaitReason.IN_PIECES)
-        book.forget_all_but(set())
-        self.assertIsNone(book.find_main(step))
+        book.record(step, WaitReason.NO_ROOM, 0.0)
+        book.record(step, WaitReason.FRAGMENTED, 60_000.0)
+        book.record(step, WaitReason.FRAGMENTED, 60_300.0)
+        self.assertIs(book.get_main_reason(step), WaitReason.FRAGMENTED)
+        book.retain(set())
+        self.assertIsNone(book.get_main_reason(step))
 
 
 class SlowingTest(unittest.TestCase):
--- a/trefoilhook/scheduling/tickets.py
+++ b/trefoilhook/scheduling/tickets.py
@@ -1,31 +1,32 @@
-"""Tickets of queues whose steps only some workers may run.
+"""Tickets for queues whose steps may run on certain workers only.
 
-A service outside knows which. It is asked for one step and some workers at a time, and
-takes its time for each of them; its answer doesn't change, but the tickets in it lapse.
+An external service decides which workers may run a step. Each request names one step
+and several workers, and takes a time that grows with their number. Decisions are
+permanent, but the tickets expire.
 """
 
 import attrs
 
 from trefoilhook.scheduling.models import TaskId
 
-__all__ = ["AdviceRequest", "Grant", "StepName", "TicketBook", "name_step"]
+__all__ = ["AdviceRequest", "Grant", "StepName", "TicketCache", "name_step"]
 
 StepName = tuple[str, int, int]
-"""Job, occurrence and step."""
+"""Job id, occurrence and step index."""
 
-_MARGIN_MS = 300.0
-"""A ticket isn't used in its last moments, in ms: the order takes a round trip, and one
-without an answer is sent again a few times."""
+_EXPIRY_MARGIN_MS = 300.0
+"""A ticket is not used for this long before it expires: the order takes a round trip,
+and an unanswered one is repeated a few times."""
 
 
 def name_step(task: TaskId) -> StepName:
-    """Return the step that a task belongs to."""
+    """Return the name of the step that a task belongs to."""
     return task.job_id, task.occurrence, task.step
 
 
 @attrs.frozen(kw_only=True)
 class AdviceRequest:
-    """Asks which of some workers may run a step."""
+    """Request to the advice service: which of some workers may run a step."""
 
     step: StepName
     workers: tuple[str, ...]
@@ -33,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class Grant:
-    """The word that a worker may run a step, with the ticket that proves it."""
+    """Permission for a worker to run a step, with the ticket that proves it."""
 
     worker_id: str
     ticket: str
@@ -46,13 +47,13 @@
 
 
 @attrs.define(kw_only=True)
-class TicketBook:
-    """What is known of who may run which step.
+class TicketCache:
+    """Known decisions of the advice service.
 
     Parameters
     ----------
     wanted : dict of StepName to None
-        Steps for which more workers have to be asked about, in the order they came up.
+        Steps that need further workers, in the order of the requests.
     """
 
     wanted: dict[StepName, None] = attrs.Factory(dict)
@@ -60,14 +61,14 @@
     _refused: dict[StepName, set[str]] = attrs.Factory(dict)
 
     def find(self, step: StepName, worker_id: str, now_ms: float) -> str | None:
-        """Return a ticket that a start can be sent with."""
+        """Return a valid ticket for starting a step on a worker, or None."""
         ticket = self._tickets.get(step, {}).get(worker_id)
-        if ticket is None or now_ms > ticket.until_ms - _MARGIN_MS:
+        if ticket is None or now_ms > ticket.until_ms - _EXPIRY_MARGIN_MS:
             return None
         return ticket.text
 
     def is_refused(self, step: StepName, worker_id: str) -> bool:
-        """Tell whether a worker is known not to be allowed to run a step."""
+        """Return whether a worker is known not to be permitted to run a step."""
         return worker_id in self._refused.get(step, ())
 
     def take(
@@ -77,7 +78,7 @@
         *,
         until_ms: float,
     ) -> None:
-        """Take in an answer; who is not in it is refused."""
+        """Record an answer; workers without a grant are refused."""
         tickets = self._tickets.setdefault(request.step, {})
         granted = {grant.worker_id for grant in grants}
         for grant in grants:
@@ -86,11 +87,11 @@
         refused.update(set(request.workers) - granted)
 
     def drop(self, step: StepName, worker_id: str) -> None:
-        """Forget a ticket that a worker has turned down."""
+        """Remove a ticket that a worker has rejected."""
         self._tickets.get(step, {}).pop(worker_id, None)
 
     def forget(self, job_id: str) -> None:
-        """Forget a job that has ended."""
+        """Remove all entries of an ended job."""
         steps = {*self._tickets, *self._refused, *self.wanted}
         for step in [step for step in steps if step[0] == job_id]:
             self._tickets.pop(step, None)
--- a/trefoilhook/scheduling/unread.py
+++ b/trefoilhook/scheduling/unread.py
@@ -1,11 +1,11 @@
-"""What rows of a worker's lists that can't be read keep from being concluded.
-
-An end that can't be read may be that of a task that is done. Two conclusions would have
-it run again: that the attempt is over without an end because no list names it, and that
-the worker may forget the end. Neither is drawn while such a row stands, so its attempt
-holds its task and its room until the row can be read, or the worker's life or its
-leases are proved over. Reading the row as a failure or as a lapse instead would be a
-guess that costs either the work or a second run of it.
+"""Handling of unreadable rows in the lists that a worker reports.
+
+An unreadable end may be that of a completed task. Two conclusions would run the task
+again: that the attempt is over without an end because no list contains it, and that the
+worker may discard the end. Neither is drawn while the row is present: its attempt keeps
+its task and its capacity until the row becomes readable, or until the worker's
+incarnation or its leases are proved to have ended. Treating the row as a failure or as
+an expired lease would either lose the work or repeat it.
 """
 
 from collections.abc import Collection
@@ -14,29 +14,34 @@
 from trefoilhook.scheduling.messages import Look
 from trefoilhook.scheduling.models import TaskId
 
-__all__ = ["is_clogged", "keep_hidden", "names_all", "note_unread"]
+__all__ = [
+    "has_too_many_held_ends",
+    "find_hidden_attempts",
+    "identifies_all_attempts",
+    "record_unread",
+]
 
-_MOST_HELD_ENDS = 250
-"""Ends held back behind one that can't be read past which a worker gets no new task:
-half of the page that a look lists, so that what runs there still finds room on it."""
+_MAX_HELD_ENDS = 250
+"""Number of ends held back by an unreadable one above which a worker gets no new task:
+half of the page of ends in a poll, so that the ends of current runs still fit."""
 
 
-def note_unread(worker: Worker, look: Look) -> None:
-    """Note from which end on nothing may be acknowledged.
+def record_unread(worker: Worker, look: Look) -> None:
+    """Record the number from which ends must not be acknowledged.
 
-    An end without a readable number may be any, so nothing more is acknowledged then.
+    An end without a readable number may be any end, so that none is acknowledged.
     """
     numbers = [row.number or 0 for row in look.unread if row.is_end]
     worker.unread_from = min(numbers, default=None)
 
 
-def keep_hidden(
+def find_hidden_attempts(
     worker: Worker, look: Look, listed: Collection[tuple[TaskId, int]], now_ms: float
 ) -> set[tuple[TaskId, int]]:
-    """Return the attempts that aren't listed but may be meant by an unread row.
+    """Return the unlisted attempts that an unreadable row may refer to.
 
-    They count as making progress, which can't be told: stops to one that stands still
-    would be sent again and again to a worker where it may have ended.
+    They count as progressing, which is unknown: a stalled attempt would otherwise be
+    stopped repeatedly on a worker where it may already have ended.
     """
     named = {row.attempt for row in look.unread}
     hidden = {
@@ -49,11 +54,11 @@
     return hidden
 
 
-def names_all(look: Look) -> bool:
-    """Tell whether every row names its attempt, so that all on the worker are known."""
+def identifies_all_attempts(look: Look) -> bool:
+    """Return whether every unreadable row identifies its attempt."""
     return all(row.attempt is not None for row in look.unread)
 
 
-def is_clogged(worker: Worker) -> bool:
-    """Tell whether too many ends are held back behind one that can't be read."""
-    return worker.unread_from is not None and len(worker.ends_taken) > _MOST_HELD_ENDS
+def has_too_many_held_ends(worker: Worker) -> bool:
+    """Return whether too many ends are held back by an unreadable one."""
+    return worker.unread_from is not None and len(worker.ends_taken) > _MAX_HELD_ENDS
--- a/trefoilhook/scheduling/waits.py
+++ b/trefoilhook/scheduling/waits.py
@@ -1,4 +1,4 @@
-"""Why tasks wait, and for how long, as the line on their start tells."""
+"""Reasons and durations of the waits of tasks, as logged when a task starts."""
 
 import enum
 from collections import Counter
@@ -8,58 +8,59 @@
 from trefoilhook.scheduling.models import Demand
 from trefoilhook.scheduling.tickets import StepName
 
-__all__ = ["FreeRoom", "WaitBook", "WaitReason"]
+__all__ = ["FreeRoom", "WaitTracker", "WaitReason"]
 
-_LONGEST_GAP_MS = 1000.0
-"""Time between two rounds that is still counted as waiting in the first one's state, in
-ms; past it the reason is unknown."""
+_MAX_GAP_MS = 1000.0
+"""Maximum time between two rounds that is counted as waiting for the reason of the
+first one, in ms; the reason is unknown for a longer gap."""
 
 
 class WaitReason(enum.Enum):
-    """Why a task that may start found no place in a round."""
+    """Reason why a due task was not placed in a round."""
 
     NO_WORKER = "no worker"
-    """No worker of its service takes new tasks."""
+    """No worker of its service accepts new tasks."""
 
     EVACUATED = "evacuated"
     """The only workers that could run it are in evacuated failure domains."""
 
     NO_ROOM = "no room"
-    """All workers together have less left than it asks for."""
+    """The total free capacity of all workers is less than its demand."""
 
-    IN_PIECES = "room in pieces"
-    """There is enough left, but not on any one worker that it may go to."""
+    FRAGMENTED = "room in pieces"
+    """The total free capacity is sufficient, but no single eligible worker has
+    enough."""
 
-    NOT_BORNE = "not borne"
-    """It runs on what others leave, and the service tasks wouldn't bear it."""
+    INTERFERENCE = "not borne"
+    """It is a filler, and service tasks on the workers would not tolerate it."""
 
-    BEHIND = "behind others"
-    """Too many like it found no place before it in the round."""
+    ROUND_LIMIT = "behind others"
+    """Too many similar steps before it were infeasible in the round."""
 
-    APART = "kept apart"
-    """It is suspected to crash its workers, and waits for its turn to run alone."""
+    ISOLATION = "kept apart"
+    """It is suspected of crashing its workers and waits to run in isolation."""
 
     OWNER_NEW = "owner new"
-    """The owner doesn't know yet what an earlier one has started."""
+    """The owner does not know yet which tasks an earlier owner has started."""
 
     LIST_STALE = "list stale"
-    """What the store lists of the workers hasn't been read for long."""
+    """The worker entries in the store have not been read for too long."""
 
 
 @attrs.frozen(kw_only=True)
 class FreeRoom:
-    """What the workers that a step may go to have left.
+    """Free capacity of the workers that are eligible for a step.
 
     Parameters
     ----------
     workers : int
-        How many there are.
+        Number of eligible workers.
     total_cpu, total_mb : int
-        Left on all of them, in thousandths of a core and MB.
+        Total free capacity, in thousandths of a core and MB.
     most_mb : int
-        Most memory left on one of them.
+        Maximum free memory of one worker, in MB.
     has_evacuated_workers : bool
-        Whether further such workers are in evacuated failure domains.
+        Whether other eligible workers are in evacuated failure domains.
     """
 
     workers: int
@@ -69,7 +70,7 @@
     has_evacuated_workers: bool = False
 
     def explain(self, demand: Demand, *, filler: bool) -> WaitReason:
-        """Tell why a task that asks for ``demand`` finds no place."""
+        """Return why a task with ``demand`` cannot be placed."""
         if not self.workers:
             return (
                 WaitReason.EVACUATED
@@ -77,39 +78,39 @@
                 else WaitReason.NO_WORKER
             )
         if filler and demand.memory_mb <= self.most_mb:
-            return WaitReason.NOT_BORNE
+            return WaitReason.INTERFERENCE
         if demand.cpu > self.total_cpu or demand.memory_mb > self.total_mb:
             return WaitReason.NO_ROOM
-        return WaitReason.IN_PIECES
+        return WaitReason.FRAGMENTED
 
 
 @attrs.define(kw_only=True)
 class _StepWait:
-    noted_ms: float
+    recorded_ms: float
     reason: WaitReason
     by_reason: Counter[WaitReason] = attrs.Factory(Counter)
 
 
 @attrs.define(kw_only=True)
-class WaitBook:
-    """For how long steps have waited for each reason."""
+class WaitTracker:
+    """Accumulated waiting time of steps by reason."""
 
     _steps: dict[StepName, _StepWait] = attrs.Factory(dict)
 
-    def note(self, step: StepName, reason: WaitReason, now_ms: float) -> None:
-        """Note why tasks of a step found no place in a round."""
+    def record(self, step: StepName, reason: WaitReason, now_ms: float) -> None:
+        """Record why the tasks of a step were not placed in a round."""
         known = self._steps.get(step)
         if known is None:
-            self._steps[step] = _StepWait(noted_ms=now_ms, reason=reason)
+            self._steps[step] = _StepWait(recorded_ms=now_ms, reason=reason)
             return
-        gap_ms = now_ms - known.noted_ms
-        if gap_ms <= _LONGEST_GAP_MS:
+        gap_ms = now_ms - known.recorded_ms
+        if gap_ms <= _MAX_GAP_MS:
             known.by_reason[known.reason] += gap_ms  # type: ignore[assignment]
-        known.noted_ms = now_ms
+        known.recorded_ms = now_ms
         known.reason = reason
 
-    def find_main(self, step: StepName) -> WaitReason | None:
-        """Return what a step has waited for longest, if it has waited."""
+    def get_main_reason(self, step: StepName) -> WaitReason | None:
+        """Return the reason for most of a step's wait, or None if it has not waited."""
         known = self._steps.get(step)
         if known is None:
             return None
@@ -117,7 +118,7 @@
             return known.reason
         return known.by_reason.most_common(1)[0][0]
 
-    def forget_all_but(self, waiting: set[StepName]) -> None:
-        """Forget the steps of which nothing waits any more."""
+    def retain(self, waiting: set[StepName]) -> None:
+        """Remove all steps that are not in ``waiting``."""
         for step in self._steps.keys() - waiting:
             del self._steps[step]
--- a/trefoilhook/scheduling/watchdog.py
+++ b/trefoilhook/scheduling/watchdog.py
@@ -1,65 +1,66 @@
-"""Stops of attempts that should not go on where they are."""
+"""Stops attempts that should not continue on their worker."""
 
-from trefoilhook.scheduling.book import JobState
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
+from trefoilhook.scheduling.job_state import JobState
 from trefoilhook.scheduling.messages import StopReason
 
-__all__ = ["is_halted", "stop_misplaced"]
+__all__ = ["is_migration_candidate", "stop_misplaced"]
 
-_STILL_MS = 4000.0
-"""A task without any progress for so long stands still: the slowest seen on a sound
-worker (5.4 s of work, six times as slow) makes a percent in 330 ms, and a look comes
-every 1.5 s."""
+_STALL_TIMEOUT_MS = 4000.0
+"""Time without progress after which a task is stalled. The slowest observed task on a
+sound worker (5.4 s of work at a sixth of the speed) makes 1 % of progress in 330 ms,
+and polls are at most 1.5 s apart."""
 
-_HALTED_PACE = 40
-"""A filler below this pace, in percent, is better off on a worker where it disturbs
-nobody; one step down from full speed reaches it."""
+_MIGRATION_PACE = 40
+"""Pace below which a filler benefits from another worker, in percent; one reduction
+from full speed reaches it."""
 
-_HALTED_MS = 900.0
-"""How long it waits there, in ms: two looks, in which a passing strain is over."""
+_MIGRATION_DELAY_MS = 900.0
+"""Time below this pace before a filler is moved: two polls, within which a short
+overload passes."""
 
-_AVOID_MS = 6000.0
-"""How long a worker on which a task stood still gets no new task."""
+_STALL_AVOIDANCE_MS = 6000.0
+"""Time for which a worker with a stalled task gets no new task."""
 
 
 def stop_misplaced(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
-    """Have attempts stopped that stand still, or whose worker is about to leave."""
+    """Stop attempts that are stalled or whose worker is about to shut down."""
     for run in worker.runs.values():
         state = scheduler.jobs.get(run.task.job_id)
         if state is None or run.phase is not RunPhase.RUNNING:
             continue
-        if _stands_still(worker, run, state, now_ms):
-            worker.avoid_until_ms = now_ms + _AVOID_MS
+        if _is_stalled(worker, run, state, now_ms):
+            worker.avoid_until_ms = now_ms + _STALL_AVOIDANCE_MS
             scheduler.request_stop(worker, run, StopReason.STANDS_STILL)
         elif worker.report.draining and _should_leave(worker, run, state):
             scheduler.request_stop(worker, run, StopReason.WORKER_LEAVES)
 
 
-def is_halted(run: Run, state: JobState, now_ms: float) -> bool:
-    """Tell whether a filler has been slowed for so long that it may gain by moving."""
+def is_migration_candidate(run: Run, state: JobState, now_ms: float) -> bool:
+    """Return whether a filler has been throttled long enough to be moved."""
     step = state.job.steps[run.task.step]
-    if not (step.filler and step.checkpointing) or run.pace >= _HALTED_PACE:
+    if not (step.filler and step.checkpointing) or run.pace >= _MIGRATION_PACE:
         return False
-    return now_ms - run.slowed_ms > _HALTED_MS
+    return now_ms - run.slowed_ms > _MIGRATION_DELAY_MS
 
 
-def _stands_still(worker: Worker, run: Run, state: JobState, now_ms: float) -> bool:
+def _is_stalled(worker: Worker, run: Run, state: JobState, now_ms: float) -> bool:
     step = state.job.steps[run.task.step]
     if step.long_running and run.percent >= 100:
         return False
     if run.pace < 100 or worker.silence is not None:
         return False
     if step.filler and worker.cpu >= worker.report.capacity.cpu:
-        # A filler without any processor time left over makes no progress.
+        # A filler makes no progress without spare processor time.
         return False
-    if worker.clock_read_ms < run.progressed_ms + _STILL_MS:
+    if worker.clock_read_ms < run.progressed_ms + _STALL_TIMEOUT_MS:
         return False
-    return now_ms - run.progressed_ms > _STILL_MS
+    return now_ms - run.progressed_ms > _STALL_TIMEOUT_MS
 
 
 def _should_leave(worker: Worker, run: Run, state: JobState) -> bool:
-    """Tell whether a task gains by going elsewhere before its worker leaves."""
+    """Return whether a task benefits from moving before its worker shuts down."""
     step = state.job.steps[run.task.step]
     if step.long_running:
         return True
