--- a/trefoilhook/scheduling/crashes.py
+++ b/trefoilhook/scheduling/crashes.py
@@ -48,9 +48,10 @@
 _RETRY_DELAY_MS = 1000.0
 _RETRY_DELAY_GROWTH = 4.0
 _MAX_RETRY_DELAY_MS = 60_000.0
-"""Delay before a strongly suspected task is started again after an unproved loss, in
-ms; it grows by this factor with each such loss. A machine that fails as a whole looks
-the same as a network partition, so that its task is never given up."""
+"""Initial value, growth factor and maximum of the delay before a strongly suspected
+task is started again after an unproved loss, in ms; each such loss increases it. A
+machine that fails as a whole looks the same as a network partition, so that its task is
+never given up."""
 
 _UNPROVED_CAUSES = frozenset(
     {LossCause.CUT_OFF, LossCause.LIST_STALE, LossCause.STILL_LISTED}
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -55,7 +55,8 @@
 block urgent tasks from workers with free processors."""
 
 _AVOIDANCE_PENALTY = 100_000
-"""Penalty that excludes a worker where the task failed, unless there is no other."""
+"""Penalty that excludes a worker where the task failed, unless there is no other. Half
+of it applies to workers outside the rack that holds the input data."""
 
 _MIXED_IMAGE_PENALTY = 50_000
 """Penalty for placing a service task beside one of another image, in thousandths of a
--- a/trefoilhook/scheduling/ranking.py
+++ b/trefoilhook/scheduling/ranking.py
@@ -34,7 +34,7 @@
 
     Long-running tasks follow the others of their priority, which free their capacity
     within a second and have several times their value per core and second. A
-    long-running task that has already run comes first: on a full cluster the capacity
+    long-running task that has already run comes first: on a full fleet the capacity
     that it freed is the only one of its size, and a steady stream of small tasks would
     occupy it permanently.
     """
--- a/trefoilhook/scheduling/starvation.py
+++ b/trefoilhook/scheduling/starvation.py
@@ -1,7 +1,7 @@
 """Starts one throttled task of each batch job that would otherwise starve.
 
 A filler is placed where the service tasks tolerate it at full speed. If no worker runs
-images that tolerate it, there is no such worker even if much of the cluster is idle: on
+images that tolerate it, there is no such worker even if much of the fleet is idle: on
 one day with 24 workers, 258 to 534 fillers waited while 61 % of the processors were
 idle, as each would have cost 0.9 to 1.5 of a slack of 1.5. The cost is proportional to
 the filler's speed. Therefore a job that has waited with nothing running gets one
@@ -26,7 +26,7 @@
 
 STARVATION_DELAY_MS = 5000.0
 """Time without a running task after which a job is starved, in ms. It is about the
-longest wait of a batch job on a busy cluster that still meets its objective; before it,
+longest wait of a batch job on a busy fleet that still meets its objective; before it,
 only the rank of the jobs is decisive."""
 
 THROTTLED_PACE = 5
--- a/trefoilhook/scheduling/tests/cases.py
+++ b/trefoilhook/scheduling/tests/cases.py
@@ -1,4 +1,4 @@
-"""A scheduler, its workers and what they answer, for the tests of this package."""
+"""Scheduler with simulated workers for the tests of this package."""
 
 import attrs
 
@@ -31,7 +31,7 @@
 
 TASK_LEASE_MS = 5000.0
 CLOCK_OFFSET_MS = 40_000.0
-"""How much the workers' clocks are ahead of the owner's, in ms."""
+"""Offset of the workers' clocks from the owner's clock, in ms."""
 
 QUEUE = Queue(
     name="checks",
@@ -48,7 +48,7 @@
 
 
 def build_job(*steps: Step, job_id: str = "j", **fields) -> Job:
-    """Build a job; one small task if no steps are given."""
+    """Build a job with the given steps, or with one small task."""
     values = {"accepted_ms": 100_000.0, **fields}
     return Job(
         job_id=job_id,
@@ -61,7 +61,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeWorker:
-    """A worker that starts what it is told and remembers its ends."""
+    """Simulated worker that executes all start orders and keeps its ends."""
 
     worker_id: str
     running: dict = attrs.Factory(dict)
@@ -69,7 +69,7 @@
     starts: list = attrs.Factory(list)
 
     def look(self, now_ms: float) -> Look:
-        """Answer a look."""
+        """Return the answer to a poll."""
         return Look(
             clock_ms=now_ms + CLOCK_OFFSET_MS,
             running=tuple(self.running.values()),
@@ -77,7 +77,7 @@
         )
 
     def run(self, order: StartOrder) -> None:
-        """Carry an order to start out."""
+        """Execute a start order."""
         self.starts.append(order)
         key = (order.task, order.attempt)
         if key not in {(end.task, end.attempt) for end in self.ends}:
@@ -90,7 +90,7 @@
             )
 
     def end(self, task, attempt: int, kind: EndKind, checkpoint: str = "") -> None:
-        """End what runs."""
+        """End a running attempt."""
         self.running.pop((task, attempt), None)
         number = len(self.ends) + 1
         self.ends.append(
@@ -104,13 +104,13 @@
         )
 
     def update(self, task, attempt: int, **fields) -> None:
-        """Change what is listed of an attempt."""
+        """Change the reported values of a running attempt."""
         key = (task, attempt)
         self.running[key] = attrs.evolve(self.running[key], **fields)
 
 
 class Shard:
-    """A scheduler with its workers, on a time that the test moves."""
+    """Scheduler with simulated workers and a simulated clock."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
             self.add_worker(f"w{number}", cpu=cpu)
 
     def add_worker(self, worker_id: str, *, cpu: int = 4000, **fields) -> None:
-        """Add a worker that has answered once."""
+        """Add a worker and poll it once."""
         self.workers.setdefault(worker_id, FakeWorker(worker_id=worker_id))
         report = WorkerReport(
             worker_id=worker_id,
@@ -155,7 +155,7 @@
         self.look(worker_id)
 
     def look(self, worker_id: str) -> None:
-        """Have one worker looked at."""
+        """Poll one worker."""
         take_look(
             self.scheduler,
             worker_id,
@@ -165,22 +165,22 @@
         )
 
     def look_all(self) -> None:
-        """Have every worker that is known looked at."""
+        """Poll all known workers."""
         for worker_id in list(self.scheduler.workers):
             self.look(worker_id)
 
     def silence(
         self, worker_id: str, outcome: OrderOutcome = OrderOutcome.NO_ANSWER
     ) -> None:
-        """Have a call to a worker fail."""
+        """Simulate a failed call to a worker."""
         self.scheduler.workers[worker_id].note_silence(outcome, self.now_ms)
 
     def pass_time(self, duration_ms: float) -> None:
-        """Move the time on."""
+        """Advance the clock."""
         self.now_ms += duration_ms
 
     def submit(self, job: Job, *, certain: bool = True, **fields) -> None:
-        """Hand a job in."""
+        """Submit a job."""
         self.scheduler.add_job(
             JobRecord(job=job),
             revision=1,
@@ -190,7 +190,7 @@
         )
 
     def plan(self) -> list[Order]:
-        """Make a plan without carrying it out."""
+        """Return the orders of one plan without executing them."""
         if self.reads_entries:
             self.scheduler.entries.note_read(self.now_ms)
         return plan_orders(
@@ -201,7 +201,7 @@
         )
 
     def step(self) -> list[Order]:
-        """Make a plan, carry it out, and look at all workers a moment later."""
+        """Execute the orders of one plan and poll all workers 100 ms later."""
         orders = self.plan()
         for order in orders:
             worker = self.workers[order.worker_id]
@@ -217,7 +217,7 @@
         return orders
 
     def answer(self, order: Order, outcome: OrderOutcome) -> None:
-        """Tell the scheduler what became of an order."""
+        """Report the outcome of an order to the scheduler."""
         take = take_stop_outcome
         if isinstance(order, StartOrder):
             take = take_start_outcome
@@ -231,19 +231,19 @@
         )
 
     def start_one(self) -> StartOrder:
-        """Plan and carry out, and return the only start."""
+        """Run one step and return its only start order."""
         (order,) = [o for o in self.step() if isinstance(o, StartOrder)]
         return order
 
     def end(self, order: StartOrder, kind: EndKind, checkpoint: str = "") -> None:
-        """End what an order started, and have its worker looked at."""
+        """End a started attempt and poll its worker."""
         worker = self.workers[order.worker_id]
         worker.end(order.task, order.attempt, kind, checkpoint)
         self.pass_time(10.0)
         self.look(order.worker_id)
 
     def count_running(self, job_id: str = "j") -> int:
-        """Count what runs of a job, on all workers."""
+        """Return the number of running tasks of a job."""
         return sum(
             task.job_id == job_id
             for worker in self.workers.values()
@@ -251,11 +251,11 @@
         )
 
     def save(self) -> None:
-        """Have everything written."""
+        """Save all changes."""
         for change in collect_changes(self.scheduler):
             confirm_change(self.scheduler, change, revision=9)
 
 
 def list_starts(orders: list[Order]) -> list[StartOrder]:
-    """Keep the orders to start."""
+    """Return the start orders."""
     return [order for order in orders if isinstance(order, StartOrder)]
--- a/trefoilhook/scheduling/tests/crash_cases.py
+++ b/trefoilhook/scheduling/tests/crash_cases.py
@@ -1,4 +1,4 @@
-"""Workers that crash under tasks, on a time that the test moves."""
+"""Simulated workers that crash while they run tasks."""
 
 import random
 
@@ -17,67 +17,67 @@
 from trefoilhook.scheduling.tests.cases import Shard
 from trefoilhook.scheduling.tickets import name_step
 
-MOST_STARTS = 5
-"""After three workers have crashed under it, a task may be started twice more."""
+MAX_STARTS = 5
+"""Maximum number of starts of a crashing task: two after three crashes."""
 
 LOST = OrderOutcome.CONNECTION_LOST
 REFUSED = OrderOutcome.CONNECTION_REFUSED
 
 TICK_MS = 50.0
-_REFUSED_MS = 200.0
-"""A crashed worker is called again after so long, in ms, and refuses the connection."""
+_REFUSAL_DELAY_MS = 200.0
+"""Time after a crash at which a connection to the worker is refused."""
 
-_REBIRTH_MS = 3000.0
-"""Another life answers at a crashed worker's address after so long, in ms."""
+_RESTART_DELAY_MS = 3000.0
+"""Time after a crash at which another incarnation answers at the worker's address."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class _Crash:
     worker_id: str
     at_ms: float
-    is_refused: bool = False
+    has_refused_connection: bool = False
 
 
 class CrashingShard(Shard):
-    """A shard whose workers run tasks that take their time, and crash under some.
+    """Shard with simulated task durations and worker crashes.
 
     Parameters
     ----------
     task_ms : float
-        Time of each task, in ms.
-    onsets : dict of str to float
-        Time from the start to the crash, in ms, by the beginning of a task's name.
+        Duration of each task, in ms.
+    crash_delays : dict of str to float
+        Time from start to crash, in ms, by prefix of the task id.
     crash_rate : float
-        Crashes of a worker for no task's fault, per ms.
+        Rate of worker crashes that no task causes, per ms.
     seed : int
-        Of these.
+        Seed of the random crashes.
     """
 
     def __init__(
         self,
         *,
         task_ms: float = 2000.0,
-        onsets: dict[str, float] | None = None,
+        crash_delays: dict[str, float] | None = None,
         crash_rate: float = 0.0,
         seed: int = 1,
         **fields,
     ) -> None:
         self.task_ms = task_ms
-        self.onsets = onsets if onsets is not None else {}
+        self.crash_delays = crash_delays if crash_delays is not None else {}
         self.crash_rate = crash_rate
-        self.choices = random.Random(seed)
-        self.begun: dict[str, dict[tuple, float]] = {}
+        self.rng = random.Random(seed)
+        self.started_runs: dict[str, dict[tuple, float]] = {}
         self.crashes: list[_Crash] = []
-        self.crashed_under: dict[str, int] = {}
+        self.crash_counts: dict[str, int] = {}
         self.starts: dict[str, int] = {}
-        self.lives = 0
+        self.incarnations = 0
         super().__init__(**fields)
 
     def crash(self, worker_id: str) -> None:
-        """End a worker's process under what runs there."""
-        for task, attempt in self.begun.pop(worker_id, {}):
+        """Crash a worker with all its running tasks."""
+        for task, attempt in self.started_runs.pop(worker_id, {}):
             name = str(task)
-            self.crashed_under[name] = self.crashed_under.get(name, 0) + 1
+            self.crash_counts[name] = self.crash_counts.get(name, 0) + 1
             if self.scheduler.jobs[task.job_id].job.steps[task.step].gang:
                 self._break_gang(task, attempt)
         self.workers[worker_id].running.clear()
@@ -86,38 +86,38 @@
             self.silence(worker_id, OrderOutcome.CONNECTION_LOST)
 
     def _break_gang(self, lost: TaskId, attempt: int) -> None:
-        """End the other members of a gang, as one of them is lost."""
-        for worker_id, runs in self.begun.items():
+        """End the other members of a gang after the loss of one."""
+        for worker_id, runs in self.started_runs.items():
             for task, other in list(runs):
                 if other == attempt and name_step(task) == name_step(lost):
                     self.workers[worker_id].end(task, other, EndKind.PEER_ENDED)
                     del runs[task, other]
 
     def is_crashed(self, worker_id: str) -> bool:
-        """Tell whether a worker's process is gone."""
+        """Return whether a worker has crashed."""
         return any(crash.worker_id == worker_id for crash in self.crashes)
 
     def run_for(self, duration_ms: float) -> None:
-        """Let the shard and its workers go on for a while."""
+        """Simulate the given duration."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.tick()
 
     def tick(self) -> None:
-        """Carry out one plan, and what happens until the next."""
+        """Execute one plan and simulate the time until the next one."""
         self.scheduler.entries.note_read(self.now_ms)
         for order in self.plan():
-            self._carry_out(order)
+            self._execute(order)
         self.save()
         self.pass_time(TICK_MS)
         self._advance()
         for crash in self.crashes:
-            self._follow(crash)
+            self._process_crash(crash)
         for worker_id in list(self.scheduler.workers):
             if not self.is_crashed(worker_id):
                 self.look(worker_id)
 
-    def _carry_out(self, order) -> None:
+    def _execute(self, order) -> None:
         if self.is_crashed(order.worker_id):
             self.answer(order, OrderOutcome.CONNECTION_REFUSED)
             return
@@ -125,52 +125,52 @@
         key = (order.task, getattr(order, "attempt", 0))
         if isinstance(order, StartOrder):
             worker.run(order)
-            self.begun.setdefault(order.worker_id, {})[key] = self.now_ms
+            self.started_runs.setdefault(order.worker_id, {})[key] = self.now_ms
             self.starts[str(order.task)] = self.starts.get(str(order.task), 0) + 1
             self.answer(order, OrderOutcome.DONE)
         elif isinstance(order, StopOrder):
             if key in worker.running:
                 worker.end(order.task, order.attempt, EndKind.STOPPED)
-                self.begun[order.worker_id].pop(key, None)
+                self.started_runs[order.worker_id].pop(key, None)
             self.answer(order, OrderOutcome.DONE)
 
     def _advance(self) -> None:
-        for worker_id, runs in list(self.begun.items()):
-            if self.choices.random() < self.crash_rate * TICK_MS:
+        for worker_id, runs in list(self.started_runs.items()):
+            if self.rng.random() < self.crash_rate * TICK_MS:
                 self.crash(worker_id)
                 continue
             for (task, attempt), began_ms in list(runs.items()):
                 ran_ms = self.now_ms - began_ms
-                if ran_ms >= self._find_onset(str(task)):
+                if ran_ms >= self._get_crash_delay(str(task)):
                     self.crash(worker_id)
                     break
                 if ran_ms >= self.task_ms and self._ends(task):
                     self.workers[worker_id].end(task, attempt, EndKind.DONE)
                     del runs[task, attempt]
 
-    def _find_onset(self, name: str) -> float:
-        found = (ms for key, ms in self.onsets.items() if name.startswith(key))
+    def _get_crash_delay(self, name: str) -> float:
+        found = (ms for key, ms in self.crash_delays.items() if name.startswith(key))
         return min(found, default=float("inf"))
 
     def _ends(self, task) -> bool:
         state = self.scheduler.jobs[task.job_id]
         return not state.job.steps[task.step].long_running
 
-    def _follow(self, crash: _Crash) -> None:
+    def _process_crash(self, crash: _Crash) -> None:
         since_ms = self.now_ms - crash.at_ms
         worker = self.scheduler.workers.get(crash.worker_id)
-        if since_ms >= _REFUSED_MS and not crash.is_refused:
-            crash.is_refused = True
+        if since_ms >= _REFUSAL_DELAY_MS and not crash.has_refused_connection:
+            crash.has_refused_connection = True
             if worker is not None:
                 self.silence(crash.worker_id, OrderOutcome.CONNECTION_REFUSED)
-        if since_ms < _REBIRTH_MS or worker is None:
+        if since_ms < _RESTART_DELAY_MS or worker is None:
             return
         lose_worker(self.scheduler, worker, self.now_ms)
-        self.lives += 1
-        self.add_worker(f"{crash.worker_id}-{self.lives}")
+        self.incarnations += 1
+        self.add_worker(f"{crash.worker_id}-{self.incarnations}")
 
     def list_failed(self) -> list[str]:
-        """Return the jobs that are told to have failed."""
+        """Return the ids of the failed jobs."""
         return [
             job_id
             for job_id, state in self.scheduler.jobs.items()
@@ -179,7 +179,7 @@
 
 
 def crash(shard: Shard, worker_id: str, *, refused: bool = True) -> None:
-    """Have a worker's process end, and another life answer at its address."""
+    """Simulate the crash of a worker and its replacement at the same address."""
     shard.silence(worker_id, LOST)
     shard.pass_time(200.0)
     if refused:
@@ -190,18 +190,18 @@
 
 
 def read_loss(shard: Shard):
-    """Return the last loss that was judged."""
+    """Return the latest recorded loss."""
     return shard.scheduler.suspects.losses[-1]
 
 
 def find_suspicion(shard: Shard, job_id: str = "j") -> Suspicion | None:
-    """Return what speaks against the only task of a job."""
+    """Return the suspicion of the only task of a job, or None."""
     suspicions = shard.scheduler.jobs[job_id].progress.suspicions
     return next(iter(suspicions.values()), None)
 
 
 def start_saved(shard: Shard):
-    """Plan until the record of a suspected task is written and its start goes out."""
+    """Save the record of a suspected task and return its start order."""
     shard.plan()
     shard.save()
     return shard.start_one()
--- a/trefoilhook/scheduling/tests/test_advice.py
+++ b/trefoilhook/scheduling/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Queues whose steps only some workers may run, by the word of a service outside."""
+"""Tests of queues whose steps may run only on workers chosen by an external service."""
 
 import unittest
 
@@ -34,7 +34,7 @@
         self.shard.scheduler.set_configuration(configuration)
         self.shard.submit(build_job(attrs.evolve(SMALL, count=2)))
 
-    def _ask(self) -> AdviceRequest | None:
+    def _choose_request(self) -> AdviceRequest | None:
         chosen = choose_advised(self.shard.scheduler, self.shard.now_ms)
         return chosen[0] if chosen is not None else None
 
@@ -45,50 +45,50 @@
 
     def test_nothing_starts_before_the_answer(self):
         self.assertEqual(list_starts(self.shard.plan()), [])
-        request = self._ask()
+        request = self._choose_request()
         self.assertEqual(request.step, _STEP)
         self.assertEqual(set(request.workers), {"w0", "w1", "w2"})
-        self.assertIsNone(self._ask())
+        self.assertIsNone(self._choose_request())
 
     def test_only_granted_workers_with_their_ticket(self):
         self.shard.plan()
-        self._grant(self._ask(), "w1")
+        self._grant(self._choose_request(), "w1")
         starts = list_starts(self.shard.step())
         self.assertEqual({s.worker_id for s in starts}, {"w1"})
         self.assertEqual({s.ticket for s in starts}, {"t-w1"})
         self.assertEqual(len(starts), 2)
 
-    def test_refused_workers_are_not_asked_about_again(self):
+    def test_refused_workers_are_not_requested_again(self):
         self.shard.plan()
-        self._grant(self._ask())
+        self._grant(self._choose_request())
         self.assertEqual(list_starts(self.shard.plan()), [])
-        self.assertIsNone(self._ask())
+        self.assertIsNone(self._choose_request())
         self.shard.add_worker("w3")
         self.shard.plan()
-        self.assertEqual(self._ask().workers, ("w3",))
+        self.assertEqual(self._choose_request().workers, ("w3",))
 
-    def test_ticket_that_lapses_is_asked_for_anew(self):
-        # All places are taken when the answer comes. By the time there is room the
-        # ticket has lapsed, and a start with it would be turned down.
+    def test_expired_ticket_is_requested_again(self):
+        # Guards against a start with an expired ticket, which would be rejected, when
+        # all workers were full at the time of the answer.
         self.shard.plan()
-        self._grant(self._ask(), "w1")
+        self._grant(self._choose_request(), "w1")
         self.shard.pass_time(_ADVICE.valid_ms)
         self.shard.look_all()
         self.assertEqual(list_starts(self.shard.plan()), [])
-        self.assertEqual(self._ask().workers, ("w1",))
+        self.assertEqual(self._choose_request().workers, ("w1",))
 
-    def test_ticket_turned_down_is_dropped(self):
+    def test_rejected_ticket_is_dropped(self):
         self.shard.plan()
-        self._grant(self._ask(), "w1")
+        self._grant(self._choose_request(), "w1")
         order, _ = list_starts(self.shard.plan())
         self.shard.answer(order, OrderOutcome.NO_TICKET)
         self.shard.pass_time(100.0)
         self.shard.look_all()
         self.assertEqual(list_starts(self.shard.plan()), [])
-        self.assertEqual(self._ask().workers, ("w1",))
+        self.assertEqual(self._choose_request().workers, ("w1",))
 
-    def test_ended_job_leaves_nothing(self):
+    def test_ended_job_leaves_no_ticket(self):
         self.shard.plan()
-        self._grant(self._ask(), "w1")
+        self._grant(self._choose_request(), "w1")
         self.shard.scheduler.cancel_job("j", revision=2)
         self.assertIsNone(self.shard.scheduler.tickets.find(_STEP, "w1", 0.0))
--- a/trefoilhook/scheduling/tests/test_capacity.py
+++ b/trefoilhook/scheduling/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Workers whose capacity shrinks and grows while they run."""
+"""Tests of workers whose capacity shrinks and grows while they run tasks."""
 
 import unittest
 
@@ -16,67 +16,67 @@
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
 
 
-def resize(shard: Shard, worker_id: str, **figures: int) -> None:
-    """Have a worker report another capacity."""
+def set_capacity(shard: Shard, worker_id: str, **changes: int) -> None:
+    """Change the capacity that a worker reports."""
     report = shard.scheduler.workers[worker_id].report
-    capacity = attrs.evolve(report.capacity, **figures)
+    capacity = attrs.evolve(report.capacity, **changes)
     shard.scheduler.update_worker(attrs.evolve(report, capacity=capacity))
 
 
 class ShrinkingTest(unittest.TestCase):
-    """No start takes a worker over the capacity that it reports."""
+    """No start exceeds the reported capacity of a worker."""
 
-    def test_full_worker_takes_nothing_until_it_fits(self):
+    def test_overcommitted_worker_gets_no_task(self):
         shard = Shard(workers=1, cpu=4000)
         shard.submit(build_job(attrs.evolve(SMALL, count=3)))
         shard.step()
-        resize(shard, "w0", cpu=2000)
+        set_capacity(shard, "w0", cpu=2000)
         shard.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(shard.step()), [])
-        resize(shard, "w0", cpu=4000)
+        set_capacity(shard, "w0", cpu=4000)
         self.assertEqual(len(list_starts(shard.step())), 1)
 
-    def test_what_is_being_stopped_still_counts(self):
+    def test_stopping_task_still_counts(self):
         shard = Shard(workers=1, cpu=2000)
         shard.submit(build_job(attrs.evolve(SMALL, count=2)))
         shard.step()
         shard.scheduler.cancel_job("j", revision=2)
-        resize(shard, "w0", cpu=1500)
+        set_capacity(shard, "w0", cpu=1500)
         shard.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(shard.plan()), [])
 
-    def test_unanswered_start_is_not_repeated_where_it_fits_no_more(self):
-        # Guards against a start whose first copy got no answer, and that is carried
-        # out on the next try, when the worker has shrunk.
-        for figures in ({"cpu": 500}, {"memory_mb": 50}):
-            with self.subTest(figures):
+    def test_unanswered_start_is_not_repeated_on_shrunk_worker(self):
+        # Guards against an unanswered start that is executed when it is repeated after
+        # its worker has shrunk.
+        for changes in ({"cpu": 500}, {"memory_mb": 50}):
+            with self.subTest(changes):
                 shard = Shard(workers=1)
                 shard.submit(build_job())
                 (order,) = shard.plan()
                 shard.answer(order, OrderOutcome.NO_ANSWER)
-                resize(shard, "w0", **figures)
+                set_capacity(shard, "w0", **changes)
                 shard.pass_time(150.0)
                 (again,) = shard.plan()
                 self.assertIsInstance(again, StopOrder)
 
-    def test_start_that_never_left_goes_elsewhere(self):
+    def test_unsent_start_moves_to_other_worker(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
-        resize(shard, "w0", cpu=500)
+        set_capacity(shard, "w0", cpu=500)
         self.assertFalse(begin_start(shard.scheduler, order, shard.now_ms))
         shard.answer(order, OrderOutcome.WITHDRAWN)
         shard.add_worker("w1")
         self.assertEqual(shard.start_one().worker_id, "w1")
         self.assertIsNone(shard.scheduler.workers["w0"].silence)
 
-    def test_order_that_waits_for_its_turn_is_looked_at_again(self):
-        # Guards against starts that wait behind many others to be sent, and leave for a
-        # worker that has shrunk meanwhile, or for a job that was cancelled.
+    def test_queued_order_is_checked_again_before_sending(self):
+        # Guards against queued starts that are sent to a worker that has shrunk or for
+        # a job that was cancelled in the meantime.
         shard = Shard(workers=1)
         shard.submit(build_job(attrs.evolve(SMALL, count=4)))
         orders = shard.plan()
-        resize(shard, "w0", cpu=2500)
+        set_capacity(shard, "w0", cpu=2500)
         sent = 0
         for order in orders:
             if begin_start(shard.scheduler, order, shard.now_ms):
@@ -88,25 +88,25 @@
         due = [begin_start(shard.scheduler, order, shard.now_ms) for order in orders]
         self.assertEqual(due, [False] * 4)
 
-    def test_only_what_is_too_much_is_withdrawn(self):
+    def test_only_excess_starts_are_withdrawn(self):
         shard = Shard(workers=1, cpu=4000)
         shard.submit(build_job(attrs.evolve(SMALL, count=4)))
         for order in shard.plan():
             shard.scheduler.workers["w0"].runs[
                 order.task, order.attempt
             ].in_flight = False
-        resize(shard, "w0", cpu=2500)
+        set_capacity(shard, "w0", cpu=2500)
         self.assertEqual(len(list_starts(shard.plan())), 2)
 
-    def test_confirmed_run_goes_on(self):
+    def test_confirmed_run_continues(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
-        resize(shard, "w0", cpu=500)
+        set_capacity(shard, "w0", cpu=500)
         self.assertEqual(shard.step(), [])
         self.assertIn((order.task, order.attempt), shard.workers["w0"].running)
 
-    def test_new_owner_of_a_shrunk_worker_starts_nothing_there(self):
+    def test_new_owner_starts_nothing_on_shrunk_worker(self):
         first = Shard(workers=1, cpu=4000)
         first.submit(build_job(attrs.evolve(SMALL, count=3)))
         first.step()
@@ -117,64 +117,64 @@
         second.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(second.step()), [])
 
-    def test_filler_counts_by_its_memory(self):
+    def test_filler_counts_with_its_memory(self):
         filler = Step(count=1, demand=Demand(cpu=100, memory_mb=3000), filler=True)
         shard = Shard(workers=1)
-        resize(shard, "w0", memory_mb=2000)
+        set_capacity(shard, "w0", memory_mb=2000)
         shard.submit(build_job(filler))
         self.assertEqual(list_starts(shard.step()), [])
 
 
 class ReliefTest(unittest.TestCase):
-    """Work that is too much for a worker goes on elsewhere, if it loses little."""
+    """Excess tasks move to other workers if they lose little."""
 
-    def run_two(self, **fields) -> Shard:
-        """Run two tasks on a worker that shrinks to the room of one."""
+    def run_two_tasks(self, **fields) -> Shard:
+        """Run two tasks on a worker that shrinks to the capacity for one."""
         shard = Shard(workers=1, cpu=2000)
         shard.submit(build_job(attrs.evolve(SMALL, count=2, **fields)))
         shard.step()
-        resize(shard, "w0", cpu=1000)
+        set_capacity(shard, "w0", cpu=1000)
         return shard
 
     def list_stops(self, shard: Shard, duration_ms: float) -> list[StopOrder]:
-        """Pass time, and return the stops that are ordered for want of room."""
+        """Advance, and return the stop orders for lack of capacity."""
         stops: list[StopOrder] = []
         for _ in range(round(duration_ms / 100.0)):
             stops += [each for each in shard.step() if isinstance(each, StopOrder)]
         return [stop for stop in stops if stop.reason is StopReason.NO_ROOM]
 
-    def test_checkpointing_task_moves_where_there_is_room(self):
-        shard = self.run_two(checkpointing=True)
+    def test_checkpointing_task_moves_to_worker_with_capacity(self):
+        shard = self.run_two_tasks(checkpointing=True)
         shard.add_worker("w1")
         self.assertEqual(len(self.list_stops(shard, 3000.0)), 1)
         self.assertEqual(len(shard.workers["w0"].running), 1)
         self.assertEqual(len(shard.workers["w1"].running), 1)
 
-    def test_nothing_moves_at_once_or_without_a_place(self):
-        # Guards against work that is stopped for a capacity that is back in a moment,
-        # or only to wait.
-        shard = self.run_two(checkpointing=True)
+    def test_no_task_moves_immediately_or_without_target(self):
+        # Guards against stopping tasks for a short reduction, or without a worker to
+        # resume on.
+        shard = self.run_two_tasks(checkpointing=True)
         self.assertEqual(self.list_stops(shard, 3000.0), [])
-        shard = self.run_two(checkpointing=True)
+        shard = self.run_two_tasks(checkpointing=True)
         shard.add_worker("w1")
         self.assertEqual(self.list_stops(shard, 1500.0), [])
-        resize(shard, "w0", cpu=2000)
+        set_capacity(shard, "w0", cpu=2000)
         self.assertEqual(self.list_stops(shard, 3000.0), [])
 
-    def test_what_would_lose_its_work_stays(self):
+    def test_task_that_would_lose_work_is_not_moved(self):
         for fields in ({}, {"long_running": True, "checkpointing": True}):
             with self.subTest(fields):
-                shard = self.run_two(**fields)
+                shard = self.run_two_tasks(**fields)
                 shard.add_worker("w1")
                 self.assertEqual(self.list_stops(shard, 3000.0), [])
 
 
 class StaleListTest(unittest.TestCase):
-    """Nothing is started by a list of workers that hasn't been read for long."""
+    """No task is started when the list of workers is out of date."""
 
-    def test_no_start_by_a_stale_list(self):
-        # Guards against a watch that hears nothing while the owner's lease is renewed:
-        # workers shrink, and announce that they leave, without its knowing.
+    def test_nothing_starts_with_stale_list(self):
+        # Guards against a watch that is silent while the owner's lease is renewed:
+        # workers may shrink or announce their shutdown without the owner's knowledge.
         shard = Shard(workers=1)
         shard.reads_entries = False
         shard.scheduler.entries.note_read(shard.now_ms)
--- a/trefoilhook/scheduling/tests/test_contention.py
+++ b/trefoilhook/scheduling/tests/test_contention.py
@@ -1,9 +1,9 @@
-"""Urgent tasks on a worker whose fillers use all that service tasks leave.
+"""Tests of urgent tasks on workers whose spare processor time is used by fillers.
 
-Residents' urgent jobs start within milliseconds, on a worker that has the room. At once
-every service task there answers ten times too late, for as long as the fillers work on:
-they go on using the processors that the urgent tasks reserve. No weight tells of it, as
-none of the fillers disturbs any of the service tasks by itself.
+Urgent tasks start within milliseconds. Unless the fillers are throttled at the same
+time, they continue to use the processors that the urgent tasks have reserved, and the
+tails of all service tasks on the worker reach ten times their limits. The interference
+weights do not show this, as no filler disturbs a service task by itself.
 """
 
 import unittest
@@ -32,7 +32,7 @@
 
 
 class ContentionTest(unittest.TestCase):
-    """A worker of 16 cores: service tasks reserve 8 and use 4, fillers use 8."""
+    """A worker with 16 cores: service tasks reserve 8 and use 4, fillers use 8."""
 
     def setUp(self):
         self.shard = Shard(workers=1, cpu=_CPU)
@@ -56,7 +56,7 @@
             worker.update(order.task, order.attempt, percent=100.0, load=8.0)
 
     def _work(self, duration_ms: float) -> list:
-        """Have the fillers use what they ask for, and return all orders meanwhile."""
+        """Simulate fillers at full use and return all orders."""
         for order in self.fillers:
             worker = self.shard.workers[order.worker_id]
             if (order.task, order.attempt) in worker.running:
@@ -70,12 +70,12 @@
         step = Step(count=1, demand=Demand(cpu=cpu), estimate_ms=640.0)
         self.shard.submit(build_job(step, job_id="urgent"))
 
-    def test_fillers_work_at_full_speed_while_there_is_time(self):
+    def test_fillers_run_at_full_speed_with_spare_cpu(self):
         self.assertEqual(len(self.fillers), 4)
         paces = [o for o in self._work(2000.0) if isinstance(o, PaceOrder)]
         self.assertEqual(paces, [])
 
-    def test_fillers_make_way_in_the_plan_that_starts_an_urgent_task(self):
+    def test_fillers_are_throttled_in_plan_that_starts_urgent_task(self):
         self._submit_urgent(6000)
         orders = self.shard.step()
         self.assertEqual(len(list_starts(orders)), 1)
@@ -85,14 +85,14 @@
         self.assertLessEqual(4000 + 6000 + used, 0.95 * _CPU)
         self.assertGreater(used, 2000)
 
-    def test_fillers_make_way_without_a_look_between(self):
-        # Looks at a worker come half a second apart: tails are ten times up by then.
+    def test_fillers_are_throttled_without_poll_in_between(self):
+        # Polls are 500 ms apart; the tails would have risen tenfold by then.
         self.shard.plan()
         self._submit_urgent(6000)
         paces = [o for o in self.shard.plan() if isinstance(o, PaceOrder)]
         self.assertEqual(len(paces), 4)
 
-    def test_next_urgent_task_slows_them_further_at_once(self):
+    def test_next_urgent_task_throttles_further_immediately(self):
         self._submit_urgent(5500)
         first = [o for o in self.shard.step() if isinstance(o, PaceOrder)]
         self.shard.pass_time(100.0)
@@ -102,7 +102,7 @@
         self.assertEqual(len(second), 4)
         self.assertLess(second[0].percent, first[0].percent)
 
-    def test_fillers_are_let_go_once_the_urgent_task_has_ended(self):
+    def test_fillers_are_sped_up_after_urgent_task(self):
         self._submit_urgent(6000)
         (urgent,) = list_starts(self.shard.step())
         self._work(600.0)
@@ -110,9 +110,9 @@
         paces = [o for o in self._work(600.0) if isinstance(o, PaceOrder)]
         self.assertEqual({order.percent for order in paces}, {100})
 
-    def test_worker_without_fillers_may_be_reserved_whole(self):
-        # Urgent tasks fill a worker beside its service tasks, and no filler is there
-        # to make way: the owner's process ended by itself.
+    def test_worker_without_fillers_may_be_fully_reserved(self):
+        # Guards against a division by zero that ended the owner: urgent tasks reserve a
+        # whole worker on which no filler could be throttled.
         shard = Shard(workers=1, cpu=_CPU)
         light = attrs.evolve(_SERVICE, count=1, demand=Demand(cpu=1000))
         shard.submit(build_job(light, job_id="service"))
@@ -128,13 +128,13 @@
         shard.submit(build_job(attrs.evolve(step, count=1), job_id="more"))
         self.assertEqual(shard.plan(), [])
 
-    def test_no_filler_joins_where_it_would_take_the_last_processors(self):
+    def test_no_filler_is_placed_on_nearly_saturated_worker(self):
         more = attrs.evolve(_FILLER, count=2, demand=Demand(cpu=6000))
         self.shard.submit(build_job(more, job_id="more"))
         self.assertEqual(list_starts(self._work(1000.0)), [])
 
-    def test_urgent_task_goes_where_the_processors_are_idle(self):
-        # Reservations alone would pack it beside the fillers.
+    def test_urgent_task_is_placed_on_idle_worker(self):
+        # By reservations alone it would be packed beside the fillers.
         self.shard.add_worker("w1", cpu=_CPU)
         self._submit_urgent(6000)
         (start,) = list_starts(self.shard.step())
--- a/trefoilhook/scheduling/tests/test_crash_takeovers.py
+++ b/trefoilhook/scheduling/tests/test_crash_takeovers.py
@@ -25,7 +25,7 @@
 )
 from trefoilhook.scheduling.tests.crash_cases import (
     LOST,
-    MOST_STARTS,
+    MAX_STARTS,
     REFUSED,
     crash,
     find_suspicion,
@@ -35,10 +35,10 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """The count outlives its owner, and writes that are lost."""
+    """Crash counts survive a change of owner and lost writes."""
 
     def take_over(self, first: Shard, *, workers: tuple[str, ...]) -> Shard:
-        """Return the next owner's shard, by what the store holds of the job."""
+        """Return the shard of the next owner, loaded from the saved job."""
         state = first.scheduler.jobs["j"]
         stored = decode_progress(encode_progress(state.progress))
         second = Shard(workers=0, epoch=first.scheduler.epoch + 1, settled=False)
@@ -52,25 +52,26 @@
         return second
 
     def start_first(self) -> tuple[Shard, str]:
-        """Start a task under a first owner, and return where it runs."""
+        """Start a task under a first owner and return its worker."""
         shard = Shard(workers=2)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
         return shard, shard.start_one().worker_id
 
     def find_other(self, worker_id: str) -> str:
-        """Return the other one of two workers."""
+        """Return the other of two workers."""
         return "w1" if worker_id == "w0" else "w0"
 
-    def test_counted_crash_is_known_to_the_next_owner(self):
+    def test_counted_crash_is_known_to_next_owner(self):
         first, worker_id = self.start_first()
         crash(first, worker_id)
         second = self.take_over(first, workers=(self.find_other(worker_id),))
         self.assertEqual(find_suspicion(second).crashes, 1)
         self.assertEqual(find_suspicion(second).odds, find_suspicion(first).odds)
 
-    def test_crash_whose_owner_dies_before_its_proof_is_counted(self):
-        # The worker's process ends; its owner is lost before another life answers.
+    def test_crash_is_counted_if_owner_dies_before_proof(self):
+        # The worker's process ends, and its owner is lost before another incarnation
+        # answers.
         first, worker_id = self.start_first()
         first.silence(worker_id, LOST)
         first.pass_time(200.0)
@@ -83,7 +84,7 @@
         self.assertEqual(find_suspicion(second).crashes, 1)
         self.assertIs(read_loss(second).cause, LossCause.CRASHED)
 
-    def test_note_of_a_worker_that_lives_counts_for_nothing(self):
+    def test_record_of_living_worker_has_no_effect(self):
         first, worker_id = self.start_first()
         first.silence(worker_id, LOST)
         first.silence(worker_id, REFUSED)
@@ -94,7 +95,7 @@
         suspicion = find_suspicion(second)
         self.assertEqual(suspicion.crashes if suspicion is not None else 0, 0)
 
-    def test_note_is_taken_back_when_the_worker_answers(self):
+    def test_record_is_removed_when_worker_answers(self):
         shard, worker_id = self.start_first()
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
@@ -104,8 +105,8 @@
         shard.look(worker_id)
         self.assertIsNone(find_suspicion(shard))
 
-    def test_recorded_start_on_a_worker_that_is_gone_is_doubtful(self):
-        # Only where the start was ordered is known, not how the worker ended.
+    def test_recorded_start_on_removed_worker_is_unproved_loss(self):
+        # The worker of the start is known, but not how the worker ended.
         first, worker_id = self.start_first()
         crash(first, worker_id)
         order = start_saved(first)
@@ -117,7 +118,7 @@
         self.assertEqual(find_suspicion(second).unproved_losses, 1)
         self.assertNotEqual(order.worker_id, worker_id)
 
-    def test_recorded_start_on_a_worker_that_drained_counts_for_nothing(self):
+    def test_recorded_start_on_drained_worker_has_no_effect(self):
         first, worker_id = self.start_first()
         crash(first, worker_id)
         order = start_saved(first)
@@ -150,9 +151,9 @@
         self.assertIs(read_loss(second).cause, LossCause.DRAINED)
         self.assertEqual(find_suspicion(second).unproved_losses, 0)
 
-    def test_run_of_an_earlier_owner_keeps_its_age(self):
-        # Guards against a watcher that seems to have just started when its worker
-        # crashes, only because its owner has just changed.
+    def test_adopted_run_keeps_its_age(self):
+        # Guards against taking an adopted long-running task for one that has just
+        # started when its worker crashes.
         step = attrs.evolve(SMALL, long_running=True)
         first = Shard(workers=1)
         first.submit(build_job(step))
@@ -164,8 +165,8 @@
         suspicion = find_suspicion(second)
         self.assertTrue(suspicion is None or suspicion.odds < STRONG_ODDS)
 
-    def test_bystanders_of_a_crash_take_no_write(self):
-        # Guards against a burst of writes at each crash of a worker with many tasks.
+    def test_bystanders_of_crash_cause_no_write(self):
+        # Guards against a burst of writes when a worker with many tasks crashes.
         shard = Shard(workers=1, cpu=8000)
         shard.submit(build_job(attrs.evolve(SMALL, count=4), job_id="b"))
         shard.step()
@@ -209,36 +210,36 @@
         crash(shard, "w1")
         self.assertEqual(find_suspicion(shard).crashes, 2)
 
-    def test_loss_without_proof_counts_for_little(self):
+    def test_unproved_loss_has_limited_weight(self):
         suspicion = Suspicion()
         suspicion.record_loss(1, "w", 5000.0, proved=False)
         self.assertLess(suspicion.odds, STRONG_ODDS)
         self.assertEqual(suspicion.crashes, 0)
 
-    def test_fifth_crash_ends_it_whatever_the_odds(self):
-        # Guards against a task that crashes its workers late, and seldom enough to be
-        # taken for a bystander, without end.
+    def test_fifth_crash_fails_job_at_any_odds(self):
+        # Guards against a task that crashes its workers late and rarely, so that it
+        # always appears to be a bystander.
         suspicion = Suspicion()
-        for attempt in range(1, MOST_STARTS):
+        for attempt in range(1, MAX_STARTS):
             suspicion.record_loss(attempt, "w", 2.5, proved=True)
         self.assertFalse(suspicion.is_crash_loop())
-        suspicion.record_loss(MOST_STARTS, "w", 2.5, proved=True)
+        suspicion.record_loss(MAX_STARTS, "w", 2.5, proved=True)
         self.assertTrue(suspicion.is_crash_loop())
 
-    def test_crash_is_counted_once_however_often_it_is_told(self):
+    def test_repeated_report_of_crash_counts_once(self):
         suspicion = Suspicion()
         for _ in range(3):
             suspicion.record_loss(7, "w", 50.0, proved=True)
         self.assertEqual(suspicion.crashes, 1)
 
     def test_record_round_trip_and_size(self):
-        # Guards against a record that grows with the crashes of a chaotic day.
+        # Guards against a record that grows with the number of crashes.
         progress = Progress()
         for index in range(500):
             suspicion = Suspicion(attempt=index + 1, workers=["w" * 20], ran_ms=12.5)
             suspicion.record_loss(1, "w" * 20, 3.0 + index, proved=True)
-            for doubt in range(30):
-                suspicion.record_loss(doubt + 2, "w" * 20, 3.0, proved=False)
+            for number in range(30):
+                suspicion.record_loss(number + 2, "w" * 20, 3.0, proved=False)
             progress.suspicions[0, 0, index] = suspicion
         data = encode_progress(progress)
         self.assertLess(len(data), 64 * 1024)
@@ -246,7 +247,7 @@
         strongest = read.suspicions[0, 0, 499]
         self.assertEqual(strongest, progress.suspicions[0, 0, 499])
 
-    def test_progress_without_suspicions_reads_as_before(self):
+    def test_progress_without_suspicions_is_unchanged(self):
         data = b'{"done":{"0.0":[1]},"failed":{},"checkpoints":{}}'
         self.assertEqual(encode_progress(decode_progress(data)), data)
 
--- a/trefoilhook/scheduling/tests/test_crashes.py
+++ b/trefoilhook/scheduling/tests/test_crashes.py
@@ -40,27 +40,27 @@
 )
 
 
-def get_weight(exposures: list[Exposure]) -> list[float]:
-    """Weigh a crash where workers seldom crash by themselves."""
+def compute_ratios(exposures: list[Exposure]) -> list[float]:
+    """Return the evidence of a crash at the prior rate of unexplained crashes."""
     return weigh_crash(exposures, CrashRate().estimate())[0]
 
 
-class WeighingTest(unittest.TestCase):
-    """What a crash tells of the tasks that ran there."""
+class CrashEvidenceTest(unittest.TestCase):
+    """Evidence of a crash against the tasks that were running."""
 
-    def test_prompt_crash_of_a_lone_task_speaks_against_it(self):
-        (ratio,) = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)])
+    def test_early_crash_of_single_task_makes_it_suspect(self):
+        (ratio,) = compute_ratios([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)])
         self.assertGreater(PRIOR_ODDS * ratio, STRONG_ODDS)
 
-    def test_suspects_share_the_blame(self):
-        ratios = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)] * 6)
+    def test_suspects_share_probability(self):
+        ratios = compute_ratios([Exposure(odds=PRIOR_ODDS, ran_ms=10.0)] * 6)
         total = sum(PRIOR_ODDS * r / (1 + PRIOR_ODDS * r) for r in ratios)
         self.assertLess(total, 1.0)
         self.assertGreater(total, 0.5)
 
-    def test_strong_suspect_explains_a_crash_away(self):
-        # Guards against a bystander that is blamed at each crash of its neighbour.
-        culprit, bystander = get_weight(
+    def test_strong_suspect_exonerates_bystander(self):
+        # Guards against blaming a bystander at each crash caused by its neighbour.
+        culprit, bystander = compute_ratios(
             [
                 Exposure(odds=1.0, ran_ms=10.0),
                 Exposure(odds=PRIOR_ODDS, ran_ms=500.0),
@@ -69,48 +69,48 @@
         self.assertGreater(culprit, 100.0)
         self.assertLess(bystander, 1.0)
 
-    def test_task_that_has_run_for_minutes_is_cleared(self):
-        (ratio,) = get_weight([Exposure(odds=PRIOR_ODDS, ran_ms=300_000.0)])
+    def test_task_that_ran_for_minutes_is_exonerated(self):
+        (ratio,) = compute_ratios([Exposure(odds=PRIOR_ODDS, ran_ms=300_000.0)])
         self.assertLess(ratio, 0.01)
 
-    def test_crashes_without_a_cause_explain_more_of_the_next(self):
-        # Guards against a task that is given up while a rack takes its workers down.
+    def test_unexplained_crashes_raise_expected_rate(self):
+        # Guards against giving up a task while a rack failure takes its workers down.
         exposure = Exposure(odds=PRIOR_ODDS, ran_ms=500.0)
         rate = CrashRate()
         rate.update(24, 0.0)
-        calm, unexplained = weigh_crash([exposure], rate.estimate())
+        low_rate_ratios, unexplained = weigh_crash([exposure], rate.estimate())
         for _ in range(10):
             rate.add_unexplained(unexplained)
         rate.update(24, 1000.0)
-        shaken, _ = weigh_crash([exposure], rate.estimate())
-        self.assertLess(shaken[0], calm[0] / 5.0)
+        high_rate_ratios, _ = weigh_crash([exposure], rate.estimate())
+        self.assertLess(high_rate_ratios[0], low_rate_ratios[0] / 5.0)
         rate.update(24, 600_000.0)
         self.assertEqual(rate.estimate(), CrashRate().estimate())
 
-    def test_slowing_makes_no_difference(self):
-        # A throttled run takes twenty times as long to its crash, and so do others: as
-        # much is to be expected of it in the first 200 ms as of others in 10 ms.
+    def test_survival_is_independent_of_throttling(self):
+        # A throttled run takes 20 times as long until it crashes, so that its first 200
+        # ms have the same probability of a crash as the first 10 ms at full speed.
         quick = compute_survival(10.0) - compute_survival(20.0)
         slowed = compute_survival(200.0) - compute_survival(400.0)
         self.assertAlmostEqual(quick, slowed)
 
 
 class ProofTest(unittest.TestCase):
-    """A lost worker proves a crash only if it can't be anything else."""
+    """A lost worker proves a crash only if all other explanations are ruled out."""
 
     def start(self, **fields) -> tuple[Shard, str]:
-        """Start one task, and return where it runs."""
+        """Start one task and return its worker."""
         shard = Shard(**fields)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
         return shard, shard.start_one().worker_id
 
     def lose(self, shard: Shard, worker_id: str) -> None:
-        """Have another life answer at a worker's address."""
+        """Simulate another incarnation at a worker's address."""
         lose_worker(shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms)
 
     def check(self, shard: Shard, cause: LossCause) -> None:
-        """Check what the loss was taken for, and that only a crash is counted."""
+        """Check the cause of the loss, and that only crashes are counted."""
         self.assertIs(read_loss(shard).cause, cause)
         suspicion = find_suspicion(shard)
         crashes = suspicion.crashes if suspicion is not None else 0
@@ -122,23 +122,24 @@
         crash(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def test_crash_behind_busy_connections_is_one(self):
-        # Guards against a crash that is taken for a cut, as the first call that failed
-        # had only found all connections of its own side in use.
+    def test_crash_after_exhausted_connections_is_crash(self):
+        # Guards against taking a crash for a partition because the first failed call
+        # only found all local connections in use.
         shard, worker_id = self.start()
         shard.silence(worker_id, OrderOutcome.CONNECTIONS_BUSY)
         shard.pass_time(50.0)
         crash(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def test_crash_between_two_looks_is_one(self):
-        # No call was under way when the process ended: the next one finds another life.
+    def test_crash_between_two_polls_is_crash(self):
+        # No call was in flight when the process ended; the next one reaches another
+        # incarnation.
         shard, worker_id = self.start()
         self.lose(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def test_cut_is_none(self):
-        # Guards against a worker behind a cut that counts as crashed when it is reborn.
+    def test_partition_is_no_crash(self):
+        # Guards against counting a partition as a crash when the worker restarts.
         shard, worker_id = self.start()
         shard.silence(worker_id)
         shard.pass_time(1500.0)
@@ -146,7 +147,7 @@
         self.lose(shard, worker_id)
         self.check(shard, LossCause.CUT_OFF)
 
-    def test_rebirth_behind_a_long_cut_tells_nothing(self):
+    def test_restart_during_long_partition_is_no_evidence(self):
         shard, worker_id = self.start()
         shard.silence(worker_id)
         shard.pass_time(2.0 * TASK_LEASE_MS)
@@ -155,8 +156,9 @@
         self.check(shard, LossCause.LEASES_OVER)
         self.assertIsNone(find_suspicion(shard))
 
-    def test_rebirth_behind_a_cut_that_refuses_is_none(self):
-        # The cut resets connections, as a crash does; the entry stays too long for one.
+    def test_restart_during_partition_that_refuses_is_no_crash(self):
+        # The partition resets connections as a crash does, but the entry remains too
+        # long.
         shard, worker_id = self.start()
         shard.scheduler.workers[worker_id].lease_until_ms += 10_000.0
         shard.silence(worker_id, LOST)
@@ -166,7 +168,7 @@
         self.lose(shard, worker_id)
         self.check(shard, LossCause.STILL_LISTED)
 
-    def test_crash_after_the_leases_lapsed_is_none_of_the_tasks(self):
+    def test_crash_after_lease_expiry_is_not_attributed(self):
         shard, worker_id = self.start()
         shard.pass_time(2.0 * TASK_LEASE_MS)
         shard.silence(worker_id, LOST)
@@ -174,8 +176,8 @@
         self.lose(shard, worker_id)
         self.check(shard, LossCause.LEASES_OVER)
 
-    def test_announced_stop_is_none(self):
-        # Guards against a drained or reclaimed worker that counts as crashed.
+    def test_announced_shutdown_is_no_crash(self):
+        # Guards against counting a drained or reclaimed worker as crashed.
         for remaining_ms in (0.0, 2000.0):
             with self.subTest(remaining_ms=remaining_ms):
                 shard, worker_id = self.start()
@@ -186,8 +188,8 @@
                 crash(shard, worker_id)
                 self.check(shard, LossCause.DRAINED)
 
-    def test_stop_announced_in_an_outage_is_none(self):
-        # The store is away: a worker may have announced its stop without us knowing.
+    def test_possible_shutdown_during_store_outage_is_no_crash(self):
+        # The store is unavailable, so that an announced shutdown may be unknown.
         shard, worker_id = self.start()
         shard.pass_time(3000.0)
         shard.look(worker_id)
@@ -196,9 +198,9 @@
         self.lose(shard, worker_id)
         self.check(shard, LossCause.LIST_STALE)
 
-    def test_list_read_a_second_ago_rules_a_planned_stop_out(self):
-        # Guards against a crash that isn't counted because the watch of a quiet list is
-        # answered only each second.
+    def test_recent_read_rules_out_planned_shutdown(self):
+        # Guards against ignoring a crash because the watch of an unchanged list is
+        # answered only once a second.
         shard, worker_id = self.start()
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.pass_time(1100.0)
@@ -206,8 +208,8 @@
         self.lose(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def lapse_unlisted(self, shard: Shard, worker_id: str) -> None:
-        """Have a worker's entry go and its leases lapse."""
+    def expire_unlisted(self, shard: Shard, worker_id: str) -> None:
+        """Let a worker's entry and its leases expire."""
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
         shard.scheduler.unlist_worker(worker_id)
@@ -216,13 +218,13 @@
             shard.scheduler.entries.note_read(shard.now_ms)
         release_lapsed(shard.scheduler, shard.now_ms)
 
-    def test_ended_process_that_never_comes_back_is_a_crash(self):
+    def test_ended_process_without_restart_is_crash(self):
         shard, worker_id = self.start()
-        self.lapse_unlisted(shard, worker_id)
+        self.expire_unlisted(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def test_entry_that_went_in_an_outage_proves_nothing(self):
-        # Entries lapse while the store is away, and are back within two seconds.
+    def test_entry_lost_during_store_outage_is_no_evidence(self):
+        # Entries expire while the store is unavailable, and are restored within 2 s.
         shard, worker_id = self.start()
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
@@ -233,25 +235,25 @@
         release_lapsed(shard.scheduler, shard.now_ms)
         self.check(shard, LossCause.LIST_STALE)
 
-    def test_worker_that_comes_back_takes_its_crash_back(self):
-        # Guards against a worker cut off from everybody, its connections refused, that
-        # counts as crashed for good.
+    def test_returning_worker_retracts_crash(self):
+        # Guards against permanently counting a partitioned worker, whose connections
+        # are refused, as crashed.
         shard, worker_id = self.start()
-        self.lapse_unlisted(shard, worker_id)
+        self.expire_unlisted(shard, worker_id)
         self.assertEqual(find_suspicion(shard).crashes, 1)
         shard.add_worker(worker_id)
         self.assertIsNone(find_suspicion(shard))
 
-    def test_late_report_of_a_crashed_worker_takes_nothing_back(self):
-        # Guards against a crash that is forgotten because the last report of the dead
-        # process reaches the store after the next life has answered.
+    def test_late_report_of_crashed_worker_retracts_nothing(self):
+        # Guards against forgetting a crash because the last report of the dead process
+        # reaches the store after the next incarnation has answered.
         shard, worker_id = self.start()
         report = shard.scheduler.workers[worker_id].report
         crash(shard, worker_id)
         shard.scheduler.update_worker(report)
         self.assertEqual(find_suspicion(shard).crashes, 1)
 
-    def test_start_that_never_left_is_no_suspect(self):
+    def test_unsent_start_is_no_suspect(self):
         shard = Shard(workers=1)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
@@ -260,9 +262,9 @@
         self.lose(shard, order.worker_id)
         self.assertEqual(shard.scheduler.suspects.losses, [])
 
-    def test_start_that_waits_to_be_sent_is_no_suspect(self):
-        # Guards against the blame of tasks whose starts wait behind many others while
-        # their worker crashes.
+    def test_queued_start_is_no_suspect(self):
+        # Guards against blaming tasks whose start orders were still queued when their
+        # worker crashed.
         shard = Shard(workers=1)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job(attrs.evolve(SMALL, count=2)))
@@ -272,7 +274,7 @@
         (suspect,) = read_loss(shard).suspects
         self.assertEqual(suspect.task, first.task)
 
-    def test_time_before_a_start_is_sent_does_not_count(self):
+    def test_time_before_start_is_sent_does_not_count(self):
         shard = Shard(workers=1)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
@@ -286,8 +288,8 @@
         (suspect,) = read_loss(shard).suspects
         self.assertEqual(suspect.ran_ms, 10.0)
 
-    def test_start_refused_by_the_next_life_is_no_suspect(self):
-        # A late order reaches a life for which it wasn't meant: it starts nothing.
+    def test_start_refused_by_next_incarnation_is_no_suspect(self):
+        # A late order reaches another incarnation, which does not execute it.
         shard = Shard(workers=1)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
@@ -296,8 +298,8 @@
         self.assertEqual(shard.scheduler.suspects.losses, [])
 
     def test_unanswered_start_is_a_suspect(self):
-        # The worker's process ended before it could answer; or it carries the start out
-        # late, and ends then.
+        # The worker's process may have ended before it could answer, or may execute the
+        # order late and end then.
         shard = Shard(workers=1)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
@@ -306,7 +308,7 @@
         self.lose(shard, order.worker_id)
         self.check(shard, LossCause.CRASHED)
 
-    def test_slow_worker_clock_makes_no_crash_of_a_lapse(self):
+    def test_lease_expiry_on_slow_clock_is_no_crash(self):
         shard, worker_id = self.start()
         worker = shard.scheduler.workers[worker_id]
         worker.clock_ms = shard.now_ms + CLOCK_OFFSET_MS
@@ -319,9 +321,9 @@
 
 
 class SurvivalTest(unittest.TestCase):
-    """Runs that go on without a crash clear their task."""
+    """Runs that continue without a crash exonerate their task."""
 
-    def test_bystander_that_completes_is_forgotten(self):
+    def test_suspicion_of_completed_bystander_is_removed(self):
         shard = Shard(workers=2)
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(
--- a/trefoilhook/scheduling/tests/test_foreign_records.py
+++ b/trefoilhook/scheduling/tests/test_foreign_records.py
@@ -1,4 +1,4 @@
-"""Records that another writer left: read whole or refused."""
+"""Tests of records written by other processes: decoded completely or rejected."""
 
 import json
 import unittest
@@ -37,8 +37,8 @@
 )
 
 
-def learn() -> Interference:
-    """Learn a little."""
+def build_model() -> Interference:
+    """Return a model with a few observations."""
     interference = Interference()
     interference.learn_base("a", 2.0)
     interference.learn_change(
@@ -47,46 +47,50 @@
     return interference
 
 
-SOUND: tuple[tuple[Callable[[bytes], Any], bytes], ...] = (
+VALID_RECORDS: tuple[tuple[Callable[[bytes], Any], bytes], ...] = (
     (decode_job_record, encode_job_record(JobRecord(job=JOB))),
     (decode_progress, encode_progress(PROGRESS)),
-    (decode_interference, encode_interference(learn())),
+    (decode_interference, encode_interference(build_model())),
 )
 
 
 @st.composite
-def spoil(draw: Any, data: bytes) -> bytes:
-    """Change one value at any depth of a sound record to anything."""
-    whole = json.loads(data)
-    place = whole
+def modify_record(draw: Any, data: bytes) -> bytes:
+    """Change one value or key at any depth of a valid record."""
+    record = json.loads(data)
+    container = record
     while True:
-        names = list(place) if isinstance(place, dict) else list(range(len(place)))
+        names = (
+            list(container)
+            if isinstance(container, dict)
+            else list(range(len(container)))
+        )
         name = draw(st.sampled_from(names))
-        inner = place[name]
-        if not isinstance(inner, dict | list) or not inner or draw(st.booleans()):
+        child = container[name]
+        if not isinstance(child, dict | list) or not child or draw(st.booleans()):
             break
-        place = inner
-    if isinstance(place, dict) and draw(st.booleans()):
-        place[draw(st.text(max_size=5))] = place.pop(name)
+        container = child
+    if isinstance(container, dict) and draw(st.booleans()):
+        container[draw(st.text(max_size=5))] = container.pop(name)
     else:
-        place[name] = draw(VALUES)
-    return json.dumps(whole).encode()
+        container[name] = draw(VALUES)
+    return json.dumps(record).encode()
 
 
-class ForeignRecordTest(unittest.TestCase):
-    """What isn't as it was written."""
+class InvalidRecordTest(unittest.TestCase):
+    """Decoding of valid and invalid records."""
 
-    def test_sound_records(self):
-        for decode, data in SOUND:
+    def test_valid_records(self):
+        for decode, data in VALID_RECORDS:
             with self.subTest(decode=decode.__name__):
                 decode(data)
-        read = decode_interference(SOUND[2][1])
+        read = decode_interference(VALID_RECORDS[2][1])
         self.assertAlmostEqual(
-            read.get_weight("a", "f"), learn().get_weight("a", "f"), places=3
+            read.get_weight("a", "f"), build_model().get_weight("a", "f"), places=3
         )
 
-    def test_bytes_that_are_none(self):
-        for decode, _ in SOUND:
+    def test_invalid_bytes(self):
+        for decode, _ in VALID_RECORDS:
             for data in (b"", b"\xff", b"[]", b"null", NESTED):
                 with (
                     self.subTest(decode=decode.__name__, data=data[:9]),
@@ -94,10 +98,11 @@
                 ):
                     decode(data)
 
-    def test_refused_records(self):
-        # Each would be taken as far as it goes: an order of steps that never comes
-        # true, a count that isn't one, a task that is done under no name.
-        job = json.loads(SOUND[0][1])
+    def test_invalid_records(self):
+        # Guards against partial decoding: each record contains a single invalid value,
+        # such as an impossible order of steps, a count that is not a number, or an
+        # invalid task key.
+        job = json.loads(VALID_RECORDS[0][1])
         table = (
             (decode_job_record, {**job, "phase": "paused"}),
             (decode_job_record, {**job, "phase": None}),
@@ -132,13 +137,17 @@
                 decode(json.dumps(value).encode())
 
     def _change(self, record: Any, **fields: Any) -> Any:
-        """Change the first step of a record."""
+        """Change fields of the first step of a record."""
         job = record["job"]
         steps = [{**job["steps"][0], **fields}, *job["steps"][1:]]
         return {**record, "job": {**job, "steps": steps}}
 
     @settings(derandomize=True, deadline=None, max_examples=300)
-    @given(st.one_of(*(st.tuples(st.just(d), spoil(data)) for d, data in SOUND)))
+    @given(
+        st.one_of(
+            *(st.tuples(st.just(d), modify_record(data)) for d, data in VALID_RECORDS)
+        )
+    )
     @example((decode_progress, b'{"done":{"0.0":[1' + b"0" * 400 + b"]}}"))
     def test_any_record(self, case: Any):
         decode, data = case
--- a/trefoilhook/scheduling/tests/test_orders.py
+++ b/trefoilhook/scheduling/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders without an answer, lost workers, new owners: never two runs of one task."""
+"""Tests of unanswered orders, lost workers and takeovers: no task runs twice."""
 
 import unittest
 
@@ -31,11 +31,11 @@
 
 
 class UnansweredOrderTest(unittest.TestCase):
-    """An order that went without an answer may be carried out at any later time."""
+    """An unanswered order may be executed at any later time."""
 
     def test_start_is_repeated_with_the_same_attempt(self):
-        # A worker leaves a start unanswered and carries it out late. Started elsewhere
-        # meanwhile, the seat check would run twice.
+        # Guards against two concurrent runs: the worker does not answer a start order
+        # but executes it late, after the task has been started elsewhere.
         shard = Shard()
         shard.submit(build_job())
         (first,) = shard.plan()
@@ -44,10 +44,10 @@
         (second,) = shard.plan()
         self.assertEqual(second, first)
 
-    def test_task_waits_until_the_lease_has_surely_lapsed(self):
-        # The worker with the unanswered start can't be reached any more. Until its
-        # clock, 2 % slow at worst, is past the deadline, the task may begin there; and
-        # while the store lists the worker, the task may have been done there.
+    def test_task_waits_until_lease_expiry_is_proved(self):
+        # The worker with an unanswered start is unreachable. The task may start there
+        # until the worker's clock, up to 2 % slow, has passed the deadline, and may
+        # have been completed there while the worker's entry exists.
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
@@ -66,9 +66,9 @@
         self.assertEqual(lapse.awaited, 0)
         self.assertEqual(len(shard.scheduler.waiting), 1)
 
-    def test_start_is_not_sent_again_after_its_time(self):
-        # A start got no answer and its worker stays silent past the lease. Sent again
-        # 40 times a second, it kept connections that looks at the worker wanted.
+    def test_start_is_not_repeated_after_lease_expiry(self):
+        # Guards against repeating a start 40 times a second on a worker that is silent
+        # past the lease, which occupied the connections needed for polls.
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
@@ -79,9 +79,9 @@
         shard.look("w0")
         self.assertEqual([start.attempt for start in shard.plan()], [order.attempt])
 
-    def test_lapsed_task_that_lasts_does_not_wait_for_its_worker(self):
-        # A watcher runs until it is cancelled: none of its ends is one as done. Kept
-        # waiting for a silent worker, it would be away for as long as the silence.
+    def test_long_running_task_does_not_wait_for_silent_worker(self):
+        # A long-running task is never completed. Guards against keeping it stopped for
+        # as long as its worker is silent.
         shard = Shard()
         shard.submit(build_job(attrs.evolve(SMALL, long_running=True)))
         order = shard.start_one()
@@ -92,10 +92,9 @@
         shard.look("w1" if order.worker_id == "w0" else "w0")
         self.assertNotEqual(shard.start_one().worker_id, order.worker_id)
 
-    def test_refusal_after_silence_is_followed_by_a_stop(self):
-        # The first copy of a start got no answer, the second is turned away as the
-        # worker is unhealthy. The first may still be carried out: only an acknowledged
-        # stop rules that out.
+    def test_refused_retry_of_unanswered_start_is_followed_by_stop(self):
+        # The first copy of a start is unanswered and the second is refused. The first
+        # may still be executed until a stop order is acknowledged.
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
@@ -111,7 +110,7 @@
         shard.look("w0")
         self.assertEqual(len(shard.scheduler.waiting), 1)
 
-    def test_definite_refusal_frees_the_task_at_once(self):
+    def test_definite_refusal_releases_task_immediately(self):
         for outcome in (OrderOutcome.NOT_SENT, OrderOutcome.NO_ROOM):
             with self.subTest(outcome=outcome):
                 shard = Shard(workers=1)
@@ -121,9 +120,9 @@
                 self.assertEqual(len(shard.scheduler.waiting), 1)
                 self.assertEqual(shard.scheduler.workers["w0"].cpu, 0)
 
-    def test_unanswered_start_holds_its_room(self):
-        # Two tasks that fill a worker each: the second may not join the first while
-        # nobody knows whether the first is there.
+    def test_unanswered_start_holds_capacity(self):
+        # Each of two tasks fills a worker: the second must not be placed beside the
+        # first while it is unknown whether the first was started.
         whole = Step(count=2, demand=Demand(cpu=4000))
         shard = Shard(workers=1)
         shard.submit(build_job(whole))
@@ -132,7 +131,7 @@
         shard.look("w0")
         self.assertEqual(list_starts(shard.plan()), [])
 
-    def test_fence_ends_the_ownership(self):
+    def test_fenced_order_ends_ownership(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
@@ -141,11 +140,11 @@
 
 
 class LostWorkerTest(unittest.TestCase):
-    """Workers that restart, leave the list or come back."""
+    """Workers that restart, leave the store or return."""
 
-    def test_restart_at_the_same_address_frees_at_once(self):
-        # A worker crashes and is back under a new id. What ran there is gone, and
-        # waiting for its lease would cost the client 5 s.
+    def test_restarted_worker_releases_runs_immediately(self):
+        # A worker crashes and restarts under a new id. Guards against delaying its
+        # tasks for 5 s until the lease expires.
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -153,16 +152,16 @@
         shard.add_worker("w9", host="w0")
         shard.answer(order, OrderOutcome.OTHER_LIFE)
         self.assertNotIn("w0", shard.scheduler.workers)
-        # Its next start only waits for the note of the loss.
+        # The next start only waits until the loss is recorded.
         self.assertEqual(shard.plan(), [])
         self.assertEqual(len(shard.scheduler.workers["w9"].runs), 1)
         shard.save()
         self.assertEqual(shard.start_one().worker_id, "w9")
 
-    def test_late_report_of_an_earlier_life_frees_nothing(self):
-        # A worker crashes behind a cut and is back under a new id, with a task. Then
-        # the last report of its earlier life, held up by the cut, reaches the store.
-        # Taken for a restart, it would have the task started elsewhere, too.
+    def test_late_report_of_earlier_incarnation_releases_nothing(self):
+        # A worker crashes during a partition, restarts and gets a task. Guards against
+        # taking the delayed last report of the earlier incarnation for a restart, which
+        # would start the task twice.
         shard = Shard(workers=2)
         shard.submit(build_job())
         order = shard.start_one()
@@ -173,9 +172,9 @@
         shard.end(order, EndKind.DONE)
         self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
 
-    def test_worker_off_the_list_may_still_run_its_task(self):
-        # The store drops a worker that is cut off; its task runs on until the lease
-        # ends. Started elsewhere before, it would run twice.
+    def test_unlisted_worker_may_still_run_its_task(self):
+        # Guards against two concurrent runs: the entry of a partitioned worker expires,
+        # but its task runs until the lease expires.
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
@@ -190,10 +189,10 @@
         self.assertNotEqual(again.worker_id, order.worker_id)
         self.assertGreater(again.attempt, order.attempt)
 
-    def test_done_behind_a_cut_is_taken_in_afterwards(self):
-        # A task is done on a worker that is cut off, from the store, too, so that its
-        # entry is gone. It is started again elsewhere once the lease has lapsed. The
-        # worker comes back: the first result counts, and the second run is stopped.
+    def test_completion_during_partition_is_applied_afterwards(self):
+        # A task is completed on a partitioned worker whose entry has expired, and is
+        # started again elsewhere after the lease. When the worker returns, the first
+        # result counts and the second run is stopped.
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
@@ -212,11 +211,10 @@
         stops = [order for order in shard.plan() if isinstance(order, StopOrder)]
         self.assertEqual([stop.attempt for stop in stops], [again.attempt])
 
-    def test_task_of_a_silent_worker_is_not_started_while_it_may_be_done(self):
-        # An order is billed twice. Its task is done on a worker whose answers don't
-        # reach the owner for longer than a lease, though the store lists the worker all
-        # the while. That no lease is left proves that the task doesn't run, not that
-        # it hasn't ended as done; taken for both, it was started again elsewhere.
+    def test_task_of_silent_worker_is_not_restarted_while_it_may_be_done(self):
+        # Guards against running a completed task again: its worker is listed, but its
+        # answers do not arrive for longer than a lease. An expired lease proves that
+        # the task is not running, not that it was not completed.
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
@@ -231,9 +229,10 @@
         self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
         self.assertEqual(shard.plan(), [])
 
-    def test_silent_worker_whose_entry_is_unreadable_is_not_waited_for(self):
-        # A worker dies and another writer's entry stands under its key for good. Taken
-        # for a sign of life, it would keep the worker's task from being started again.
+    def test_silent_worker_with_unreadable_entry_is_not_awaited(self):
+        # A worker dies, and another process has overwritten its entry, which never
+        # expires. Guards against taking the entry as a sign of life, so that the task
+        # is never restarted.
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
@@ -245,7 +244,7 @@
         shard.look("w1" if order.worker_id == "w0" else "w0")
         self.assertNotEqual(shard.start_one().worker_id, order.worker_id)
 
-    def test_run_missing_from_a_later_look_is_over(self):
+    def test_run_missing_from_later_poll_is_over(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -269,11 +268,11 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """What a new owner finds and may do."""
+    """State found by a new owner and its permitted actions."""
 
     def test_running_task_is_adopted(self):
-        # The owner dies while a roster is built. The next owner finds it at its worker;
-        # started anew, it would run in two places.
+        # Guards against two concurrent runs: the owner dies while a task is running,
+        # and the next owner finds the task at its worker.
         first = Shard()
         first.submit(build_job())
         order = first.start_one()
@@ -286,9 +285,9 @@
         second.end(order, EndKind.DONE)
         self.assertIs(second.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
 
-    def test_earlier_job_waits_until_all_is_known(self):
-        # One worker of the former owner can't be reached: its jobs may run there. A job
-        # accepted since the takeover can't.
+    def test_earlier_job_waits_until_takeover_is_settled(self):
+        # While a worker of the previous owner is unreachable, earlier jobs may be
+        # running there, but not a job accepted since the takeover.
         shard = Shard(epoch=2, settled=False)
         shard.submit(build_job(job_id="old"), certain=False)
         shard.submit(build_job(job_id="new"))
@@ -298,10 +297,10 @@
         starts = list_starts(shard.plan())
         self.assertEqual([order.task.job_id for order in starts], ["old"])
 
-    def test_earlier_jobs_wait_for_a_silent_worker_that_is_listed(self):
-        # A task is done on a worker, its owner dies, and the next owner can't reach the
-        # worker, though the store lists it. Once every lease of the earlier owner was
-        # over, the next one took the task for one that runs nowhere and never ran.
+    def test_earlier_jobs_wait_for_silent_listed_worker(self):
+        # Guards against running a completed task again: its owner dies, and the next
+        # owner cannot reach the listed worker. The expiry of all leases of the earlier
+        # owner does not show that the task never ran.
         shard = Shard(workers=1, epoch=2, settled=False)
         shard.scheduler.workers["w0"].is_known = False
         roster = ("w0", "gone")
@@ -311,17 +310,17 @@
         shard.scheduler.unlist_worker("w0")
         self.assertTrue(is_settled(shard.scheduler, roster, past_ms))
 
-    def test_worker_off_the_list_may_run_an_earlier_task_until_leases_are_over(self):
-        # The owner dies while a worker is cut off. The store drops the worker, which
-        # runs on for a lease; taken for gone, its task would run in two places.
+    def test_unlisted_worker_may_run_earlier_task_until_lease_expiry(self):
+        # Guards against two concurrent runs: the owner dies during a partition, and the
+        # worker continues for a lease after its entry has expired.
         shard = Shard(workers=0, epoch=2, settled=False)
         past_ms = shard.scheduler.limits.settled_at_ms
         self.assertFalse(is_settled(shard.scheduler, ("gone",), past_ms - 1.0))
         self.assertTrue(is_settled(shard.scheduler, ("gone",), past_ms))
 
-    def test_full_page_of_ends_does_not_settle_a_worker(self):
-        # A worker lists 500 ends at a time. The end of a task that is done is the
-        # 501st: taken for all that there is, the first page had it started again.
+    def test_full_page_of_ends_does_not_settle_worker(self):
+        # An answer contains 500 ends at most. Guards against restarting a completed
+        # task whose end is the 501st.
         shard = Shard(workers=1, epoch=2, settled=False)
         worker = shard.scheduler.workers["w0"]
         worker.is_known = False
@@ -341,10 +340,10 @@
             settled = is_settled(shard.scheduler, ("w0",), shard.now_ms)
             self.assertEqual(settled, known)
 
-    def test_adopted_run_has_the_lease_of_the_earlier_owner(self):
-        # A new owner reads a worker once, and its next order there gets no answer. The
-        # run it found has a whole lease of the earlier owner; taken for one without
-        # any, it was given up 10 ms later and started elsewhere beside itself.
+    def test_adopted_run_has_lease_of_earlier_owner(self):
+        # Guards against two concurrent runs: a new owner polls a worker once, and its
+        # next order is unanswered. The adopted run has a full lease of the earlier
+        # owner, and must not be given up 10 ms later.
         first = Shard()
         first.submit(build_job(attrs.evolve(SMALL, long_running=True)))
         order = first.start_one()
@@ -361,9 +360,9 @@
         (lapse,) = release_lapsed(second.scheduler, second.now_ms)
         self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
 
-    def test_earlier_task_that_lasts_does_not_wait_for_a_silent_worker(self):
-        # One worker of the roster is listed and silent. A watcher of an earlier owner
-        # runs nowhere once every lease is over, and no end of it is one as done.
+    def test_earlier_long_running_task_does_not_wait_for_silent_worker(self):
+        # A worker in the roster is listed and silent. A long-running task of an earlier
+        # owner is never completed and cannot run after the expiry of all leases.
         shard = Shard(epoch=2, settled=False)
         lasting = build_job(attrs.evolve(SMALL, long_running=True), job_id="lasting")
         shard.submit(lasting, certain=False)
@@ -374,9 +373,9 @@
         starts = list_starts(shard.plan())
         self.assertEqual([order.task.job_id for order in starts], ["lasting"])
 
-    def test_earlier_jobs_do_not_wait_for_an_unreadable_entry(self):
-        # A worker of the roster is dead, and another writer's entry stands for good
-        # under its key: what had been accepted before would wait for ever.
+    def test_earlier_jobs_do_not_wait_for_unreadable_entry(self):
+        # A worker in the roster is dead, and another process has overwritten its entry,
+        # which never expires. Guards against earlier jobs that wait forever.
         shard = Shard(workers=1, epoch=2, settled=False)
         shard.scheduler.workers["w0"].is_known = False
         shard.scheduler.bar_worker("w0")
@@ -384,8 +383,8 @@
         self.assertTrue(is_settled(shard.scheduler, ("w0",), past_ms))
 
     def test_attempts_of_a_later_owner_are_higher(self):
-        # Starts aren't written down. A worker refuses a run that isn't higher than one
-        # it has ended, so a later owner that began at 1 again would never get through.
+        # Starts are not persisted. A worker refuses attempts that are not higher than
+        # an ended one, so that a later owner must not start at 1 again.
         first = Shard()
         first.submit(build_job())
         order = first.start_one()
@@ -394,9 +393,9 @@
         second.submit(build_job(), certain=False)
         self.assertGreater(second.start_one().attempt, order.attempt)
 
-    def test_end_that_two_owners_see_counts_once(self):
-        # A failed end is written, its acknowledgement is lost with the owner. Counted
-        # again by the next owner, the job would fail one attempt too early.
+    def test_end_seen_by_two_owners_counts_once(self):
+        # A failed end is saved, but its acknowledgement is lost with the owner. Guards
+        # against counting it twice, so that the job fails one attempt too early.
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -423,11 +422,11 @@
 
 
 class AcknowledgementTest(unittest.TestCase):
-    """A worker may forget an end only once its effect is in the store."""
+    """A worker may discard an end only after its effect is saved."""
 
     def test_end_is_acknowledged_after_it_is_saved(self):
-        # The owner acknowledges an end and dies before writing it: the task is done,
-        # nobody knows, and it runs again.
+        # Guards against running a completed task again because the owner dies after
+        # acknowledging its end and before saving it.
         shard = Shard(workers=1)
         shard.submit(build_job(SMALL, SMALL))
         order, _ = list_starts(shard.step())
@@ -437,7 +436,7 @@
         shard.save()
         self.assertEqual(acknowledge(worker), 1)
 
-    def test_last_end_waits_for_the_end_of_the_job(self):
+    def test_last_end_is_acknowledged_after_job_end_is_saved(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         shard.end(shard.start_one(), EndKind.DONE)
@@ -461,9 +460,9 @@
 
 
 class OrderTableTest(unittest.TestCase):
-    """The start order carries what the task needs."""
+    """Contents of start orders."""
 
-    def test_checkpoint_goes_with_the_next_start(self):
+    def test_next_start_contains_checkpoint(self):
         shard = Shard(workers=1)
         step = Step(count=1, demand=Demand(cpu=1000), checkpointing=True)
         shard.submit(build_job(step))
--- a/trefoilhook/scheduling/tests/test_records.py
+++ b/trefoilhook/scheduling/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records in the store read back as they were written."""
+"""Tests of the encoding of stored records."""
 
 import unittest
 
--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -1,9 +1,8 @@
-"""What a round costs on a large fleet with a long queue of batch work.
+"""Tests of the cost of rounds on a large fleet with many waiting fillers.
 
-Hundreds of batch jobs wait on a fleet of hundreds of workers whose service tasks bear
-no more. Each round rated every worker for dozens of them to find that out again, urgent
-tasks waited behind the rounds, and half of the first starts came 0.2 s later than with
-processor time for nothing.
+Hundreds of batch jobs wait on hundreds of workers whose service tasks tolerate no more
+fillers. Guards against rounds that rate every worker for dozens of these jobs, during
+which urgent tasks wait: half of all first starts were delayed by 0.2 s.
 """
 
 import random
@@ -33,7 +32,7 @@
 
 
 class RoundCostTest(unittest.TestCase):
-    """Jobs of one image, each asking for another size."""
+    """Jobs of one image with different demands."""
 
     def setUp(self):
         self.shard = Shard(workers=4, cpu=16_000)
@@ -62,14 +61,14 @@
             self.shard.plan()
         return rated
 
-    def test_larger_ones_of_an_image_without_a_place_are_not_rated(self):
+    def test_larger_fillers_of_infeasible_image_are_not_rated(self):
         for number in range(20):
             demand = Demand(cpu=3000 + 10 * number, memory_mb=500 - 10 * number)
             step = attrs.evolve(_FILLER, demand=demand)
             self.shard.submit(build_job(step, job_id=f"f{number:02}"))
         self.assertLessEqual(self._count_ratings(), 4)
 
-    def test_smaller_one_is_rated_and_finds_its_place(self):
+    def test_smaller_filler_is_rated_and_placed(self):
         self.shard.submit(build_job(_FILLER, job_id="large"))
         small = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=100))
         self.shard.submit(build_job(small, job_id="small"))
@@ -77,20 +76,20 @@
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"small"})
 
-    def test_want_of_memory_says_nothing_of_one_that_needs_less(self):
-        wide = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=9000))
-        narrow = attrs.evolve(_FILLER, demand=Demand(cpu=200, memory_mb=100))
-        self.shard.submit(build_job(wide, job_id="a-wide"))
-        self.shard.submit(build_job(narrow, job_id="narrow"))
+    def test_lack_of_memory_does_not_exclude_smaller_demand(self):
+        large = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=9000))
+        small = attrs.evolve(_FILLER, demand=Demand(cpu=200, memory_mb=100))
+        self.shard.submit(build_job(large, job_id="a-wide"))
+        self.shard.submit(build_job(small, job_id="narrow"))
         self.shard.pass_time(2000.0)
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"narrow"})
 
 
 class FeasibleTest(unittest.TestCase):
-    """Workers that are left out unrated are those that would have been refused."""
+    """Workers that are not rated would have been rejected."""
 
-    def test_feasible_are_all_that_a_rating_accepts(self):
+    def test_feasible_workers_include_all_accepted_ones(self):
         choices = random.Random(5)
         shard = Shard(workers=12, cpu=16_000)
         shard.submit(build_job(attrs.evolve(_SERVICE, count=9), job_id="service"))
@@ -143,22 +142,22 @@
 
 
 class OrderCostTest(unittest.TestCase):
-    """Plans go over what is being started or stopped, not over all that runs."""
+    """Plans check runs that are being started or stopped, not all running ones."""
 
     def setUp(self):
         self.shard = Shard(workers=2, cpu=16_000)
         self.shard.submit(build_job(attrs.evolve(_SERVICE, count=4), job_id="service"))
         self.starts = list_starts(self.shard.step())
 
-    def test_running_tasks_are_not_gone_over(self):
+    def test_running_tasks_are_not_checked_for_orders(self):
         self.shard.plan()
         with mock.patch.object(
             planning_module, "_get_due_order", return_value=None
-        ) as repeat:
+        ) as get_due_order:
             self.shard.plan()
-        self.assertEqual(repeat.call_count, 0)
+        self.assertEqual(get_due_order.call_count, 0)
 
-    def test_stop_is_repeated_until_its_end_is_known(self):
+    def test_stop_is_repeated_until_end_is_known(self):
         scheduler = self.shard.scheduler
         worker = scheduler.workers[self.starts[0].worker_id]
         run = worker.runs[self.starts[0].task, self.starts[0].attempt]
@@ -169,7 +168,7 @@
         self.assertEqual(len(self.shard.plan()), 1)
         self.assertIs(run.phase, RunPhase.STOPPING)
 
-    def test_what_has_ended_has_no_order_any_more(self):
+    def test_ended_runs_have_no_pending_order(self):
         scheduler = self.shard.scheduler
         for worker in scheduler.workers.values():
             for run in list(worker.runs.values()):
--- a/trefoilhook/scheduling/tests/test_sharing.py
+++ b/trefoilhook/scheduling/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Fillers beside service tasks: learned weights, placement, paces."""
+"""Tests of fillers beside service tasks: interference model, placement and paces."""
 
 import math
 import unittest
@@ -41,7 +41,7 @@
 
 
 def _change(model: Interference, victim: str, image: str, share: float, cost: float):
-    """Have a filler come, and go again, that costs so much slack."""
+    """Add and remove a filler that costs the given slack."""
     with_filler = {image: share}
     for before, after, slack in (({}, with_filler, -cost), (with_filler, {}, cost)):
         model.learn_change(
@@ -54,9 +54,9 @@
 
 
 class InterferenceTest(unittest.TestCase):
-    """The weights of pairs of images."""
+    """Weights of pairs of images."""
 
-    def test_heavy_and_light_fillers_are_told_apart(self):
+    def test_heavy_and_light_fillers_are_distinguished(self):
         model = Interference()
         for _ in range(30):
             _change(model, "s", "heavy", 0.1, 1.2)
@@ -66,7 +66,7 @@
         self.assertTrue(model.is_heavy("s", "heavy"))
         self.assertFalse(model.is_heavy("s", "light"))
 
-    def test_what_was_learned_outlives_its_owner(self):
+    def test_model_round_trip(self):
         model = Interference()
         for _ in range(30):
             _change(model, "s", "f", 0.1, 1.4)
@@ -82,20 +82,26 @@
         self.assertAlmostEqual(read.get_base("s"), model.get_base("s"), places=2)
         self.assertAlmostEqual(read.get_trough("s"), model.get_trough("s"), places=2)
 
-    def test_pair_learned_long_ago_is_tried_again(self):
-        # A filler was heavy once. Nothing else runs beside the service task any more,
-        # so nothing more is learned of it: by its mean it would wait for good.
+    def test_uncertainty_of_untried_pair_grows(self):
+        # A filler that was once considered heavy is not placed, so that nothing more is
+        # learned about it. Its optimistic weight must fall over time for it to be tried
+        # again.
         model = Interference()
         for _ in range(20):
             _change(model, "s", "f", 0.2, 1.6)
-        sure = model.get_weight("s", "f") - model.get_optimistic_weight("s", "f")
+        initial_margin = model.get_weight("s", "f") - model.get_optimistic_weight(
+            "s", "f"
+        )
         for _ in range(1500):
             _change(model, "s", "g", 0.1, 0.0)
-        unsure = model.get_weight("s", "f") - model.get_optimistic_weight("s", "f")
-        self.assertGreater(unsure, sure + 1.5)
+        later_margin = model.get_weight("s", "f") - model.get_optimistic_weight(
+            "s", "f"
+        )
+        self.assertGreater(later_margin, initial_margin + 1.5)
 
-    def test_change_that_was_to_be_expected_costs_no_step(self):
-        # On a large fleet most looks show fillers that have changed next to nothing.
+    def test_expected_change_causes_no_update(self):
+        # Guards against wasting time on a large fleet: in most polls the fillers have
+        # barely changed.
         model = Interference()
         for _ in range(60):
             _change(model, "s", "f", 0.3, 2.0)
@@ -111,9 +117,9 @@
             with self.subTest(tail_ms=tail_ms):
                 self.assertAlmostEqual(measure_slack(tail_ms, 18.0), expected)
 
-    def test_tail_at_its_ceiling_teaches_nothing_new(self):
-        # Once the tail can't rise any further, more fillers change nothing. Learned
-        # from, their weights would fall, and still more would be let in.
+    def test_saturated_tail_causes_no_update(self):
+        # Guards against weights that fall because a saturated tail does not react to
+        # further fillers, which would admit even more of them.
         model = Interference()
         for _ in range(40):
             _change(model, "s", "f", 0.3, 2.4)
@@ -129,14 +135,13 @@
         self.assertGreaterEqual(model.get_weight("s", "f"), weight)
 
 
-class SwingTest(unittest.TestCase):
-    """Learning while the service tasks' own load swings."""
+class VaryingLoadTest(unittest.TestCase):
+    """Learning while the load of the service tasks varies."""
 
-    def test_weights_are_learned_beside_a_swinging_load(self):
-        # Batch work waits for good although most of it disturbs nobody: the tails of
-        # the service tasks swing with their load, rise as a heavy filler comes and fall
-        # as it goes. Taken for the load's own doing, or the load's for the fillers',
-        # light fillers count as heavy and heavy ones as light.
+    def test_weights_are_learned_under_varying_load(self):
+        # Guards against misattribution: tails vary with the service tasks' own load and
+        # with heavy fillers. If one is taken for the other, light fillers count as
+        # heavy, so that they wait forever, and heavy ones as light.
         shard = Shard(workers=1, cpu=32_000)
         shard.submit(build_job(attrs.evolve(_SERVICE, count=3), job_id="service"))
         services = list_starts(shard.step())
@@ -150,19 +155,19 @@
             for order in fillers:
                 worker.update(order.task, order.attempt, load=2800.0)
             for _ in range(4):
-                self._swing(
+                self._advance_load(
                     shard, services, weights, lagged_shares, bool(fillers) and image
                 )
             for order in fillers:
                 shard.end(order, EndKind.DONE)
             for _ in range(3):
-                self._swing(shard, services, weights, lagged_shares, "")
+                self._advance_load(shard, services, weights, lagged_shares, "")
         interference = shard.scheduler.interference
         self.assertGreater(interference.get_weight("s", "heavy"), 6.0)
         self.assertLess(interference.get_weight("s", "light"), 2.0)
 
-    def _swing(self, shard, services, weights, lagged_shares, image) -> None:
-        """Pass half a second, with an image of fillers at work."""
+    def _advance_load(self, shard, services, weights, lagged_shares, image) -> None:
+        """Advance by 500 ms while fillers of an image are running."""
         shard.pass_time(500.0)
         kept = math.exp(-1.0)
         for name in lagged_shares:
@@ -179,9 +184,11 @@
 
 
 class SharingTest(unittest.TestCase):
-    """What the scheduler does with them."""
+    """Decisions of the scheduler based on the model."""
 
-    def _place(self, image: str = "f") -> tuple[Shard, object, object]:
+    def _start_service_and_filler(
+        self, image: str = "f"
+    ) -> tuple[Shard, object, object]:
         shard = Shard(workers=1, cpu=16_000)
         shard.submit(build_job(_SERVICE, job_id="service"))
         service = shard.start_one()
@@ -190,7 +197,7 @@
         filler = shard.start_one()
         return shard, service, filler
 
-    def _strain(self, shard: Shard, service, filler, tail_ms: float) -> list:
+    def _report_tail(self, shard: Shard, service, filler, tail_ms: float) -> list:
         worker = shard.workers["w0"]
         worker.update(service.task, service.attempt, load=tail_ms)
         worker.update(filler.task, filler.attempt, load=2000.0)
@@ -198,29 +205,29 @@
         shard.look("w0")
         return [order for order in shard.plan() if isinstance(order, PaceOrder)]
 
-    def test_filler_that_strains_a_service_is_slowed(self):
-        shard, service, filler = self._place()
-        (order,) = self._strain(shard, service, filler, 60.0)
+    def test_filler_that_disturbs_service_is_throttled(self):
+        shard, service, filler = self._start_service_and_filler()
+        (order,) = self._report_tail(shard, service, filler, 60.0)
         self.assertEqual(order.task, filler.task)
         self.assertLessEqual(order.percent, 10)
 
-    def test_filler_is_let_go_once_the_strain_is_over(self):
-        shard, service, filler = self._place()
-        self._strain(shard, service, filler, 60.0)
+    def test_filler_is_sped_up_after_disturbance(self):
+        shard, service, filler = self._start_service_and_filler()
+        self._report_tail(shard, service, filler, 60.0)
         paces = []
         for _ in range(8):
-            paces += self._strain(shard, service, filler, 5.0)
+            paces += self._report_tail(shard, service, filler, 5.0)
         self.assertEqual(paces[-1].percent, 100)
 
     def test_filler_is_halted_before_users_are_harmed(self):
-        # The weights clear the filler of blame, wrongly. The service task stays over
-        # its limit, and after 4 s its users count as harmed; elsewhere after 3 s.
+        # The weights wrongly show the filler as light, and the service task remains
+        # over its limit. Users tolerate this for 4 s, in another configuration for 3 s.
         for bound_ms, expected_ms in ((4000.0, 2500.0), (3000.0, 1500.0)):
             with self.subTest(bound_ms=bound_ms):
                 self._check_halt(bound_ms, expected_ms)
 
     def _check_halt(self, bound_ms: float, expected_ms: float) -> None:
-        shard, service, filler = self._place()
+        shard, service, filler = self._start_service_and_filler()
         shard.scheduler.limits = attrs.evolve(
             shard.scheduler.limits, overload_ms=bound_ms
         )
@@ -229,19 +236,19 @@
         halted_ms = None
         began_ms = shard.now_ms
         for _ in range(8):
-            for order in self._strain(shard, service, filler, 60.0):
+            for order in self._report_tail(shard, service, filler, 60.0):
                 if order.percent == 0 and halted_ms is None:
                     halted_ms = shard.now_ms - began_ms
         self.assertIsNotNone(halted_ms)
         self.assertLessEqual(halted_ms, expected_ms)
 
     def test_no_filler_joins_a_service_over_its_limit(self):
-        shard, service, filler = self._place()
-        self._strain(shard, service, filler, 60.0)
+        shard, service, filler = self._start_service_and_filler()
+        self._report_tail(shard, service, filler, 60.0)
         shard.submit(build_job(_filler("other"), job_id="more"))
         self.assertEqual(list_starts(shard.plan()), [])
 
-    def test_filler_goes_where_it_disturbs_nobody(self):
+    def test_filler_is_placed_where_it_disturbs_no_service(self):
         shard = Shard(workers=2, cpu=16_000)
         shard.submit(build_job(_SERVICE, job_id="service"))
         service = shard.start_one()
@@ -252,9 +259,9 @@
         self.assertEqual(len(starts), 3)
         self.assertNotIn(service.worker_id, {order.worker_id for order in starts})
 
-    def test_slowed_filler_moves_to_a_better_place(self):
-        shard, service, filler = self._place()
-        self._strain(shard, service, filler, 60.0)
+    def test_throttled_filler_moves_to_better_worker(self):
+        shard, service, filler = self._start_service_and_filler()
+        self._report_tail(shard, service, filler, 60.0)
         shard.add_worker("w1", cpu=16_000)
         shard.pass_time(1000.0)
         shard.look_all()
@@ -264,7 +271,7 @@
         self.assertEqual(order.worker_id, "w1")
         self.assertEqual(order.checkpoint, "c1")
 
-    def test_service_tasks_of_one_image_are_put_together(self):
+    def test_service_tasks_of_one_image_are_placed_together(self):
         shard = Shard(workers=3, cpu=16_000)
         other = Step(
             count=2,
--- a/trefoilhook/scheduling/tests/test_starvation.py
+++ b/trefoilhook/scheduling/tests/test_starvation.py
@@ -1,9 +1,8 @@
-"""Batch jobs that no worker seems to bear, on a fleet with room to spare.
+"""Tests of batch jobs that no worker tolerates on a mostly idle fleet.
 
-Most of the workers' processors are free, and a batch job waits for good: what it runs
-disturbs every service task there is, and the one image that bore it has left. Beside
-each service task it would find some processor time, but never all that it asks for, so
-it is never started, and nothing is learned of it any more either.
+The fillers of a batch job disturb every service task, and no worker runs an image that
+tolerates them. Each worker has some processor time for them, but never all that they
+request. Guards against jobs that are never started, about which nothing is learned.
 """
 
 import unittest
@@ -37,8 +36,8 @@
     )
 
 
-def _make_heavy(shard: Shard, image: str, cost: float) -> None:
-    """Have it learned that fillers of an image cost so much of the slack."""
+def _learn_weight(shard: Shard, image: str, cost: float) -> None:
+    """Teach the model that fillers of an image cost the given slack."""
     for _ in range(40):
         shard.scheduler.interference.learn_change(
             "s",
@@ -50,7 +49,7 @@
 
 
 class StarvationTest(unittest.TestCase):
-    """Two workers with a service task each; fillers are heavy for its image."""
+    """Two workers with a service task each, for which fillers are heavy."""
 
     def setUp(self):
         self.shard = Shard(workers=2, cpu=_CPU)
@@ -59,16 +58,16 @@
         for order in self.services:
             worker = self.shard.workers[order.worker_id]
             worker.update(order.task, order.attempt, percent=100.0, load=9.0)
-        _make_heavy(self.shard, "f", 11.0)
+        _learn_weight(self.shard, "f", 11.0)
 
     def _wait(self, duration_ms: float) -> list:
-        """Pass time, and return the orders of all plans meanwhile."""
+        """Advance, and return the orders of all plans."""
         orders = []
         for _ in range(round(duration_ms / 100.0)):
             orders += self.shard.step()
         return orders
 
-    def test_starved_job_gets_one_slowed_task(self):
+    def test_starved_job_gets_one_throttled_task(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         self.assertEqual(list_starts(self._wait(STARVATION_DELAY_MS - 300.0)), [])
         orders = self._wait(1000.0)
@@ -77,9 +76,9 @@
         self.assertEqual([order.task for order in paces[:1]], [start.task])
         self.assertEqual([order.percent for order in paces], [THROTTLED_PACE])
 
-    def test_starved_suspect_waits_for_its_pause(self):
-        # Guards against a filler that is started slowed, again and again, though the
-        # workers under it were lost.
+    def test_starved_suspect_waits_for_retry_delay(self):
+        # Guards against repeatedly starting a throttled filler although workers were
+        # lost under it.
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         self.shard.plan()
         for task in self.shard.scheduler.waiting:
@@ -87,8 +86,8 @@
         self.assertEqual(list_starts(self._wait(1.5 * STARVATION_DELAY_MS)), [])
         self.assertEqual(len(list_starts(self._wait(STARVATION_DELAY_MS))), 1)
 
-    def test_it_is_slowed_as_soon_as_its_start_is_confirmed(self):
-        # Not with the next look: until its first order it works at full speed.
+    def test_task_is_throttled_as_soon_as_start_is_confirmed(self):
+        # Without waiting for the next poll, as the task runs at full speed until then.
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         self._wait(STARVATION_DELAY_MS - 300.0)
         starts = []
@@ -99,20 +98,20 @@
         paces = [order for order in self.shard.plan() if isinstance(order, PaceOrder)]
         self.assertEqual([order.task for order in paces], [starts[0].task])
 
-    def test_next_task_follows_when_the_first_has_ended(self):
+    def test_next_task_starts_after_first_has_ended(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         (first,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         self.shard.end(first, EndKind.DONE)
         self.assertEqual(len(list_starts(self._wait(STARVATION_DELAY_MS + 500.0))), 1)
 
-    def test_every_starved_job_gets_one(self):
+    def test_every_starved_job_gets_one_task(self):
         for number in range(4):
             self.shard.submit(build_job(_filler("f"), job_id=f"batch{number}"))
         starts = list_starts(self._wait(STARVATION_DELAY_MS + 2000.0))
         self.assertEqual(len({start.task.job_id for start in starts}), 4)
 
-    def test_nothing_is_added_on_a_fleet_that_is_half_full(self):
-        # There a job that waits competes with others for what is left.
+    def test_nothing_starts_on_half_reserved_fleet(self):
+        # On such a fleet waiting jobs compete for the remaining capacity.
         wide = Step(
             count=2, demand=Demand(cpu=6000), estimate_ms=60_000.0, max_per_worker=1
         )
@@ -127,29 +126,29 @@
             starts += list_starts(self.shard.step())
         self.assertEqual(starts, [])
 
-    def test_nothing_joins_a_service_over_its_limit(self):
+    def test_nothing_starts_beside_service_over_its_limit(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         for order in self.services:
             worker = self.shard.workers[order.worker_id]
             worker.update(order.task, order.attempt, load=60.0)
         self.assertEqual(list_starts(self._wait(STARVATION_DELAY_MS + 1000.0)), [])
 
-    def test_throttled_task_does_not_return_where_it_failed(self):
-        # A worker that fails what it starts would use up the attempts of the job.
+    def test_throttled_task_does_not_return_to_worker_where_it_failed(self):
+        # Guards against a worker that fails every task and uses up the job's attempts.
         self.shard.submit(build_job(_filler("f", count=1), job_id="batch"))
         (first,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         self.shard.end(first, EndKind.FAILED)
         (second,) = list_starts(self._wait(STARVATION_DELAY_MS + 1000.0))
         self.assertNotEqual(second.worker_id, first.worker_id)
 
-    def test_light_fillers_still_find_their_places(self):
-        _make_heavy(self.shard, "light", 0.2)
+    def test_light_fillers_are_still_placed(self):
+        _learn_weight(self.shard, "light", 0.2)
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         self._wait(STARVATION_DELAY_MS + 1000.0)
         self.shard.submit(build_job(_filler("light", count=2), job_id="light"))
         self.assertEqual(len(list_starts(self._wait(500.0))), 2)
 
-    def test_throttled_task_counts_at_its_pace(self):
+    def test_throttled_task_counts_at_its_initial_pace(self):
         self.shard.submit(build_job(_filler("f"), job_id="batch"))
         (start,) = list_starts(self._wait(STARVATION_DELAY_MS + 500.0))
         worker = self.shard.scheduler.workers[start.worker_id]
--- a/trefoilhook/scheduling/tests/test_steps.py
+++ b/trefoilhook/scheduling/tests/test_steps.py
@@ -1,4 +1,4 @@
-"""What a job's declaration demands: order, room, spread, gangs, times, attempts."""
+"""Tests of constraints of jobs: order, capacity, spread, gangs, times and attempts."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    """Steps and occurrences start when their turn has come."""
+    """Steps and occurrences start in order."""
 
     def test_step_waits_for_all_tasks_before_it(self):
         shard = Shard()
@@ -65,9 +65,9 @@
         shard.end(second, EndKind.DONE)
         self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
 
-    def test_who_goes_first(self):
-        # One worker has room for one task. Each row: what the first and the second job
-        # are like, and which of them starts.
+    def test_ranking(self):
+        # One worker has capacity for one task. Each row contains two jobs and the id of
+        # the one that starts.
         big = Step(count=1, demand=_CPU, estimate_ms=900.0)
         lasting = Step(count=1, demand=_CPU, long_running=True)
         table = (
@@ -88,7 +88,7 @@
                     shard.submit(job)
                 self.assertEqual(shard.start_one().task.job_id, expected)
 
-    def test_priority_goes_before_all_else(self):
+    def test_priority_is_decisive(self):
         shard = Shard(workers=1, cpu=1000)
         shard.submit(build_job(job_id="a"))
         shard.submit(build_job(job_id="b"))
@@ -98,9 +98,9 @@
 
 
 class RoomTest(unittest.TestCase):
-    """No worker is given more than it has."""
+    """The capacity of workers is not exceeded."""
 
-    def test_capacity_is_kept(self):
+    def test_capacity_is_not_exceeded(self):
         shard = Shard(workers=2, cpu=2500)
         shard.submit(build_job(Step(count=9, demand=_CPU)))
         shard.step()
@@ -108,8 +108,8 @@
             self.assertEqual(len(worker.running), 2)
 
     def test_task_that_is_being_stopped_still_counts(self):
-        # A task takes up to 900 ms to stop. Its place given away at once, the worker
-        # carries more than it has.
+        # A task takes up to 900 ms to stop. Guards against overcommitting the worker
+        # meanwhile.
         shard = Shard(workers=1, cpu=1000)
         shard.submit(build_job(job_id="a"))
         shard.step()
@@ -142,7 +142,7 @@
                 shard.submit(build_job(step))
                 self.assertEqual(len(list_starts(shard.step())), expected)
 
-    def test_other_service_is_left_alone(self):
+    def test_worker_of_other_service_is_not_used(self):
         shard = Shard(workers=1)
         shard.scheduler.workers["w0"].report = type(
             shard.scheduler.workers["w0"].report
@@ -159,7 +159,7 @@
 
 
 class FailureTest(unittest.TestCase):
-    """Failed attempts are counted, and made elsewhere."""
+    """Failed attempts are counted and repeated on other workers."""
 
     def test_job_fails_after_its_attempts(self):
         shard = Shard(workers=3)
@@ -169,7 +169,7 @@
             self.assertIs(shard.scheduler.jobs["j"].phase, expected)
         self.assertEqual(shard.step(), [])
 
-    def test_other_ends_are_no_failures(self):
+    def test_other_ends_are_not_failures(self):
         for kind in (EndKind.STOPPED, EndKind.LAPSED, EndKind.PEER_ENDED):
             with self.subTest(kind=kind):
                 shard = Shard(workers=1)
@@ -178,7 +178,7 @@
                     shard.end(shard.start_one(), kind)
                 self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.OPEN)
 
-    def test_failed_attempt_is_made_elsewhere(self):
+    def test_failed_attempt_is_repeated_on_other_worker(self):
         shard = Shard(workers=2)
         shard.submit(build_job())
         first = shard.start_one()
@@ -186,8 +186,8 @@
         self.assertNotEqual(shard.start_one().worker_id, first.worker_id)
 
     def test_worker_that_fails_everything_is_avoided(self):
-        # One worker fails all it starts, at once, so it always has room: task after
-        # task goes there, and jobs that can be done run out of attempts.
+        # Guards against a worker that fails every task immediately, always has
+        # capacity, and attracts tasks until their jobs run out of attempts.
         shard = Shard(workers=2)
         for number in range(2):
             shard.submit(build_job(job_id=f"a{number}"))
@@ -200,8 +200,8 @@
         (order,) = list_starts(shard.plan())
         self.assertEqual(order.worker_id, "w1")
 
-    def test_worker_that_fails_everything_gets_nothing_for_a_while(self):
-        # As above, with no other worker: better to wait than to use up attempts.
+    def test_only_worker_is_avoided_temporarily_if_it_fails_everything(self):
+        # The same without another worker: waiting is preferable to using up attempts.
         shard = Shard(workers=1)
         for job_id in ("x", "y"):
             shard.submit(build_job(job_id=job_id))
@@ -213,7 +213,7 @@
         shard.look_all()
         self.assertEqual(shard.start_one().task.job_id, "z")
 
-    def test_long_running_task_is_restarted_however_it_ends(self):
+    def test_long_running_task_is_restarted_after_any_end(self):
         step = Step(count=1, demand=_CPU, long_running=True)
         for kind in EndKind:
             with self.subTest(kind=kind):
@@ -227,7 +227,7 @@
 
 
 class GangTest(unittest.TestCase):
-    """A gang runs whole or not at all."""
+    """A gang runs as a whole or not at all."""
 
     def test_all_members_share_an_attempt(self):
         shard = Shard(workers=2, cpu=2000)
@@ -236,21 +236,21 @@
         self.assertEqual(len(starts), 4)
         self.assertEqual(len({order.attempt for order in starts}), 1)
 
-    def test_gang_without_room_for_all_holds_nothing(self):
-        # Members that wait for the others hold room that no one else can use.
+    def test_gang_without_capacity_for_all_holds_none(self):
+        # Guards against waiting members that hold capacity which no other task can use.
         shard = Shard(workers=2, cpu=1000)
         shard.submit(build_job(Step(count=3, demand=_CPU, gang=True)))
         self.assertEqual(shard.step(), [])
         self.assertEqual([w.cpu for w in shard.scheduler.workers.values()], [0, 0])
 
-    def test_one_end_stands_for_all(self):
+    def test_end_of_one_member_completes_gang(self):
         shard = Shard(workers=2, cpu=2000)
         shard.submit(build_job(Step(count=2, demand=_CPU, gang=True)))
         first, _ = list_starts(shard.step())
         shard.end(first, EndKind.DONE)
         self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
 
-    def test_gang_waits_for_its_last_member_to_end(self):
+    def test_gang_restarts_after_its_last_member_ended(self):
         shard = Shard(workers=2, cpu=2000)
         shard.submit(build_job(Step(count=2, demand=_CPU, gang=True)))
         first, second = list_starts(shard.step())
@@ -262,10 +262,10 @@
         self.assertGreater(again[0].attempt, first.attempt)
 
 
-class ForgettingTest(unittest.TestCase):
-    """An owner that lives for months doesn't keep every job it ever had."""
+class RemovalTest(unittest.TestCase):
+    """An owner that runs for months does not keep every job."""
 
-    def test_ended_job_is_forgotten_at_the_second_round(self):
+    def test_ended_job_is_removed_at_second_call(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         shard.end(shard.start_one(), EndKind.DONE)
@@ -287,7 +287,7 @@
 
 
 class CancelTest(unittest.TestCase):
-    """Nothing of a cancelled job starts, and what runs is stopped."""
+    """No task of a cancelled job starts, and running ones are stopped."""
 
     def test_cancelled_job(self):
         shard = Shard(workers=1, cpu=1000)
@@ -299,9 +299,9 @@
         self.assertEqual(shard.count_running(), 0)
         self.assertEqual(shard.step(), [])
 
-    def test_cancelled_job_is_written_once_more(self):
-        # The instance that cancels a job knows no lease for ended jobs. Left as it is,
-        # its record would stay in the store for good.
+    def test_cancelled_job_is_saved_once_more(self):
+        # The instance that cancels a job has no lease for ended jobs. Guards against a
+        # record that stays in the store forever.
         shard = Shard(workers=1)
         shard.submit(build_job())
         shard.step()
--- a/trefoilhook/scheduling/tests/test_unread.py
+++ b/trefoilhook/scheduling/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""Entries and rows that can't be read: nothing is concluded from them."""
+"""Tests of unreadable entries and rows: no conclusion is drawn from them."""
 
 import unittest
 
@@ -22,27 +22,27 @@
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
 
 _STALL_TIMEOUT_MS = 10_000.0
-"""Well over the time after which an attempt without progress is stopped, in ms."""
+"""More than the time after which an attempt without progress is stopped, in ms."""
 
 
-def look_with(shard: Shard, *unread: UnreadRow) -> None:
-    """Have the first worker looked at, with rows in place of ends of their numbers."""
+def poll_with(shard: Shard, *unread: UnreadRow) -> None:
+    """Poll the first worker, with unreadable rows in place of some ends."""
     numbers = {row.number for row in unread}
-    whole = shard.workers["w0"].look(shard.now_ms)
-    ends = tuple(end for end in whole.ends if end.number not in numbers)
-    look = attrs.evolve(whole, ends=ends, unread=unread)
+    complete = shard.workers["w0"].look(shard.now_ms)
+    ends = tuple(end for end in complete.ends if end.number not in numbers)
+    look = attrs.evolve(complete, ends=ends, unread=unread)
     take_look(shard.scheduler, "w0", look, sent_ms=shard.now_ms, now_ms=shard.now_ms)
 
 
 def build_unread(number: int, attempt=None) -> UnreadRow:
-    """Build the row of an end."""
+    """Build an unreadable row of an end."""
     return UnreadRow(reason="how", is_end=True, number=number, attempt=attempt)
 
 
-class BarredWorkerTest(unittest.TestCase):
-    """A worker whose entry names none to use."""
+class UnusableEntryTest(unittest.TestCase):
+    """Workers with unusable entries."""
 
-    def test_nothing_new_starts_and_what_runs_stays(self):
+    def test_running_tasks_continue_and_none_is_started(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -58,14 +58,14 @@
         shard.add_worker("w0")
         self.assertEqual(len(list_starts(shard.step())), 1)
 
-    def test_worker_that_is_not_known(self):
+    def test_unknown_worker(self):
         shard = Shard(workers=0)
         shard.scheduler.bar_worker("w0")
         self.assertEqual(shard.scheduler.workers, {})
 
-    def test_start_without_an_answer_is_not_sent_again(self):
-        # A start gets no answer, and the worker's entry is overwritten. Sent again it
-        # would be a start there; a stop rules the first copy out.
+    def test_unanswered_start_is_not_repeated(self):
+        # A start is unanswered, and the worker's entry is overwritten. A repeated order
+        # could start the task; a stop order rules out the first copy.
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = shard.plan()
@@ -81,11 +81,11 @@
 
 
 class UnreadEndTest(unittest.TestCase):
-    """Ends that can't be read."""
+    """Unreadable ends."""
 
-    def test_attempt_is_held_until_its_end_can_be_read(self):
-        # A worker names an end in a way that isn't known. Taken for an attempt that
-        # never was there, the task would be started again although it may be done.
+    def test_attempt_is_held_until_end_is_readable(self):
+        # A worker reports an unknown kind of end. Guards against taking the attempt for
+        # one that never started, and running a task again that may be completed.
         shard = Shard(workers=2)
         shard.submit(build_job())
         order = shard.start_one()
@@ -98,7 +98,7 @@
         ):
             with self.subTest(row=row):
                 shard.pass_time(_STALL_TIMEOUT_MS)
-                look_with(shard, row)
+                poll_with(shard, row)
                 self.assertIn((order.task, order.attempt), worker.runs)
                 self.assertEqual(shard.plan(), [])
                 self.assertEqual(acknowledge(worker), 0)
@@ -108,7 +108,7 @@
         self.assertEqual(acknowledge(worker), 1)
         self.assertEqual(shard.plan(), [])
 
-    def test_later_ends_count_and_wait_for_it(self):
+    def test_later_ends_are_applied_but_not_acknowledged(self):
         shard = Shard(workers=1)
         shard.submit(build_job(SMALL, SMALL))
         first, second = list_starts(shard.step())
@@ -116,11 +116,11 @@
         for order in (first, second):
             shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
         shard.pass_time(10.0)
-        look_with(shard, build_unread(1, (first.task, first.attempt)))
+        poll_with(shard, build_unread(1, (first.task, first.attempt)))
         self.assertEqual(list(worker.runs), [(first.task, first.attempt)])
         shard.save()
         self.assertEqual(acknowledge(worker), 0)
-        # The first can be read now. It isn't written yet, so neither is acknowledged.
+        # The first end is readable now but not saved, so that neither is acknowledged.
         shard.look("w0")
         self.assertEqual(worker.runs, {})
         self.assertEqual(acknowledge(worker), 0)
@@ -128,7 +128,7 @@
         self.assertEqual(acknowledge(worker), 2)
         self.assertEqual(worker.ends_taken, set())
 
-    def test_end_that_is_listed_again_counts_once(self):
+    def test_repeated_end_counts_once(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -142,29 +142,30 @@
         shard.look("w0")
         self.assertEqual(len(worker.unacknowledged), 0)
 
-    def test_job_that_is_cancelled_lets_go(self):
-        # How the attempt ended has no effect any more; stops would be sent for good.
+    def test_cancelled_job_releases_attempt(self):
+        # The result of the attempt no longer matters; stop orders would be repeated
+        # forever.
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
         row = build_unread(1, (order.task, order.attempt))
-        look_with(shard, row)
+        poll_with(shard, row)
         worker = shard.scheduler.workers["w0"]
         self.assertEqual(len(worker.runs), 1)
         shard.scheduler.cancel_job("j", revision=2)
-        look_with(shard, row)
+        poll_with(shard, row)
         self.assertEqual((worker.runs, worker.cpu), ({}, 0))
         self.assertEqual(shard.plan(), [])
 
-    def test_leases_that_lapse_end_the_wait(self):
-        # The worker is lost with the end unread: its attempt is over by proof, once the
-        # store lists it no more.
+    def test_lease_expiry_ends_wait(self):
+        # The worker is lost with the unreadable end: its attempt is proved to be over
+        # once its entry is gone.
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
-        look_with(shard, build_unread(1, (order.task, order.attempt)))
+        poll_with(shard, build_unread(1, (order.task, order.attempt)))
         shard.silence("w0")
         shard.pass_time(20_000.0)
         (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
@@ -173,8 +174,8 @@
         (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
         self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
 
-    def test_worker_with_many_ends_behind_it_gets_nothing_new(self):
-        # Its lists have room for 500 ends, so what ends later would not be seen.
+    def test_worker_with_many_held_ends_gets_no_task(self):
+        # An answer contains 500 ends at most, so that later ones would not be seen.
         shard = Shard(workers=1)
         worker = shard.scheduler.workers["w0"]
         worker.unread_from = 1
@@ -189,10 +190,10 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """A new owner that can't read all that a worker lists."""
+    """New owners that cannot read all rows of a worker."""
 
     def _take_over(self, *unread: UnreadRow) -> tuple[Shard, StartOrder]:
-        """Have a task start under one owner, and be done before the next one looks."""
+        """Complete a task under one owner before the first poll of the next one."""
         earlier = Shard(workers=1)
         earlier.submit(build_job())
         order = earlier.start_one()
@@ -204,51 +205,51 @@
         later.scheduler.workers["w0"].rostered = True
         later.submit(build_job(), certain=False)
         rows = unread or (build_unread(1, (order.task, order.attempt)),)
-        look_with(later, *rows)
+        poll_with(later, *rows)
         return later, order
 
-    def test_end_that_names_its_attempt(self):
-        # The owner dies, and a worker's word for the end of its task isn't known to the
-        # next one. The task may be done: it is held as if it ran.
+    def test_unreadable_end_with_attempt(self):
+        # The owner dies, and the kind of an end is unknown to the next owner. The task
+        # may be completed, so that it is held as if it ran.
         shard, order = self._take_over()
         self.assertTrue(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         self.assertEqual(shard.plan(), [])
         for _ in range(2):
             shard.pass_time(_STALL_TIMEOUT_MS)
-            look_with(shard, build_unread(1, (order.task, order.attempt)))
+            poll_with(shard, build_unread(1, (order.task, order.attempt)))
             self.assertEqual(shard.plan(), [])
         shard.look("w0")
         self.assertEqual(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
         self.assertEqual(shard.plan(), [])
 
-    def test_row_that_may_mean_any_attempt(self):
-        # The same, but it can't be told which task the row is about: until it can, no
-        # task of the earlier owner may start, however long that takes.
+    def test_unreadable_row_without_attempt(self):
+        # The same with an unknown task: until the row is readable, no task of the
+        # earlier owner may start.
         shard, _ = self._take_over(build_unread(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         shard.pass_time(2 * _STALL_TIMEOUT_MS)
-        look_with(shard, UnreadRow(reason="task", is_end=False), build_unread(1))
+        poll_with(shard, UnreadRow(reason="task", is_end=False), build_unread(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         shard.look("w0")
         self.assertTrue(is_settled(shard.scheduler, ["w0"], shard.now_ms))
 
-    def test_end_of_an_attempt_that_was_followed(self):
-        # A later attempt is known: the row is about one that was given up before.
+    def test_unreadable_end_of_superseded_attempt(self):
+        # A later attempt is known, so that the row refers to one that was given up.
         shard, order = self._take_over()
         state = shard.scheduler.jobs["j"].find_task(order.task)
         shard.look("w0")
         state.done = False
         state.last_attempt = order.attempt + 1
-        look_with(shard, build_unread(1, (order.task, order.attempt)))
+        poll_with(shard, build_unread(1, (order.task, order.attempt)))
         self.assertEqual(shard.scheduler.workers["w0"].runs, {})
 
 
 class UnreadRunningTest(unittest.TestCase):
-    """Rows of what runs that can't be read."""
+    """Unreadable rows of running attempts."""
 
-    def test_attempt_that_may_be_meant_is_not_over(self):
-        # One row of a worker's list can't be read. Any run that isn't listed may be
-        # it, and one that was taken for over would be started a second time.
+    def test_attempt_possibly_in_unreadable_row_is_not_over(self):
+        # Any unlisted run may be the subject of an unreadable row. Guards against
+        # starting such a run a second time.
         shard = Shard(workers=2)
         shard.submit(build_job())
         order = shard.start_one()
@@ -258,13 +259,13 @@
         for _ in range(3):
             shard.pass_time(_STALL_TIMEOUT_MS)
             shard.look("w1")
-            look_with(shard, row)
+            poll_with(shard, row)
             self.assertIn((order.task, order.attempt), worker.runs)
             self.assertEqual(shard.plan(), [])
         shard.look("w0")
         self.assertEqual(worker.runs, {})
 
-    def test_figures_that_cannot_be_read_keep_the_last(self):
+    def test_unreadable_values_keep_last_value(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
@@ -277,7 +278,7 @@
         self.assertEqual((run.percent, run.load), (40.0, 7.0))
         self.assertEqual(shard.plan(), [])
 
-    def test_task_of_a_step_that_its_job_has_not(self):
+    def test_task_of_nonexistent_step_is_stopped(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         odd = TaskId("j", 0, 7, 0)
@@ -288,12 +289,12 @@
         self.assertIn(odd, [o.task for o in orders if isinstance(o, StopOrder)])
 
 
-class HeldBackTest(unittest.TestCase):
-    """Jobs whose records can't be read."""
+class UnreadableJobTest(unittest.TestCase):
+    """Jobs with unreadable records."""
 
-    def test_what_runs_of_it_is_left_alone(self):
-        # A new owner can't read a job's record. Its attempts aren't stopped, and their
-        # ends stay with the workers until an owner can read it.
+    def test_runs_of_unreadable_job_are_not_stopped(self):
+        # A new owner cannot read a job's record. The job's attempts are not stopped,
+        # and their ends remain with the workers until an owner can read the record.
         shard = Shard(workers=1)
         shard.scheduler.held_back.add("gone")
         task = TaskId("gone", 0, 0, 0)
--- a/trefoilhook/scheduling/tests/test_waits.py
+++ b/trefoilhook/scheduling/tests/test_waits.py
@@ -1,4 +1,4 @@
-"""Why tasks waited, what slowed them, and what services lacked."""
+"""Tests of wait reasons, throttling losses and shortfalls of services."""
 
 import unittest
 
@@ -13,10 +13,10 @@
 
 
 class WaitReasonTest(unittest.TestCase):
-    """Each start knows what its task has waited for longest."""
+    """Each start contains the main reason for the wait of its task."""
 
     def wait(self, shard: Shard, job_id: str = "j") -> WaitReason | None:
-        """Pass some rounds, and return what a job waits for."""
+        """Run several rounds and return the wait reason of a job."""
         for _ in range(4):
             shard.step()
         task = next(iter(shard.scheduler.jobs[job_id].tasks.values()))
@@ -32,23 +32,23 @@
         shard.submit(build_job(LARGE))
         self.assertIs(self.wait(shard), WaitReason.NO_ROOM)
 
-    def test_room_in_pieces(self):
+    def test_fragmented_capacity(self):
         shard = Shard(workers=2, cpu=2000)
         shard.submit(build_job(LARGE))
         self.assertIs(self.wait(shard), WaitReason.FRAGMENTED)
 
-    def test_behind_one_that_is_as_large(self):
+    def test_after_equally_large_task(self):
         shard = Shard(workers=1, cpu=2000)
         shard.submit(build_job(LARGE, job_id="i"))
         shard.submit(build_job(LARGE, job_id="j"))
         self.assertIs(self.wait(shard), WaitReason.NO_ROOM)
 
-    def test_owner_that_is_not_settled(self):
+    def test_unsettled_owner(self):
         shard = Shard(workers=1, settled=False)
         shard.submit(build_job(), certain=False)
         self.assertIs(self.wait(shard), WaitReason.OWNER_NEW)
 
-    def test_kept_apart(self):
+    def test_isolation(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         state = shard.scheduler.jobs["j"]
@@ -59,7 +59,7 @@
         task.held_until_ms = shard.now_ms + 10_000.0
         self.assertIs(self.wait(shard), WaitReason.ISOLATION)
 
-    def test_filler_that_services_do_not_bear(self):
+    def test_interference(self):
         service = Step(
             count=1,
             demand=Demand(cpu=4000),
@@ -77,7 +77,7 @@
         shard.submit(build_job(filler))
         self.assertIs(self.wait(shard), WaitReason.INTERFERENCE)
 
-    def test_start_tells_wait_and_reason(self):
+    def test_start_contains_wait_and_reason(self):
         shard = Shard(workers=1, cpu=2000)
         shard.submit(build_job(LARGE))
         self.wait(shard)
@@ -87,27 +87,27 @@
         self.assertEqual(run.waited_ms, 400.0)
         self.assertIs(run.wait_reason, WaitReason.NO_ROOM)
 
-    def test_prompt_start_waited_for_nothing(self):
+    def test_immediate_start_has_no_wait(self):
         shard = Shard(workers=1)
         shard.submit(build_job())
         (order,) = list_starts(shard.plan())
         run = shard.scheduler.workers["w0"].runs[order.task, order.attempt]
         self.assertEqual((run.waited_ms, run.wait_reason), (0.0, None))
 
-    def test_longest_reason_counts_and_gaps_do_not(self):
-        # Guards against a pause of the owner that is told as a lack of room.
-        book = WaitTracker()
+    def test_main_reason_excludes_gaps(self):
+        # Guards against reporting a pause of the owner as a lack of capacity.
+        tracker = WaitTracker()
         step = ("j", 0, 0)
-        book.record(step, WaitReason.NO_ROOM, 0.0)
-        book.record(step, WaitReason.FRAGMENTED, 60_000.0)
-        book.record(step, WaitReason.FRAGMENTED, 60_300.0)
-        self.assertIs(book.get_main_reason(step), WaitReason.FRAGMENTED)
-        book.retain(set())
-        self.assertIsNone(book.get_main_reason(step))
+        tracker.record(step, WaitReason.NO_ROOM, 0.0)
+        tracker.record(step, WaitReason.FRAGMENTED, 60_000.0)
+        tracker.record(step, WaitReason.FRAGMENTED, 60_300.0)
+        self.assertIs(tracker.get_main_reason(step), WaitReason.FRAGMENTED)
+        tracker.retain(set())
+        self.assertIsNone(tracker.get_main_reason(step))
 
 
 class SlowingTest(unittest.TestCase):
-    """Time that a run loses by its pace."""
+    """Time that a run loses through throttling."""
 
     def test_time_lost(self):
         shard = Shard(workers=1)
@@ -121,7 +121,7 @@
 
 
 class ShortfallTest(unittest.TestCase):
-    """What long-running jobs lack is counted by samples."""
+    """Shortfalls of long-running jobs are sampled."""
 
     def setUp(self):
         self.counter = ShortfallCounter()
@@ -142,21 +142,21 @@
         self.shard.look_all()
 
     def take(self) -> list:
-        """Sample twice, and return what was found."""
+        """Sample twice and return the shortfalls."""
         for _ in range(2):
             self.counter.sample(self.shard.scheduler)
         return list(self.counter.take(self.shard.scheduler))
 
-    def test_whole_job_is_not_told(self):
+    def test_complete_job_is_not_reported(self):
         self.assertEqual(self.take(), [])
 
-    def test_task_that_is_away(self):
+    def test_absent_task(self):
         self.shard.end(self.orders[0], EndKind.FAILED)
         (shortfall,) = self.take()
         self.assertEqual((shortfall.tasks, shortfall.away), (4, 1.0))
         self.assertEqual((shortfall.over, shortfall.beside), (0.0, 0.0))
 
-    def test_task_over_its_limit_beside_a_filler_and_alone(self):
+    def test_tasks_over_limit_beside_filler_and_alone(self):
         filler = Step(
             count=1, demand=Demand(cpu=10, memory_mb=10), filler=True, image="f"
         )
@@ -172,7 +172,7 @@
         (shortfall,) = self.take()
         self.assertEqual((shortfall.over, shortfall.beside), (2.0, 1.0))
 
-    def test_ended_job_is_not_told(self):
+    def test_ended_job_is_not_reported(self):
         self.shard.end(self.orders[0], EndKind.FAILED)
         self.counter.sample(self.shard.scheduler)
         self.shard.scheduler.cancel_job("j", revision=2)
