--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -17,7 +17,7 @@
     next_attempt_number,
     reserve_capacity,
 )
-from trefoilhook.scheduling.starvation import admit_starved
+from trefoilhook.scheduling.starvation import reserve_for_starved_jobs
 from trefoilhook.scheduling.tickets import StepName, name_step
 from trefoilhook.scheduling.waits import WaitReason
 from trefoilhook.scheduling.watchdog import is_migration_candidate
@@ -96,10 +96,10 @@
     )
     if with_fillers:
         scheduler.waits.retain(waiting | {group[0] for group in steps})
-        pause_ms = max(
+        interval_ms = max(
             _FILLER_INTERVAL_MS, _FILLER_INTERVAL_PER_WORKER_MS * len(scheduler.workers)
         )
-        scheduler.fillers_due_ms = now_ms + pause_ms
+        scheduler.fillers_due_ms = now_ms + interval_ms
         migration_candidates = _list_migration_candidates(assignment_round)
         _migrate(
             assignment_round,
@@ -113,7 +113,7 @@
             assignment_round,
             [each for each in migration_candidates if each.run.is_throttled],
         )
-        admit_starved(assignment_round, ready)
+        reserve_for_starved_jobs(assignment_round, ready)
 
 
 def _assign_steps(
@@ -193,7 +193,7 @@
             )
             candidates.add_worker(target)
             assignment_round.scheduler.request_stop(
-                each.worker, each.run, StopReason.SLOWED
+                each.worker, each.run, StopReason.THROTTLED
             )
 
 
--- a/trefoilhook/scheduling/backlog.py
+++ b/trefoilhook/scheduling/backlog.py
@@ -92,7 +92,7 @@
             fillers=sum(task.step.filler for task in tasks),
             too_late=sum(get_lateness(task, wall_ms) == TOO_LATE for task in tasks),
             oldest_job=oldest.job.job.job_id,
-            oldest_waits_for=_explain(scheduler, oldest),
+            oldest_waits_for=_get_wait_reason(scheduler, oldest),
             oldest_cpu=oldest.step.room.cpu,
             oldest_mb=oldest.step.room.memory_mb,
             oldest_label=oldest.step.required_label,
@@ -105,7 +105,7 @@
         )
 
 
-def _explain(scheduler: Scheduler, task: TaskState) -> str:
+def _get_wait_reason(scheduler: Scheduler, task: TaskState) -> str:
     reason = scheduler.waits.get_main_reason(name_step(task.task))
     return reason.value if reason is not None else ""
 
--- a/trefoilhook/scheduling/changes.py
+++ b/trefoilhook/scheduling/changes.py
@@ -39,7 +39,8 @@
             state=state,
             version=state.version,
             is_end=not state.phase_saved,
-            is_first_start=state.marked and (state.started or not state.is_open),
+            is_first_start=state.is_listed_waiting
+            and (state.started or not state.is_open),
         )
         for state in scheduler.dirty
     ]
@@ -52,7 +53,7 @@
     state = change.state
     state.saved_version = max(state.saved_version, change.version)
     if change.is_first_start:
-        state.marked = False
+        state.is_listed_waiting = False
     if change.is_end:
         state.phase_saved = True
         state.revision = revision
--- a/trefoilhook/scheduling/core.py
+++ b/trefoilhook/scheduling/core.py
@@ -157,7 +157,7 @@
             progress=progress or Progress(),
             progress_revision=progress_revision,
             started=progress is not None,
-            marked=progress is None,
+            is_listed_waiting=progress is None,
         )
         self.jobs[job.job_id] = state
         self._set_queue(state)
@@ -386,13 +386,13 @@
         """Stop the attempts of a task except for the ``keep`` latest."""
         attempts = sorted(task.attempts, key=lambda a: a.run.attempt, reverse=True)
         for attempt in attempts[keep:]:
-            self.request_stop(attempt.worker, attempt.run, StopReason.NOT_WANTED)
+            self.request_stop(attempt.worker, attempt.run, StopReason.NOT_NEEDED)
 
     def request_stop(self, worker: Worker, run: Run, reason: StopReason) -> None:
         """Mark an attempt to be stopped; it holds capacity until proved over."""
         if run.phase is not RunPhase.STOPPING:
             run.phase = RunPhase.STOPPING
-            worker.ordered[run] = None
+            worker.pending_runs[run] = None
             run.stop_reason = reason
             run.confirmed_ms = float("inf")
             run.order_due_ms = 0.0
--- a/trefoilhook/scheduling/crash_records.py
+++ b/trefoilhook/scheduling/crash_records.py
@@ -82,18 +82,22 @@
         if task.done or task.attempts:
             continue
         workers = [scheduler.workers.get(name) for name in suspicion.workers]
-        if any(worker is not None and not worker.is_known for worker in workers):
+        if any(
+            worker is not None and not worker.has_reported_all for worker in workers
+        ):
             unresolved.append(task)
             continue
-        gone = [name for name in suspicion.workers if name not in scheduler.workers]
-        if not gone:
+        lost_workers = [
+            name for name in suspicion.workers if name not in scheduler.workers
+        ]
+        if not lost_workers:
             suspicion.clear_attempt()
             scheduler.suspects.discard_negligible(task)
             continue
         is_exposed = suspicion.ran_ms is not None
         ran_ms = suspicion.ran_ms if suspicion.ran_ms is not None else _DEFAULT_RUN_MS
         unit = SuspectUnit(task=task, attempt=suspicion.attempt, ran_ms=ran_ms)
-        by_worker.setdefault(gone[0], []).append((unit, is_exposed))
+        by_worker.setdefault(lost_workers[0], []).append((unit, is_exposed))
     scheduler.suspects.recorded = unresolved
     for worker_id, rows in by_worker.items():
         _attribute_recorded(scheduler, worker_id, rows, now_ms)
@@ -107,7 +111,7 @@
 ) -> None:
     units = [unit for unit, _ in rows]
     is_exposed = any(exposed for _, exposed in rows)
-    cause = LossCause.CRASHED if is_exposed else LossCause.CUT_OFF
+    cause = LossCause.CRASHED if is_exposed else LossCause.PARTITIONED
     if worker_id in scheduler.suspects.drained:
         cause = LossCause.DRAINED
     suspects: tuple[Suspect, ...] = ()
--- a/trefoilhook/scheduling/crashes.py
+++ b/trefoilhook/scheduling/crashes.py
@@ -20,7 +20,7 @@
     STRONG_ODDS,
     Exposure,
     Suspicion,
-    weigh_crash,
+    compute_likelihood_ratios,
 )
 
 __all__ = [
@@ -54,7 +54,7 @@
 never given up."""
 
 _UNPROVED_CAUSES = frozenset(
-    {LossCause.CUT_OFF, LossCause.LIST_STALE, LossCause.STILL_LISTED}
+    {LossCause.PARTITIONED, LossCause.LIST_STALE, LossCause.STILL_LISTED}
 )
 
 
@@ -103,11 +103,11 @@
     if worker.report.draining:
         return LossCause.DRAINED
     if worker.estimate_clock(began_ms) >= worker.lease_until_ms:
-        return LossCause.LEASES_OVER
+        return LossCause.LEASES_EXPIRED
     if silence is not None and not silence.indicates_process_exit:
         if worker.estimate_clock(now_ms) >= worker.lease_until_ms:
-            return LossCause.LEASES_OVER
-        return LossCause.CUT_OFF
+            return LossCause.LEASES_EXPIRED
+        return LossCause.PARTITIONED
     # A planned shutdown is announced in the store in advance.
     if scheduler.entries.read_ms < began_ms - _NOTICE_SHARE * limits.drain_notice_ms:
         return LossCause.LIST_STALE
@@ -158,7 +158,9 @@
     ]
     rate = scheduler.suspects.crash_rate
     rate.update(len(scheduler.workers), now_ms)
-    ratios, unexplained = weigh_crash([*exposures, *others], rate.estimate())
+    ratios, unexplained = compute_likelihood_ratios(
+        [*exposures, *others], rate.estimate()
+    )
     if cause is LossCause.CRASHED:
         rate.add_unexplained(unexplained)
     suspects: list[Suspect] = []
@@ -193,10 +195,10 @@
     if given_up:
         scheduler.fail_job(state)
     elif not proved and suspicion.odds >= STRONG_ODDS:
-        pause_ms = _RETRY_DELAY_MS * _RETRY_DELAY_GROWTH ** (
+        delay_ms = _RETRY_DELAY_MS * _RETRY_DELAY_GROWTH ** (
             suspicion.unproved_losses - 1
         )
-        unit.task.held_until_ms = now_ms + min(_MAX_RETRY_DELAY_MS, pause_ms)
+        unit.task.held_until_ms = now_ms + min(_MAX_RETRY_DELAY_MS, delay_ms)
     suspect = Suspect(
         task=unit.task.task,
         attempt=unit.attempt,
--- a/trefoilhook/scheduling/fleet.py
+++ b/trefoilhook/scheduling/fleet.py
@@ -52,7 +52,7 @@
         Known state.
     started_ms : float
         Time at which its start order was first sent, in ms.
-    seen : bool
+    is_confirmed : bool
         Whether the worker has confirmed it or reported it as running.
     confirmed_ms : float
         Time of the worker's last answer to an order for it, in ms; a later poll that
@@ -77,7 +77,7 @@
         full speed.
     paced_ms : float
         Time of the last pace order, in ms.
-    slowed_ms : float
+    throttled_since_ms : float
         Time since when it has run below full speed, in ms.
     order_due_ms : float
         Time at which its pending order is sent again, in ms; the first order is due at
@@ -112,7 +112,7 @@
     borrowed_cpu: int = 0
     phase: RunPhase
     started_ms: float
-    seen: bool = False
+    is_confirmed: bool = False
     confirmed_ms: float = float("inf")
     percent: float = 0.0
     load: float = 0.0
@@ -122,9 +122,9 @@
     pace: int = 100
     initial_pace: int = 100
     paced_ms: float = 0.0
-    slowed_ms: float = 0.0
+    throttled_since_ms: float = 0.0
     order_due_ms: float = 0.0
-    stop_reason: StopReason = StopReason.NOT_WANTED
+    stop_reason: StopReason = StopReason.NOT_NEEDED
     seen_ms: float = attrs.field()
     waited_ms: float = 0.0
     wait_reason: WaitReason | None = None
@@ -160,7 +160,7 @@
     def may_have_run(self) -> bool:
         """Whether its start may have been executed."""
         is_in_transit = self.in_flight and self.is_sent
-        return self.seen or self.ambiguous or is_in_transit
+        return self.is_confirmed or self.ambiguous or is_in_transit
 
     @property
     def proved_ms(self) -> float:
@@ -217,7 +217,7 @@
     fenced : bool
         Whether it has answered under the owner's fencing token, so that it executes no
         more orders of earlier owners.
-    is_known : bool
+    has_reported_all : bool
         Whether it has reported all runs and ends to this owner. A full page of ends may
         omit a completed one.
     rostered : bool
@@ -225,7 +225,7 @@
         in the roster, so that the next owner knows which workers to poll.
     runs : dict
         Runs that hold capacity, by task and attempt.
-    ordered : dict of Run to None
+    pending_runs : dict of Run to None
         Runs that are being started or stopped, in order, whose orders may have to be
         repeated. These are few compared with the thousands that are running.
     cpu, memory_mb, gpus : int
@@ -250,7 +250,7 @@
         Number up to which the worker may discard ends.
     silence : Silence or None
         Set if an order or a poll has failed since the last answered poll.
-    is_awaited : bool
+    has_awaited_runs : bool
         Whether its leases have expired and tasks wait for it to report how they ended.
     faulty_jobs : set of str
         Jobs with attempts that failed there since the last successful attempt.
@@ -274,10 +274,10 @@
     report: WorkerReport
     listed: bool = True
     fenced: bool = False
-    is_known: bool = False
+    has_reported_all: bool = False
     rostered: bool = False
     runs: dict[tuple[TaskId, int], Run] = attrs.Factory(dict)
-    ordered: dict[Run, None] = attrs.Factory(dict)
+    pending_runs: dict[Run, None] = attrs.Factory(dict)
     cpu: int = 0
     memory_mb: int = 0
     gpus: int = 0
@@ -293,7 +293,7 @@
     )
     acknowledged: int = 0
     silence: Silence | None = None
-    is_awaited: bool = False
+    has_awaited_runs: bool = False
     faulty_jobs: set[str] = attrs.Factory(set)
     is_news: bool = True
     over_limit_since_ms: float | None = None
@@ -376,7 +376,7 @@
         """Add a run and hold its capacity."""
         self.runs[run.task, run.attempt] = run
         if run.phase is not RunPhase.RUNNING:
-            self.ordered[run] = None
+            self.pending_runs[run] = None
         self.cpu += run.room.cpu
         self.memory_mb += run.room.memory_mb
         self.gpus += run.room.gpus
@@ -386,7 +386,7 @@
         """Remove a run that is proved over and free its capacity."""
         if self.runs.pop((run.task, run.attempt), None) is None:
             return
-        self.ordered.pop(run, None)
+        self.pending_runs.pop(run, None)
         self.cpu -= run.room.cpu
         self.memory_mb -= run.room.memory_mb
         self.gpus -= run.room.gpus
--- a/trefoilhook/scheduling/interference.py
+++ b/trefoilhook/scheduling/interference.py
@@ -311,8 +311,8 @@
     means = _decode_weights(table.get("means"))
     rows = read_table(table, "covariance").items()
     covariance = {image: _decode_weights(cells) for image, cells in rows}
-    squares = [covariance.keys(), *(cells.keys() for cells in covariance.values())]
-    if any(images != means.keys() for images in squares):
+    key_sets = [covariance.keys(), *(cells.keys() for cells in covariance.values())]
+    if any(images != means.keys() for images in key_sets):
         raise DecodeError("covariance: images differ from those of the means")
     return _VictimModel(
         base=read_number(
--- a/trefoilhook/scheduling/job_state.py
+++ b/trefoilhook/scheduling/job_state.py
@@ -108,7 +108,7 @@
         Whether it had ended, and all changes were saved, at the last check.
     started : bool
         Whether a task of it was ever started.
-    marked : bool
+    is_listed_waiting : bool
         Whether the store still lists it among the jobs that wait for their first start.
     tasks : dict of TaskId to TaskState
         Tasks of the opened steps.
@@ -134,7 +134,7 @@
     phase_saved: bool = True
     is_stale: bool = False
     started: bool = False
-    marked: bool = True
+    is_listed_waiting: bool = True
     tasks: dict[TaskId, TaskState] = attrs.Factory(dict)
     opened: set[tuple[int, int]] = attrs.Factory(set)
     steps_left: int = 0
--- a/trefoilhook/scheduling/lease_expiry.py
+++ b/trefoilhook/scheduling/lease_expiry.py
@@ -26,9 +26,9 @@
         if not worker.listed:
             attribute_loss(scheduler, worker, now_ms)
         lapse = _release_expired(scheduler, worker, now_ms)
-        if lapse.given_up or (lapse.awaited and not worker.is_awaited):
+        if lapse.given_up or (lapse.awaited and not worker.has_awaited_runs):
             lapses.append(lapse)
-        worker.is_awaited = bool(lapse.awaited)
+        worker.has_awaited_runs = bool(lapse.awaited)
         if not worker.listed:
             scheduler.drop_worker(worker.report.worker_id)
     return lapses
--- a/trefoilhook/scheduling/messages.py
+++ b/trefoilhook/scheduling/messages.py
@@ -81,22 +81,22 @@
 class StopReason(enum.Enum):
     """Reason for stopping an attempt."""
 
-    NOT_WANTED = "not wanted"
+    NOT_NEEDED = "not wanted"
     """Its job was cancelled or has ended, or another attempt has completed its task."""
 
     UNCERTAIN = "uncertain"
     """An unanswered start order must be ruled out."""
 
-    SLOWED = "slowed"
+    THROTTLED = "slowed"
     """It disturbs service tasks on its worker, and another worker is suitable."""
 
-    STANDS_STILL = "stands still"
+    STALLED = "stands still"
     """It makes no progress."""
 
     NO_ROOM = "no room"
     """Its worker's capacity has shrunk, and another worker has capacity for it."""
 
-    WORKER_LEAVES = "worker leaves"
+    WORKER_DRAINING = "worker leaves"
     """Its worker is about to shut down."""
 
 
@@ -204,10 +204,10 @@
     DRAINED = "drained"
     """It had announced its shutdown."""
 
-    LEASES_OVER = "leases over"
+    LEASES_EXPIRED = "leases over"
     """All its leases had expired when it was lost, so that nothing was running."""
 
-    CUT_OFF = "cut off"
+    PARTITIONED = "cut off"
     """It was silent as in a network partition; the time of its end and its runs at that
     time are unknown."""
 
@@ -293,7 +293,7 @@
     task: TaskId
     attempt: int
     token: int
-    reason: StopReason = StopReason.NOT_WANTED
+    reason: StopReason = StopReason.NOT_NEEDED
 
 
 @attrs.frozen(kw_only=True)
--- a/trefoilhook/scheduling/outcomes.py
+++ b/trefoilhook/scheduling/outcomes.py
@@ -33,15 +33,15 @@
     now_ms: float,
 ) -> None:
     """Apply the outcome of a start order."""
-    found = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
-    if found is None:
+    settled_order = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
+    if settled_order is None:
         return
-    worker, run = found
+    worker, run = settled_order
     if outcome is OrderOutcome.DONE:
         run.confirmed_ms = (
             now_ms if run.phase is not RunPhase.STOPPING else run.confirmed_ms
         )
-        run.seen = True
+        run.is_confirmed = True
         if run.phase is RunPhase.STARTING:
             run.phase = RunPhase.RUNNING
             run.progressed_ms = now_ms
@@ -55,7 +55,7 @@
         run.confirmed_ms = now_ms
         return
     if outcome is OrderOutcome.WITHDRAWN:
-        if not (run.ambiguous or run.seen):
+        if not (run.ambiguous or run.is_confirmed):
             withdraw_start(scheduler, worker, run)
         return
     _apply_refusal(scheduler, worker, run, outcome, now_ms)
@@ -72,12 +72,12 @@
     if outcome is OrderOutcome.NO_TICKET:
         scheduler.tickets.drop(name_step(run.task), worker.report.worker_id)
     elif outcome is not OrderOutcome.TOO_LATE:
-        pause = (
+        avoidance_ms = (
             _UNHEALTHY_AVOIDANCE_MS
             if outcome is OrderOutcome.UNHEALTHY
             else _RETRY_DELAY_MS
         )
-        worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + pause)
+        worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + avoidance_ms)
     if run.ambiguous:
         # An unanswered copy may still be executed: only an answered stop order rules
         # that out.
@@ -95,10 +95,10 @@
     now_ms: float,
 ) -> None:
     """Apply the outcome of a stop order."""
-    found = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
-    if found is None:
+    settled_order = _settle_order(scheduler, worker_id, task, attempt, outcome, now_ms)
+    if settled_order is None:
         return
-    _, run = found
+    _, run = settled_order
     if outcome in UNANSWERED | UNSENT or outcome is OrderOutcome.UNHEALTHY:
         return
     run.confirmed_ms = now_ms
--- a/trefoilhook/scheduling/pacing.py
+++ b/trefoilhook/scheduling/pacing.py
@@ -150,7 +150,7 @@
     tasks = _collect_tasks(scheduler, worker, now_ms)
     over_limit_ms = _update_over_limit(worker, bool(tasks.images_over_limit), now_ms)
     services = _predict_services(scheduler, tasks)
-    slowed = _choose_slowed(scheduler, tasks.fillers, services)
+    throttled_paces = _choose_throttled(scheduler, tasks.fillers, services)
     spare_slacks = [service.slack for service in services]
     limit = compute_max_pace(worker, scheduler.jobs) if tasks.bases else FULL_PACE
     orders: list[PaceOrder] = []
@@ -158,15 +158,15 @@
         run = filler.run
         if _must_halt(scheduler, filler, tasks.images_over_limit, over_limit_ms):
             pace = 0
-        elif id(run) in slowed:
-            pace = slowed[id(run)]
+        elif id(run) in throttled_paces:
+            pace = throttled_paces[id(run)]
         else:
             pace = _raise_pace(scheduler, filler, services, spare_slacks)
         pace = min(pace, limit)
         if not _is_order_due(run, pace, now_ms, immediate=limit < run.pace):
             continue
         if run.pace >= FULL_PACE:
-            run.slowed_ms = now_ms
+            run.throttled_since_ms = now_ms
         run.set_pace(pace, now_ms)
         run.paced_ms = now_ms
         orders.append(
@@ -231,7 +231,7 @@
     )
 
 
-def _choose_slowed(
+def _choose_throttled(
     scheduler: Scheduler, fillers: list[_Filler], services: list[_PredictedService]
 ) -> dict[int, int]:
     """Choose fillers to throttle, and their paces, to restore missing slack.
@@ -259,8 +259,10 @@
         for cost, run in sorted(costs, key=lambda pair: pair[0], reverse=True):
             if missing_slack <= 0 or cost <= 0:
                 break
-            kept = max(0.0, 1.0 - missing_slack / cost) if service.slack > 1.0 else 0.0
-            pace = max(_MIN_PACE, int(run.pace * kept))
+            remaining_share = (
+                max(0.0, 1.0 - missing_slack / cost) if service.slack > 1.0 else 0.0
+            )
+            pace = max(_MIN_PACE, int(run.pace * remaining_share))
             paces[id(run)] = min(pace, paces.get(id(run), run.pace))
             missing_slack -= cost
     return paces
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -107,8 +107,8 @@
         return False
     if step.filler:
         capacity_mb = worker.report.capacity.memory_mb
-        left_mb = capacity_mb - worker.memory_mb - step.demand.memory_mb
-        if left_mb < _RESERVED_MEMORY_SHARE * capacity_mb:
+        remaining_mb = capacity_mb - worker.memory_mb - step.demand.memory_mb
+        if remaining_mb < _RESERVED_MEMORY_SHARE * capacity_mb:
             return False
     if not step.max_per_worker:
         return True
--- a/trefoilhook/scheduling/planning.py
+++ b/trefoilhook/scheduling/planning.py
@@ -17,7 +17,7 @@
 from trefoilhook.scheduling.models import Demand
 from trefoilhook.scheduling.pacing import plan_paces
 from trefoilhook.scheduling.tickets import name_step
-from trefoilhook.scheduling.watchdog import stop_misplaced
+from trefoilhook.scheduling.watchdog import stop_stalled_and_draining
 
 __all__ = ["begin_start", "is_settled", "plan_orders"]
 
@@ -57,7 +57,11 @@
 def list_unheard(scheduler: Scheduler, worker_ids: Iterable[str]) -> list[str]:
     """Return the workers that have not yet reported all runs and ends to this owner."""
     workers = ((name, scheduler.workers.get(name)) for name in worker_ids)
-    return [name for name, worker in workers if worker is None or not worker.is_known]
+    return [
+        name
+        for name, worker in workers
+        if worker is None or not worker.has_reported_all
+    ]
 
 
 def plan_orders(
@@ -78,7 +82,7 @@
     scheduler.suspects.crash_rate.update(len(scheduler.workers), now_ms)
     for worker in scheduler.workers.values():
         if worker.is_news:
-            stop_misplaced(scheduler, worker, now_ms)
+            stop_stalled_and_draining(scheduler, worker, now_ms)
         record_exposure(scheduler, worker, now_ms)
     if scheduler.suspects.recorded and (
         settled or now_ms >= scheduler.limits.settled_at_ms
@@ -88,9 +92,9 @@
         assign_waiting(scheduler, settled=settled, now_ms=now_ms, wall_ms=wall_ms)
     orders: list[Order] = []
     for worker in scheduler.workers.values():
-        for run in list(worker.ordered):
+        for run in list(worker.pending_runs):
             if run.phase is RunPhase.RUNNING:
-                del worker.ordered[run]
+                del worker.pending_runs[run]
                 continue
             order = _get_due_order(scheduler, worker, run, now_ms)
             if order is not None:
@@ -150,7 +154,7 @@
         return None
     if run.phase is RunPhase.STARTING and not _has_fresh_state(scheduler, now_ms):
         return None
-    if run.phase is RunPhase.STARTING and worker.is_awaited:
+    if run.phase is RunPhase.STARTING and worker.has_awaited_runs:
         # Its lease has expired and the worker would refuse it; the connections are
         # needed for polls.
         return None
--- a/trefoilhook/scheduling/polling.py
+++ b/trefoilhook/scheduling/polling.py
@@ -59,7 +59,7 @@
     listed |= find_hidden_attempts(worker, look, listed, now_ms)
     if len(look.ends) + len(look.unread) >= _ENDS_PAGE_SIZE:
         return
-    worker.is_known = worker.is_known or identifies_all_attempts(look)
+    worker.has_reported_all = worker.has_reported_all or identifies_all_attempts(look)
     for key, run in list(worker.runs.items()):
         # The worker answered an order for this run before this poll was sent: if it is
         # neither running nor ended now, it will never run there.
@@ -82,7 +82,7 @@
     if worker.silence is not None:
         retract_exposure(scheduler, worker)
         worker.silence = None
-    worker.is_awaited = False
+    worker.has_awaited_runs = False
     worker.is_news = True
     record_unread(worker, look)
 
@@ -122,9 +122,9 @@
         worker.faulty_jobs.add(end.task.job_id)
         faults = len(worker.faulty_jobs)
         if faults >= _FAULT_THRESHOLD:
-            pause = _FAULT_AVOIDANCE_MS * 2 ** (faults - _FAULT_THRESHOLD)
-            pause = min(pause, _MAX_FAULT_AVOIDANCE_MS)
-            worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + pause)
+            avoidance_ms = _FAULT_AVOIDANCE_MS * 2 ** (faults - _FAULT_THRESHOLD)
+            avoidance_ms = min(avoidance_ms, _MAX_FAULT_AVOIDANCE_MS)
+            worker.avoid_until_ms = max(worker.avoid_until_ms, now_ms + avoidance_ms)
 
 
 def _apply_running(
@@ -136,9 +136,9 @@
     if run.phase is RunPhase.STARTING:
         run.phase = RunPhase.RUNNING
         run.confirmed_ms = now_ms
-    if not run.seen or running.percent != run.percent:
+    if not run.is_confirmed or running.percent != run.percent:
         run.progressed_ms = now_ms
-    run.seen = True
+    run.is_confirmed = True
     run.seen_ms = now_ms
     if running.percent is not None:
         run.percent = running.percent
@@ -209,7 +209,7 @@
         return run
     if state is None or task is None:
         run.phase = RunPhase.STOPPING
-        worker.ordered[run] = None
+        worker.pending_runs[run] = None
         return run
     state.started = True
     task.last_attempt = max(task.last_attempt, running.attempt)
--- a/trefoilhook/scheduling/ranking.py
+++ b/trefoilhook/scheduling/ranking.py
@@ -14,11 +14,14 @@
 def get_lateness(state: TaskState, wall_ms: float) -> int:
     """Return 0 for a job that can meet its objective, 1 for late, or `TOO_LATE`."""
     job = state.job
-    left_ms = job.due_ms - wall_ms
-    if left_ms > state.step.estimate_ms:
+    remaining_ms = job.due_ms - wall_ms
+    if remaining_ms > state.step.estimate_ms:
         return 0
     objective_ms = job.due_ms - job.job.accepted_ms
-    if left_ms + (_MAX_LATENESS_FACTOR - 1.0) * objective_ms > state.step.estimate_ms:
+    if (
+        remaining_ms + (_MAX_LATENESS_FACTOR - 1.0) * objective_ms
+        > state.step.estimate_ms
+    ):
         return 1
     return TOO_LATE
 
--- a/trefoilhook/scheduling/records.py
+++ b/trefoilhook/scheduling/records.py
@@ -119,7 +119,7 @@
     demand = read_list(table, "demand")
     if len(demand) != 3:
         raise DecodeError("demand: expected three integers")
-    cpu, memory_mb, gpus = (check_integer(figure, "demand") for figure in demand)
+    cpu, memory_mb, gpus = (check_integer(amount, "demand") for amount in demand)
     max_absent = None
     if "max_absent" in table:
         max_absent = read_integer(table, "max_absent")
--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -258,7 +258,7 @@
         progressed_ms=assignment_round.now_ms,
         initial_pace=initial_pace,
         pace=initial_pace,
-        slowed_ms=assignment_round.now_ms,
+        throttled_since_ms=assignment_round.now_ms,
         deadline_ms=extend_lease(
             assignment_round.scheduler, worker, assignment_round.now_ms
         ),
--- a/trefoilhook/scheduling/shortfall.py
+++ b/trefoilhook/scheduling/shortfall.py
@@ -69,7 +69,7 @@
                 sums = self._sums.setdefault(job_id, _Sums())
                 sums.samples += 1
                 for task in _list_tasks(state):
-                    _count(scheduler, sums, task)
+                    _add_sample(scheduler, sums, task)
 
     def take(self, scheduler: Scheduler) -> Iterator[Shortfall]:
         """Yield the mean shortfall of each open job, and reset the samples."""
@@ -84,7 +84,7 @@
                 away=round(sums.away / sums.samples, 2),
                 over=round(sums.over / sums.samples, 2),
                 beside=round(sums.beside / sums.samples, 2),
-                waited_for=_explain(scheduler, state),
+                waited_for=_get_wait_reason(scheduler, state),
             )
         self._sums.clear()
 
@@ -93,7 +93,7 @@
     return (task for task in state.tasks.values() if task.step.long_running)
 
 
-def _explain(scheduler: Scheduler, state: JobState) -> str:
+def _get_wait_reason(scheduler: Scheduler, state: JobState) -> str:
     for task in _list_tasks(state):
         if task.attempts:
             continue
@@ -103,21 +103,25 @@
     return ""
 
 
-def _count(scheduler: Scheduler, sums: _Sums, task: TaskState) -> None:
-    working = [
-        attempt for attempt in task.attempts if _is_at_work(attempt.worker, attempt.run)
+def _add_sample(scheduler: Scheduler, sums: _Sums, task: TaskState) -> None:
+    serving_attempts = [
+        attempt for attempt in task.attempts if _is_serving(attempt.worker, attempt.run)
     ]
-    if not working:
+    if not serving_attempts:
         sums.away += 1
         return
     limit_ms = task.step.latency_limit_ms
-    if not limit_ms or all(attempt.run.load <= limit_ms for attempt in working):
+    if not limit_ms or all(
+        attempt.run.load <= limit_ms for attempt in serving_attempts
+    ):
         return
     sums.over += 1
-    sums.beside += any(_has_fillers(scheduler, each.worker) for each in working)
+    sums.beside += any(
+        _has_fillers(scheduler, each.worker) for each in serving_attempts
+    )
 
 
-def _is_at_work(worker: Worker, run: Run) -> bool:
+def _is_serving(worker: Worker, run: Run) -> bool:
     return (
         run.phase is not RunPhase.STARTING
         and run.percent >= _SERVING_PERCENT
--- a/trefoilhook/scheduling/slack.py
+++ b/trefoilhook/scheduling/slack.py
@@ -54,11 +54,11 @@
 
     def update(self, listed: Mapping[str, float], now_ms: float) -> None:
         """Update with the shares reported by a poll."""
-        kept = math.exp((self._read_ms - now_ms) / _LAG_MS)
+        decay = math.exp((self._read_ms - now_ms) / _LAG_MS)
         self._read_ms = now_ms
         self.shares = {
-            image: kept * self.shares.get(image, 0.0)
-            + (1.0 - kept) * listed.get(image, 0.0)
+            image: decay * self.shares.get(image, 0.0)
+            + (1.0 - decay) * listed.get(image, 0.0)
             for image in self.shares.keys() | listed.keys()
         }
 
@@ -99,12 +99,12 @@
         self, *, slack: float, base: float, shares: dict[str, float], now_ms: float
     ) -> None:
         """Update the filter with a sample and the base derived from it."""
-        pause_ms = now_ms - self.sampled_ms
+        gap_ms = now_ms - self.sampled_ms
         predicted = self.predict_base(now_ms)
         innovation = base - predicted
         self.base = predicted + _LEVEL_GAIN * innovation
-        self.slope += _SLOPE_GAIN * innovation / pause_ms
-        if pause_ms > _MAX_SAMPLE_GAP_MS:
+        self.slope += _SLOPE_GAIN * innovation / gap_ms
+        if gap_ms > _MAX_SAMPLE_GAP_MS:
             self.base, self.slope = base, 0.0
         self.sampled_ms = now_ms
         self.slack = slack
--- a/trefoilhook/scheduling/starvation.py
+++ b/trefoilhook/scheduling/starvation.py
@@ -22,7 +22,7 @@
     reserve_capacity,
 )
 
-__all__ = ["THROTTLED_PACE", "STARVATION_DELAY_MS", "admit_starved"]
+__all__ = ["THROTTLED_PACE", "STARVATION_DELAY_MS", "reserve_for_starved_jobs"]
 
 STARVATION_DELAY_MS = 5000.0
 """Time without a running task after which a job is starved, in ms. It is about the
@@ -49,7 +49,7 @@
 """Delay before a job without a suitable worker is tried again, in ms."""
 
 
-def admit_starved(
+def reserve_for_starved_jobs(
     assignment_round: AssignmentRound, ready: list[list[TaskState]]
 ) -> None:
     """Reserve capacity for one throttled task of each starved job.
--- a/trefoilhook/scheduling/suspicion.py
+++ b/trefoilhook/scheduling/suspicion.py
@@ -26,7 +26,7 @@
     "Suspicion",
     "Unit",
     "compute_survival",
-    "weigh_crash",
+    "compute_likelihood_ratios",
 ]
 
 Unit = tuple[int, int, int]
@@ -225,9 +225,9 @@
         """Add the time since the last update for the given number of workers."""
         if self.updated_ms is not None:
             passed_ms = max(0.0, now_ms - self.updated_ms)
-            kept = math.exp(-passed_ms / _CRASH_RATE_DECAY_MS)
-            self.crashes *= kept
-            self.worker_ms = kept * self.worker_ms + workers * passed_ms
+            decay = math.exp(-passed_ms / _CRASH_RATE_DECAY_MS)
+            self.crashes *= decay
+            self.worker_ms = decay * self.worker_ms + workers * passed_ms
         self.updated_ms = now_ms
 
     def add_unexplained(self, share: float) -> None:
@@ -253,7 +253,7 @@
     return 1.0 / (_DECADES * max(ran_ms, _MIN_ONSET_MS))
 
 
-def weigh_crash(
+def compute_likelihood_ratios(
     exposures: Sequence[Exposure], other_rate: float
 ) -> tuple[list[float], float]:
     """Compute the evidence of a crash against each run that may have caused it.
--- a/trefoilhook/scheduling/tests/test_crash_takeovers.py
+++ b/trefoilhook/scheduling/tests/test_crash_takeovers.py
@@ -113,7 +113,7 @@
         second = self.take_over(first, workers=())
         second.add_worker("w7")
         second.plan()
-        self.assertIs(read_loss(second).cause, LossCause.CUT_OFF)
+        self.assertIs(read_loss(second).cause, LossCause.PARTITIONED)
         self.assertEqual(find_suspicion(second).crashes, 1)
         self.assertEqual(find_suspicion(second).unproved_losses, 1)
         self.assertNotEqual(order.worker_id, worker_id)
--- a/trefoilhook/scheduling/tests/test_crashes.py
+++ b/trefoilhook/scheduling/tests/test_crashes.py
@@ -20,8 +20,8 @@
     STRONG_ODDS,
     CrashRate,
     Exposure,
+    compute_likelihood_ratios,
     compute_survival,
-    weigh_crash,
 )
 from trefoilhook.scheduling.tests.cases import (
     CLOCK_OFFSET_MS,
@@ -42,7 +42,7 @@
 
 def compute_ratios(exposures: list[Exposure]) -> list[float]:
     """Return the evidence of a crash at the prior rate of unexplained crashes."""
-    return weigh_crash(exposures, CrashRate().estimate())[0]
+    return compute_likelihood_ratios(exposures, CrashRate().estimate())[0]
 
 
 class CrashEvidenceTest(unittest.TestCase):
@@ -78,11 +78,13 @@
         exposure = Exposure(odds=PRIOR_ODDS, ran_ms=500.0)
         rate = CrashRate()
         rate.update(24, 0.0)
-        low_rate_ratios, unexplained = weigh_crash([exposure], rate.estimate())
+        low_rate_ratios, unexplained = compute_likelihood_ratios(
+            [exposure], rate.estimate()
+        )
         for _ in range(10):
             rate.add_unexplained(unexplained)
         rate.update(24, 1000.0)
-        high_rate_ratios, _ = weigh_crash([exposure], rate.estimate())
+        high_rate_ratios, _ = compute_likelihood_ratios([exposure], rate.estimate())
         self.assertLess(high_rate_ratios[0], low_rate_ratios[0] / 5.0)
         rate.update(24, 600_000.0)
         self.assertEqual(rate.estimate(), CrashRate().estimate())
@@ -145,7 +147,7 @@
         shard.pass_time(1500.0)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
-        self.check(shard, LossCause.CUT_OFF)
+        self.check(shard, LossCause.PARTITIONED)
 
     def test_restart_during_long_partition_is_no_evidence(self):
         shard, worker_id = self.start()
@@ -153,7 +155,7 @@
         shard.pass_time(2.0 * TASK_LEASE_MS)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
-        self.check(shard, LossCause.LEASES_OVER)
+        self.check(shard, LossCause.LEASES_EXPIRED)
         self.assertIsNone(find_suspicion(shard))
 
     def test_restart_during_partition_that_refuses_is_no_crash(self):
@@ -174,7 +176,7 @@
         shard.silence(worker_id, LOST)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
-        self.check(shard, LossCause.LEASES_OVER)
+        self.check(shard, LossCause.LEASES_EXPIRED)
 
     def test_announced_shutdown_is_no_crash(self):
         # Guards against counting a drained or reclaimed worker as crashed.
@@ -317,7 +319,7 @@
         shard.silence(worker_id, LOST)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
-        self.check(shard, LossCause.LEASES_OVER)
+        self.check(shard, LossCause.LEASES_EXPIRED)
 
 
 class SurvivalTest(unittest.TestCase):
--- a/trefoilhook/scheduling/tests/test_evacuations.py
+++ b/trefoilhook/scheduling/tests/test_evacuations.py
@@ -303,7 +303,7 @@
         report = shard.scheduler.workers[order.worker_id].report
         shard.scheduler.update_worker(attrs.evolve(report, draining=True))
         (stop,) = shard.step()
-        self.assertIs(stop.reason, StopReason.WORKER_LEAVES)
+        self.assertIs(stop.reason, StopReason.WORKER_DRAINING)
         self.assertEqual(step_and_list_workers(shard), [])
         shard.add_worker("w2", failure_domain=WEST)
         self.assertEqual(step_and_list_workers(shard), ["w2"])
--- a/trefoilhook/scheduling/tests/test_orders.py
+++ b/trefoilhook/scheduling/tests/test_orders.py
@@ -302,7 +302,7 @@
         # owner cannot reach the listed worker. The expiry of all leases of the earlier
         # owner does not show that the task never ran.
         shard = Shard(workers=1, epoch=2, settled=False)
-        shard.scheduler.workers["w0"].is_known = False
+        shard.scheduler.workers["w0"].has_reported_all = False
         roster = ("w0", "gone")
         past_ms = shard.scheduler.limits.settled_at_ms + 1.0
         self.assertFalse(is_settled(shard.scheduler, roster, past_ms - 2.0))
@@ -323,7 +323,7 @@
         # task whose end is the 501st.
         shard = Shard(workers=1, epoch=2, settled=False)
         worker = shard.scheduler.workers["w0"]
-        worker.is_known = False
+        worker.has_reported_all = False
         for index in range(501):
             shard.workers["w0"].end(TaskId("x", 0, 0, index), 1, EndKind.DONE)
         page = shard.workers["w0"].look(shard.now_ms)
@@ -377,7 +377,7 @@
         # A worker in the roster is dead, and another process has overwritten its entry,
         # which never expires. Guards against earlier jobs that wait forever.
         shard = Shard(workers=1, epoch=2, settled=False)
-        shard.scheduler.workers["w0"].is_known = False
+        shard.scheduler.workers["w0"].has_reported_all = False
         shard.scheduler.bar_worker("w0")
         past_ms = shard.scheduler.limits.settled_at_ms + 1.0
         self.assertTrue(is_settled(shard.scheduler, ("w0",), past_ms))
--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -161,7 +161,7 @@
         scheduler = self.shard.scheduler
         worker = scheduler.workers[self.starts[0].worker_id]
         run = worker.runs[self.starts[0].task, self.starts[0].attempt]
-        scheduler.request_stop(worker, run, StopReason.NOT_WANTED)
+        scheduler.request_stop(worker, run, StopReason.NOT_NEEDED)
         self.assertEqual(len(self.shard.plan()), 1)
         run.in_flight = False
         self.shard.pass_time(1000.0)
@@ -172,6 +172,6 @@
         scheduler = self.shard.scheduler
         for worker in scheduler.workers.values():
             for run in list(worker.runs.values()):
-                scheduler.request_stop(worker, run, StopReason.NOT_WANTED)
+                scheduler.request_stop(worker, run, StopReason.NOT_NEEDED)
         self.shard.step()
-        self.assertFalse(any(w.ordered for w in scheduler.workers.values()))
+        self.assertFalse(any(w.pending_runs for w in scheduler.workers.values()))
--- a/trefoilhook/scheduling/tests/test_sharing.py
+++ b/trefoilhook/scheduling/tests/test_sharing.py
@@ -266,7 +266,7 @@
         shard.pass_time(1000.0)
         shard.look_all()
         stops = [order for order in shard.step() if isinstance(order, StopOrder)]
-        self.assertEqual([stop.reason for stop in stops], [StopReason.SLOWED])
+        self.assertEqual([stop.reason for stop in stops], [StopReason.THROTTLED])
         order = shard.start_one()
         self.assertEqual(order.worker_id, "w1")
         self.assertEqual(order.checkpoint, "c1")
--- a/trefoilhook/scheduling/watchdog.py
+++ b/trefoilhook/scheduling/watchdog.py
@@ -5,7 +5,7 @@
 from trefoilhook.scheduling.job_state import JobState
 from trefoilhook.scheduling.messages import StopReason
 
-__all__ = ["is_migration_candidate", "stop_misplaced"]
+__all__ = ["is_migration_candidate", "stop_stalled_and_draining"]
 
 _STALL_TIMEOUT_MS = 4000.0
 """Time without progress after which a task is stalled. The slowest observed task on a
@@ -24,7 +24,9 @@
 """Time for which a worker with a stalled task gets no new task."""
 
 
-def stop_misplaced(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
+def stop_stalled_and_draining(
+    scheduler: Scheduler, worker: Worker, now_ms: float
+) -> None:
     """Stop attempts that are stalled or whose worker is about to shut down."""
     for run in worker.runs.values():
         state = scheduler.jobs.get(run.task.job_id)
@@ -32,9 +34,9 @@
             continue
         if _is_stalled(worker, run, state, now_ms):
             worker.avoid_until_ms = now_ms + _STALL_AVOIDANCE_MS
-            scheduler.request_stop(worker, run, StopReason.STANDS_STILL)
+            scheduler.request_stop(worker, run, StopReason.STALLED)
         elif worker.report.draining and _should_leave(worker, run, state):
-            scheduler.request_stop(worker, run, StopReason.WORKER_LEAVES)
+            scheduler.request_stop(worker, run, StopReason.WORKER_DRAINING)
 
 
 def is_migration_candidate(run: Run, state: JobState, now_ms: float) -> bool:
@@ -42,7 +44,7 @@
     step = state.job.steps[run.task.step]
     if not (step.filler and step.checkpointing) or run.pace >= _MIGRATION_PACE:
         return False
-    return now_ms - run.slowed_ms > _MIGRATION_DELAY_MS
+    return now_ms - run.throttled_since_ms > _MIGRATION_DELAY_MS
 
 
 def _is_stalled(worker: Worker, run: Run, state: JobState, now_ms: float) -> bool:
