--- a/trefoilhook/scheduling/crowds.py
+++ b/trefoilhook/scheduling/crowds.py
@@ -9,9 +9,9 @@
 from trefoilhook.scheduling.slack import SlackTrack, measure_slack
 
 __all__ = [
-    "MAX_UTILISATION",
     "FILLER_UTILISATION",
     "FULL_PACE",
+    "MAX_UTILISATION",
     "SERVICE_UTILISATION",
     "Colocation",
     "ColocationCache",
@@ -24,8 +24,7 @@
 """Pace of a task that is not throttled, in percent."""
 
 _SERVING_PERCENT = 100
-"""Progress at which a long-running task serves requests and its tail latency is
-valid."""
+"""Progress at which a long-running task serves requests and its tail is valid."""
 
 SERVICE_UTILISATION = 0.5
 """Fraction of the processor time requested by service tasks that is reserved for them;
@@ -38,8 +37,7 @@
 processors requested, and for 14 % with 1.2 of them requested."""
 
 _PREDICTION_HORIZON_MS = 1000.0
-"""A filler is placed for the base predicted this far ahead, as it runs for about 2
-s."""
+"""A filler is placed for the base predicted this far ahead: it runs for about 2 s."""
 
 _TRANSIENT_SHARE = 0.4
 """Fraction of the current base above its minimum that is usable by a filler. The load
--- a/trefoilhook/scheduling/interference.py
+++ b/trefoilhook/scheduling/interference.py
@@ -21,10 +21,6 @@
 Plain Python is sufficient: a step with nine images takes 60 us, and a matrix library
 would add 10 MB to every instance.
 
-References ---------- .. [1] R. E. Kalman, "A New Approach to Linear Filtering and
-Prediction Problems", Journal of Basic Engineering 82, 1960. .. [2] J. Mars et al.,
-"Bubble-Up", MICRO 2011: slowdown as pressure times sensitivity.
-
 References
 ----------
 .. [1] R. E. Kalman, "A New Approach to Linear Filtering and Prediction Problems",
@@ -264,19 +260,21 @@
             return
         self.steps += 1
         self._optimistic_weights.clear()
-        gains = {
+        cross_covariances = {
             image: sum(cells[other] * x for other, x in features.items())
             for image, cells in row.covariance.items()
         }
         innovation_variance = _CHANGE_VARIANCE
-        innovation_variance += sum(gains[image] * x for image, x in features.items())
+        innovation_variance += sum(
+            cross_covariances[image] * x for image, x in features.items()
+        )
         predicted = sum(row.means[image] * x for image, x in features.items())
         scaled_innovation = (change - predicted) / innovation_variance
-        for image, gain in gains.items():
-            row.means[image] += gain * scaled_innovation
+        for image, cross_covariance in cross_covariances.items():
+            row.means[image] += cross_covariance * scaled_innovation
             cells = row.covariance[image]
-            for other, value in gains.items():
-                cells[other] -= gain * value / innovation_variance
+            for other, value in cross_covariances.items():
+                cells[other] -= cross_covariance * value / innovation_variance
 
 
 def encode_interference(interference: Interference) -> bytes:
--- a/trefoilhook/scheduling/isolation.py
+++ b/trefoilhook/scheduling/isolation.py
@@ -18,10 +18,10 @@
 
 __all__ = [
     "Isolation",
-    "is_run_isolated",
+    "compute_risk_penalty",
     "is_placement_recorded",
+    "is_run_isolated",
     "is_strongly_suspected",
-    "compute_risk_penalty",
 ]
 
 _ISOLATION_MS = 3000.0
--- a/trefoilhook/scheduling/messages.py
+++ b/trefoilhook/scheduling/messages.py
@@ -7,6 +7,8 @@
 from trefoilhook.scheduling.models import TaskId
 
 __all__ = [
+    "UNANSWERED",
+    "UNSENT",
     "End",
     "EndKind",
     "Lapse",
@@ -15,8 +17,6 @@
     "Order",
     "OrderOutcome",
     "PaceOrder",
-    "UNANSWERED",
-    "UNSENT",
     "Running",
     "StartOrder",
     "StopOrder",
--- a/trefoilhook/scheduling/pacing.py
+++ b/trefoilhook/scheduling/pacing.py
@@ -26,12 +26,11 @@
 """Slack that throttling restores and that speeding up preserves."""
 
 _MIN_PACE = 10
-"""Minimum pace of a throttled filler, in percent; above 0, so that its weight can still
-be measured."""
+"""Minimum pace of a throttled filler, in percent. With 0 its weight could not be
+measured."""
 
 _MIN_PACE_INCREASE = 10
-"""Smaller increases of a pace are not ordered, in percent, as each order is a
-request."""
+"""Smaller increases of a pace are not ordered (in percent): each order is a request."""
 
 _PREDICTION_HORIZON_MS = 600.0
 """Paces are chosen for the slack predicted this far ahead: an order takes effect after
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -14,8 +14,8 @@
 
 __all__ = [
     "can_host",
-    "is_open",
     "compute_max_filler_cpu",
+    "is_open",
     "list_open_workers",
     "rate_worker",
     "score_worker",
@@ -33,8 +33,7 @@
 immediately."""
 
 _SUFFICIENT_SLACK = 2.5
-"""More slack than this has no benefit; most service tasks have it without any
-measure."""
+"""More slack than this has no benefit; most service tasks have it anyway."""
 
 _SLACK_PENALTY = 15_000
 """Penalty for 1 of useful slack, in thousandths of a core: half of a worker."""
--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -16,7 +16,7 @@
 from trefoilhook.scheduling.tickets import name_step
 from trefoilhook.scheduling.waits import FreeRoom, WaitReason
 
-__all__ = ["AssignmentRound", "extend_lease", "reserve_capacity", "next_attempt_number"]
+__all__ = ["AssignmentRound", "extend_lease", "next_attempt_number", "reserve_capacity"]
 
 
 @attrs.define(kw_only=True)
@@ -145,7 +145,7 @@
         return candidates
 
     def is_known_infeasible(self, state: TaskState) -> bool:
-        """Return whether no larger demand was placeable earlier in this round.
+        """Return whether an equal or smaller demand was infeasible in this round.
 
         A task is infeasible if one with the same placement key and at most the same
         demand could not be placed.
--- a/trefoilhook/scheduling/starvation.py
+++ b/trefoilhook/scheduling/starvation.py
@@ -22,7 +22,7 @@
     reserve_capacity,
 )
 
-__all__ = ["THROTTLED_PACE", "STARVATION_DELAY_MS", "reserve_for_starved_jobs"]
+__all__ = ["STARVATION_DELAY_MS", "THROTTLED_PACE", "reserve_for_starved_jobs"]
 
 STARVATION_DELAY_MS = 5000.0
 """Time without a running task after which a job is starved, in ms. It is about the
--- a/trefoilhook/scheduling/suspicion.py
+++ b/trefoilhook/scheduling/suspicion.py
@@ -25,8 +25,8 @@
     "Exposure",
     "Suspicion",
     "Unit",
-    "compute_survival",
     "compute_likelihood_ratios",
+    "compute_survival",
 ]
 
 Unit = tuple[int, int, int]
--- a/trefoilhook/scheduling/unread.py
+++ b/trefoilhook/scheduling/unread.py
@@ -15,8 +15,8 @@
 from trefoilhook.scheduling.models import TaskId
 
 __all__ = [
-    "has_too_many_held_ends",
     "find_hidden_attempts",
+    "has_too_many_held_ends",
     "identifies_all_attempts",
     "record_unread",
 ]
--- a/trefoilhook/scheduling/waits.py
+++ b/trefoilhook/scheduling/waits.py
@@ -8,7 +8,7 @@
 from trefoilhook.scheduling.models import Demand
 from trefoilhook.scheduling.tickets import StepName
 
-__all__ = ["FreeRoom", "WaitTracker", "WaitReason"]
+__all__ = ["FreeRoom", "WaitReason", "WaitTracker"]
 
 _MAX_GAP_MS = 1000.0
 """Maximum time between two rounds that is counted as waiting for the reason of the
