--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -1,9 +1,8 @@
-"""What a round costs on a large fleet with a long queue of batch work.
+"""Tests of the cost of rounds on a large fleet with many waiting fillers.
 
-Hundreds of batch jobs wait on a fleet of hundreds of workers whose service tasks bear
-no more. Each round rated every worker for dozens of them to find that out again, urgent
-tasks waited behind the rounds, and half of the first starts came 0.2 s later than with
-processor time for nothing.
+Hundreds of batch jobs wait on hundreds of workers whose service tasks tolerate no more
+fillers. Guards against rounds that rate every worker for dozens of these jobs, during
+which urgent tasks wait: half of all first starts were delayed by 0.2 s.
 """
 
 import random
@@ -15,10 +14,10 @@
 from trefoilhook.scheduling import Demand, Step, StopReason
 from trefoilhook.scheduling import planning as planning_module
 from trefoilhook.scheduling.candidates import Candidates
-from trefoilhook.scheduling.crowds import Crowds
+from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import RunPhase
 from trefoilhook.scheduling.placing import rate_worker
-from trefoilhook.scheduling.rounds import Round
+from trefoilhook.scheduling.rounds import AssignmentRound
 from trefoilhook.scheduling.tests.cases import Shard, build_job, list_starts
 
 _SERVICE = Step(
@@ -33,7 +32,7 @@
 
 
 class RoundCostTest(unittest.TestCase):
-    """Jobs of one image, each asking for another size."""
+    """Jobs of one image with different demands."""
 
     def setUp(self):
         self.shard = Shard(workers=4, cpu=16_000)
@@ -50,7 +49,7 @@
 
     def _count_ratings(self) -> int:
         rated = 0
-        add = Candidates.add
+        add = Candidates.add_worker
 
         def count(candidates, worker):
             nonlocal rated
@@ -58,18 +57,18 @@
             add(candidates, worker)
 
         self.shard.pass_time(2000.0)
-        with mock.patch.object(Candidates, "add", count):
+        with mock.patch.object(Candidates, "add_worker", count):
             self.shard.plan()
         return rated
 
-    def test_larger_ones_of_an_image_without_a_place_are_not_rated(self):
+    def test_larger_fillers_of_infeasible_image_are_not_rated(self):
         for number in range(20):
             demand = Demand(cpu=3000 + 10 * number, memory_mb=500 - 10 * number)
             step = attrs.evolve(_FILLER, demand=demand)
             self.shard.submit(build_job(step, job_id=f"f{number:02}"))
         self.assertLessEqual(self._count_ratings(), 4)
 
-    def test_smaller_one_is_rated_and_finds_its_place(self):
+    def test_smaller_filler_is_rated_and_placed(self):
         self.shard.submit(build_job(_FILLER, job_id="large"))
         small = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=100))
         self.shard.submit(build_job(small, job_id="small"))
@@ -77,20 +76,20 @@
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"small"})
 
-    def test_want_of_memory_says_nothing_of_one_that_needs_less(self):
-        wide = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=9000))
-        narrow = attrs.evolve(_FILLER, demand=Demand(cpu=200, memory_mb=100))
-        self.shard.submit(build_job(wide, job_id="a-wide"))
-        self.shard.submit(build_job(narrow, job_id="narrow"))
+    def test_lack_of_memory_does_not_exclude_smaller_demand(self):
+        large = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=9000))
+        small = attrs.evolve(_FILLER, demand=Demand(cpu=200, memory_mb=100))
+        self.shard.submit(build_job(large, job_id="a-wide"))
+        self.shard.submit(build_job(small, job_id="narrow"))
         self.shard.pass_time(2000.0)
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"narrow"})
 
 
 class FeasibleTest(unittest.TestCase):
-    """Workers that are left out unrated are those that would have been refused."""
+    """Workers that are not rated would have been rejected."""
 
-    def test_feasible_are_all_that_a_rating_accepts(self):
+    def test_feasible_workers_include_all_accepted_ones(self):
         choices = random.Random(5)
         shard = Shard(workers=12, cpu=16_000)
         shard.submit(build_job(attrs.evolve(_SERVICE, count=9), job_id="service"))
@@ -121,53 +120,58 @@
 
     def _compare(self, shard) -> None:
         scheduler = shard.scheduler
-        crowds = Crowds(
+        colocations = ColocationCache(
             jobs=scheduler.jobs,
             interference=scheduler.interference,
             now_ms=shard.now_ms,
         )
-        turn = Round(scheduler=scheduler, crowds=crowds, now_ms=shard.now_ms)
+        assignment_round = AssignmentRound(
+            scheduler=scheduler, colocations=colocations, now_ms=shard.now_ms
+        )
         for state in scheduler.waiting:
             accepted = {
                 worker.report.worker_id
-                for worker in turn.list_open(state)
-                if rate_worker(worker, state, crowds) is not None
+                for worker in assignment_round.list_open(state)
+                if rate_worker(worker, state, colocations) is not None
+            }
+            feasible = {
+                worker.report.worker_id
+                for worker in assignment_round.list_feasible(state)
             }
-            feasible = {worker.report.worker_id for worker in turn.list_feasible(state)}
             self.assertLessEqual(accepted, feasible)
 
 
 class OrderCostTest(unittest.TestCase):
-    """Plans go over what is being started or stopped, not over all that runs."""
+    """Plans check runs that are being started or stopped, not all running ones."""
 
     def setUp(self):
         self.shard = Shard(workers=2, cpu=16_000)
         self.shard.submit(build_job(attrs.evolve(_SERVICE, count=4), job_id="service"))
         self.starts = list_starts(self.shard.step())
 
-    def test_running_tasks_are_not_gone_over(self):
+    def test_running_tasks_are_not_checked_for_orders(self):
         self.shard.plan()
         with mock.patch.object(
-            planning_module, "_repeat_order", return_value=None
-        ) as repeat:
+            planning_module, "_get_due_order", return_value=None
+        ) as get_due_order:
             self.shard.plan()
-        self.assertEqual(repeat.call_count, 0)
+        self.assertEqual(get_due_order.call_count, 0)
 
-    def test_stop_is_repeated_until_its_end_is_known(self):
+    def test_stop_is_repeated_until_end_is_known(self):
         scheduler = self.shard.scheduler
         worker = scheduler.workers[self.starts[0].worker_id]
         run = worker.runs[self.starts[0].task, self.starts[0].attempt]
-        scheduler.request_stop(worker, run, StopReason.NOT_WANTED)
+        scheduler.request_stop(worker, run, StopReason.NOT_NEEDED)
         self.assertEqual(len(self.shard.plan()), 1)
         run.in_flight = False
         self.shard.pass_time(1000.0)
         self.assertEqual(len(self.shard.plan()), 1)
         self.assertIs(run.phase, RunPhase.STOPPING)
 
-    def test_what_has_ended_has_no_order_any_more(self):
+    def test_ended_runs_have_no_pending_order(self):
         scheduler = self.shard.scheduler
         for worker in scheduler.workers.values():
             for run in list(worker.runs.values()):
-                scheduler.request_stop(worker, run, StopReason.NOT_WANTED)
+                scheduler.request_stop(worker, run, StopReason.NOT_NEEDED)
         self.shard.step()
-        self.assertFalse(any(w.ordered for w in scheduler.workers.values()))
+        self.assertFalse(any(w.pending_runs for w in scheduler.workers.values()))
