--- a/trefoilhook/account/__init__.py
+++ b/trefoilhook/account/__init__.py
@@ -1,16 +1,22 @@
-"""Where the worth of jobs and services is lost, out of logs."""
+"""Attributes missed objectives of jobs and services to causes, from logs."""
 
-from trefoilhook.account.core import Account, Cause, JobLoss, QueueAccount, ServiceLoss
+from trefoilhook.account.core import (
+    Cause,
+    JobLoss,
+    LossReport,
+    QueueLosses,
+    ServiceShortfall,
+)
 from trefoilhook.account.evacuations import EvacuationReport, list_evacuations
-from trefoilhook.account.report import build_account
+from trefoilhook.account.report import build_loss_report
 
 __all__ = [
-    "Account",
     "Cause",
     "EvacuationReport",
     "JobLoss",
-    "QueueAccount",
-    "ServiceLoss",
-    "build_account",
+    "LossReport",
+    "QueueLosses",
+    "ServiceShortfall",
+    "build_loss_report",
     "list_evacuations",
 ]
--- a/trefoilhook/account/core.py
+++ b/trefoilhook/account/core.py
@@ -1,91 +1,106 @@
-"""What an account of lost worth holds: causes, losses, and their sums."""
+"""Data classes of the loss report: causes, losses and their totals."""
 
 import enum
 
 import attrs
 
 __all__ = [
-    "Account",
     "Cause",
     "JobLoss",
-    "Moment",
-    "QueueAccount",
-    "ServiceAccount",
-    "ServiceLoss",
+    "LossReport",
+    "QueueLosses",
+    "ServiceLosses",
+    "ServiceShortfall",
+    "TimeBin",
 ]
 
 
 class Cause(enum.Enum):
-    """What the time of a late job, or of a service's missing task, went into."""
+    """Cause of a late or failed job, or of a service's missing or slow tasks."""
 
     REFUSED = "refused"
-    """Never accepted: every try was turned away or had no answer."""
+    """Never accepted: each attempt to submit was refused or got no answer."""
 
     CRASH_LOOP = "crash loop"
-    """Given up, as a task of it crashes the workers that start it."""
+    """Failed because one of its tasks crashes the workers that start it."""
 
     FAILED = "failed"
-    """Given up, as a task of it failed too often."""
+    """Failed because one of its tasks failed too often."""
 
-    OWNER_AWAY = "owner away"
-    """Nobody owned the shard, or its new owner didn't know yet what runs."""
+    NO_OWNER = "owner away"
+    """The shard had no owner, or a new owner that didn't know the running tasks yet."""
 
-    OWNER = "owner"
-    """Planning, orders and writes of the owner, between the tasks."""
+    OWNER_OVERHEAD = "owner"
+    """Placement, orders and writes of the owner, between the tasks."""
 
     NO_WORKER = "no worker"
+    """No suitable worker accepted new tasks."""
+
     EVACUATED = "evacuated"
+    """All suitable workers were in evacuated failure domains."""
+
     NO_ROOM = "no room"
-    IN_PIECES = "room in pieces"
-    NOT_BORNE = "not borne"
-    BEHIND = "behind others"
-    APART = "kept apart"
-    LIST_STALE = "list stale"
+    """The free capacity of all workers together was too small."""
+
+    FRAGMENTED = "room in pieces"
+    """The free capacity was sufficient in total, but not on any one worker."""
+
+    INTERFERENCE = "not borne"
+    """The task would have slowed service tasks on the same worker too much."""
+
+    BEHIND_OTHERS = "behind others"
+    """Too many similar tasks before it could not be placed."""
+
+    ISOLATED = "kept apart"
+    """Suspected of crashing its workers, the task waited to run alone."""
+
+    WORKER_LIST_STALE = "list stale"
+    """The list of workers had not been read from the store for too long."""
 
     RESTARTED = "restarted"
-    """Attempts that were lost with their worker, stopped or failed."""
+    """Attempts that failed, were stopped, or were lost with their worker."""
 
-    SLOWED = "slowed"
-    """Ordered to a lower pace beside service tasks."""
+    THROTTLED = "slowed"
+    """Runs throttled to protect service tasks on the same worker."""
 
-    LONGER = "longer than declared"
-    """Runs at full pace that took longer than their clients' estimate."""
+    OVERRUN = "longer than declared"
+    """Time that runs took beyond the client's estimate, without throttling."""
 
     RUNNING = "still running"
-    """Runs that haven't ended yet."""
+    """Runs that have not ended."""
 
-    WORK = "declared work"
-    """Runs, as long as declared: no loss by itself."""
+    DECLARED_WORK = "declared work"
+    """Time of runs within the client's estimate; not a loss."""
 
-    TAIL_BESIDE = "tail beside batch work"
-    """Service tasks over their latency limit with batch tasks beside them."""
+    LATENCY_BESIDE_BATCH = "tail beside batch work"
+    """Service tasks over their latency limit beside batch tasks on the same worker."""
 
-    OWN_LOAD = "own load"
-    """Service tasks over their latency limit without any."""
+    LATENCY_OWN_LOAD = "own load"
+    """Service tasks over their latency limit without batch tasks beside them."""
 
     STARTING = "starting"
-    """Tasks of a service that are placed and not at work yet."""
+    """Service tasks that are placed but not running yet."""
 
     UNKNOWN = "unknown"
-    """The logs at hand don't tell."""
+    """Not determined by the logs."""
 
 
 @attrs.frozen(kw_only=True)
 class JobLoss:
-    """A job that was late, failed, refused or is overdue.
+    """A job that was late, failed or refused, or is overdue.
 
     Parameters
     ----------
     job, queue : str
-        The job, and its queue.
+        Ids of the job and of its queue.
     at_s : float
-        When it was accepted or first turned away, in s since the Unix epoch.
+        When it was accepted or first refused, in s since the Unix epoch.
     cause : Cause
-        What cost it most.
+        The most expensive cause.
     late_ms : float
-        Time past its objective, in ms; 0 for one that failed or was refused.
+        Time past its objective, in ms; 0 for failed and refused jobs.
     spent_ms : dict of Cause to float
-        What all its time went into, in ms.
+        All of its time by cause, in ms.
     """
 
     job: str
@@ -97,19 +112,20 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServiceLoss:
-    """What a job of long-running tasks lacked in one period.
+class ServiceShortfall:
+    """Missing and slow tasks of a long-running job in one period.
 
     Parameters
     ----------
     job, queue : str
-        The job, and its queue.
+        Ids of the job and of its queue.
     at_s : float
         When the period ended, in s since the Unix epoch.
     tasks : int
-        Its tasks.
+        Number of its tasks.
     lost : dict of Cause to float
-        Tasks that were away or too late, as means over the period.
+        Tasks that were missing or over their latency limit, as means over the
+        period.
     """
 
     job: str
@@ -120,21 +136,21 @@
 
 
 @attrs.frozen(kw_only=True)
-class QueueAccount:
-    """Jobs of one queue that have an objective.
+class QueueLosses:
+    """Losses among the jobs of one queue that have an objective.
 
     Parameters
     ----------
     queue : str
-        The queue.
+        Id of the queue.
     judged : int
-        Jobs of which the outcome is known.
+        Jobs with a known outcome.
     good : int
-        Those that ended in time.
+        Jobs that met their objective.
     lost : dict of Cause to int
-        The others, by what cost each most.
+        The other jobs, by their most expensive cause.
     late_ms : dict of Cause to float
-        Their time past the objectives, in ms, by the same cause.
+        Time of these jobs past their objectives, in ms, by the same cause.
     """
 
     queue: str
@@ -145,17 +161,17 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServiceAccount:
-    """Long-running jobs of one queue.
+class ServiceLosses:
+    """Losses among the long-running jobs of one queue.
 
     Parameters
     ----------
     queue : str
-        The queue.
+        Id of the queue.
     jobs, periods : int
-        Jobs that lacked something, and periods in which they did.
+        Jobs with missing or slow tasks, and log periods in which they had some.
     task_s : dict of Cause to float
-        Time of tasks that were away or too late, in s.
+        Time for which tasks were missing or over their latency limit, in s.
     """
 
     queue: str
@@ -165,17 +181,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class Moment:
-    """A stretch of time, and what was lost in it.
+class TimeBin:
+    """Losses in one interval of time.
 
     Parameters
     ----------
     at_s : float
-        When it begins, in s from the first line.
+        Begin of the interval, in s from the first line.
     jobs : dict of Cause to int
-        Jobs accepted or turned away in it that were lost.
+        Lost jobs that were accepted or first refused in it.
     task_s : dict of Cause to float
-        Time of service tasks that were away or too late in it, in s.
+        Time for which service tasks were missing or over their latency limit in it,
+        in s.
     """
 
     at_s: float
@@ -184,29 +201,29 @@
 
 
 @attrs.frozen(kw_only=True)
-class Account:
-    """An account of lost worth.
+class LossReport:
+    """Losses of jobs and services, by queue and over time.
 
     Parameters
     ----------
     began_s, ended_s : float
         Times of the first and the last line, in s since the Unix epoch.
-    queues : tuple of QueueAccount
-        Jobs with an objective.
-    services : tuple of ServiceAccount
-        Long-running jobs.
-    moments : tuple of Moment
-        When it was lost.
+    queues : tuple of QueueLosses
+        Losses of jobs with an objective.
+    services : tuple of ServiceLosses
+        Losses of long-running jobs.
+    moments : tuple of TimeBin
+        Losses over time; intervals without any are left out.
     losses : tuple of JobLoss
-        Each job that was lost.
+        The lost jobs.
     unread : dict of str to int
-        Lines that were left out, by reason.
+        Number of skipped lines, by reason.
     """
 
     began_s: float
     ended_s: float
-    queues: tuple[QueueAccount, ...]
-    services: tuple[ServiceAccount, ...]
-    moments: tuple[Moment, ...]
+    queues: tuple[QueueLosses, ...]
+    services: tuple[ServiceLosses, ...]
+    moments: tuple[TimeBin, ...]
     losses: tuple[JobLoss, ...]
     unread: dict[str, int]
--- a/trefoilhook/account/report.py
+++ b/trefoilhook/account/report.py
@@ -1,4 +1,4 @@
-"""The account of lost worth, built out of the lines of all processes."""
+"""Builds the loss report from the log lines of all processes."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -6,30 +6,30 @@
 import attrs
 
 from trefoilhook.account.core import (
-    Account,
     Cause,
     JobLoss,
-    Moment,
-    QueueAccount,
-    ServiceAccount,
-    ServiceLoss,
+    LossReport,
+    QueueLosses,
+    ServiceLosses,
+    ServiceShortfall,
+    TimeBin,
 )
 from trefoilhook.account.timeline import (
     WAIT_CAUSES,
     Interval,
-    JobLines,
-    walk_back,
+    JobAttempts,
+    attribute_time,
 )
-from trefoilhook.burn import JobOutcome, judge_each_job
+from trefoilhook.burn import JobOutcome, classify_jobs_by_id
 from trefoilhook.results import ResultCode
 from trefoilhook.story import LogLine
 
-__all__ = ["build_account"]
+__all__ = ["build_loss_report"]
 
 _MS_PER_S = 1000.0
 
-_PERIOD_S = 2.0
-"""Time that one line on what a service lacks stands for, in s."""
+_SHORTFALL_PERIOD_S = 2.0
+"""Length of the period that a ``SERVICE_SHORT`` line covers, in s."""
 
 _TASK_EVENTS = frozenset({"TASK_STARTED", "TASK_ENDED", "TASK_GIVEN_UP"})
 
@@ -37,25 +37,25 @@
 
 
 @attrs.define(kw_only=True)
-class _Jobs:
-    """Lines by job."""
+class _JobEvents:
+    """What the log lines say of each job, and of each queue's latest wait."""
 
-    tasks: dict[str, JobLines] = attrs.Factory(lambda: defaultdict(JobLines))
+    attempts: dict[str, JobAttempts] = attrs.Factory(lambda: defaultdict(JobAttempts))
     accepted_s: dict[str, float] = attrs.Factory(dict)
     first_s: dict[str, float] = attrs.Factory(dict)
-    waits: dict[str, Cause] = attrs.Factory(dict)
+    wait_causes: dict[str, Cause] = attrs.Factory(dict)
     crash_loops: set[str] = attrs.Factory(set)
 
-    def take(self, line: LogLine) -> None:
-        """Take in a line that names a job or a task."""
+    def add_line(self, line: LogLine) -> None:
+        """Evaluate a log line."""
         if line.event in _TASK_EVENTS:
             job_id = str(line.fields.get("task")).partition(".")[0]
-            self.tasks[job_id].take(line)
+            self.attempts[job_id].add_line(line)
             return
         if line.event == "QUEUE_WAITS":
             reason = str(line.fields.get("oldest_waits_for", ""))
             queue = str(line.fields.get("queue"))
-            self.waits[queue] = WAIT_CAUSES.get(reason, Cause.UNKNOWN)
+            self.wait_causes[queue] = WAIT_CAUSES.get(reason, Cause.UNKNOWN)
         job_id = str(line.fields.get("job", ""))
         if not job_id:
             return
@@ -66,94 +66,102 @@
             self.crash_loops.add(job_id)
 
 
-def build_account(
+def build_loss_report(
     lines: Iterable[LogLine],
     *,
     bin_s: float,
     unread: Mapping[str, int] | None = None,
-) -> Account:
-    """Build an account.
+) -> LossReport:
+    """Build the loss report.
 
     Parameters
     ----------
     lines : iterable of LogLine
         Logs of all processes, in any order.
     bin_s : float
-        Length of the moments that it tells apart, in s.
+        Length of the intervals of the losses over time, in s.
     unread : mapping of str to int, optional
-        Lines that couldn't be read, by reason.
+        Number of skipped lines, by reason.
     """
     ordered = sorted(lines, key=lambda line: line.time_s)
-    jobs = _Jobs()
+    jobs = _JobEvents()
     for line in ordered:
-        jobs.take(line)
+        jobs.add_line(line)
     began_s = ordered[0].time_s if ordered else 0.0
     ended_s = ordered[-1].time_s if ordered else 0.0
-    absences = _find_absences(ordered)
+    ownerless = _find_ownerless_intervals(ordered)
     outcomes = {
         job_id: outcome
-        for job_id, outcome in judge_each_job(ordered).items()
+        for job_id, outcome in classify_jobs_by_id(ordered).items()
         if outcome.code is not ResultCode.BAD_REQUEST
     }
     losses = tuple(
-        _explain(job_id, outcome, jobs, absences, ended_s)
+        _attribute_loss(job_id, outcome, jobs, ownerless, ended_s)
         for job_id, outcome in outcomes.items()
         if not _is_good(outcome)
     )
     services = tuple(_list_shortfalls(ordered))
-    return Account(
+    return LossReport(
         began_s=began_s,
         ended_s=ended_s,
         queues=_sum_queues(outcomes.values(), losses),
         services=_sum_services(services),
-        moments=_sum_moments(losses, services, began_s=began_s, bin_s=bin_s),
+        moments=_bin_losses(losses, services, began_s=began_s, bin_s=bin_s),
         losses=losses,
         unread=dict(unread or {}),
     )
 
 
 def _is_good(outcome: JobOutcome) -> bool:
-    return outcome.code is ResultCode.OK and outcome.spent_ms <= outcome.objective_ms
+    return outcome.code is ResultCode.OK and outcome.elapsed_ms <= outcome.objective_ms
 
 
-def _explain(
+def _attribute_loss(
     job_id: str,
     outcome: JobOutcome,
-    jobs: _Jobs,
-    absences: Sequence[Interval],
+    jobs: _JobEvents,
+    ownerless: Sequence[Interval],
     ended_s: float,
 ) -> JobLoss:
-    """Tell what cost a job most."""
+    """Return the loss of a job, with its most expensive cause."""
     at_s = jobs.accepted_s.get(job_id, jobs.first_s.get(job_id, outcome.at_s))
     if outcome.code in _REFUSALS:
         return JobLoss(job=job_id, queue=outcome.queue, at_s=at_s, cause=Cause.REFUSED)
     is_done = outcome.code is ResultCode.OK
-    spent = walk_back(
-        jobs.tasks[job_id],
+    spent = attribute_time(
+        jobs.attempts[job_id],
         accepted_s=at_s,
         end_s=min(outcome.at_s, ended_s),
-        absences=absences,
-        open_cause=None if is_done else jobs.waits.get(outcome.queue, Cause.UNKNOWN),
+        ownerless=ownerless,
+        open_cause=None
+        if is_done
+        else jobs.wait_causes.get(outcome.queue, Cause.UNKNOWN),
     )
     if outcome.code is ResultCode.BACKEND_FAILED:
-        looped = job_id in jobs.crash_loops
-        cause = Cause.CRASH_LOOP if looped else Cause.FAILED
+        is_crash_loop = job_id in jobs.crash_loops
+        cause = Cause.CRASH_LOOP if is_crash_loop else Cause.FAILED
         return JobLoss(
             job=job_id, queue=outcome.queue, at_s=at_s, cause=cause, spent_ms=spent
         )
-    costs = {cause: ms for cause, ms in spent.items() if cause is not Cause.WORK}
+    costs = {
+        cause: ms for cause, ms in spent.items() if cause is not Cause.DECLARED_WORK
+    }
     return JobLoss(
         job=job_id,
         queue=outcome.queue,
         at_s=at_s,
         cause=max(costs, key=costs.__getitem__, default=Cause.UNKNOWN),
-        late_ms=outcome.spent_ms - outcome.objective_ms,
+        late_ms=outcome.elapsed_ms - outcome.objective_ms,
         spent_ms=spent,
     )
 
 
-def _find_absences(ordered: Iterable[LogLine]) -> list[Interval]:
-    """Return when the shard had no owner, or one that didn't know yet what runs."""
+def _find_ownerless_intervals(ordered: Iterable[LogLine]) -> list[Interval]:
+    """Return intervals without an owner that knows the running tasks.
+
+    Such an interval lasts from the last line of the previous owner until the new owner
+    logs ``SHARD_SETTLED``.
+    """
     found: list[Interval] = []
     owner = ""
     last_s = 0.0
@@ -181,27 +189,27 @@
         "JOB_FINISHED",
     }
 )
-"""What only an owner writes: the last of these lines is its last sign of work."""
+"""Events that only an owner logs. The last one is taken as the end of its work."""
 
 
-def _list_shortfalls(ordered: Iterable[LogLine]) -> Iterable[ServiceLoss]:
+def _list_shortfalls(ordered: Iterable[LogLine]) -> Iterable[ServiceShortfall]:
     for line in ordered:
         if line.event != "SERVICE_SHORT":
             continue
         fields = line.fields
-        figures = [fields.get(name) for name in ("tasks", "away", "over", "beside")]
-        if not all(isinstance(figure, (int, float)) for figure in figures):
+        values = [fields.get(name) for name in ("tasks", "away", "over", "beside")]
+        if not all(isinstance(value, (int, float)) for value in values):
             continue
         tasks, away, over, beside = (
-            float(figure) for figure in figures if figure is not None
+            float(value) for value in values if value is not None
         )
-        waits = WAIT_CAUSES.get(str(fields.get("waited_for", "")), Cause.STARTING)
+        wait_cause = WAIT_CAUSES.get(str(fields.get("waited_for", "")), Cause.STARTING)
         lost = {
-            waits: away,
-            Cause.TAIL_BESIDE: beside,
-            Cause.OWN_LOAD: over - beside,
+            wait_cause: away,
+            Cause.LATENCY_BESIDE_BATCH: beside,
+            Cause.LATENCY_OWN_LOAD: over - beside,
         }
-        yield ServiceLoss(
+        yield ServiceShortfall(
             job=str(fields.get("job")),
             queue=str(fields.get("queue")),
             at_s=line.time_s,
@@ -212,7 +220,7 @@
 
 def _sum_queues(
     outcomes: Iterable[JobOutcome], losses: Sequence[JobLoss]
-) -> tuple[QueueAccount, ...]:
+) -> tuple[QueueLosses, ...]:
     judged: Counter[str] = Counter(outcome.queue for outcome in outcomes)
     lost: dict[str, Counter[Cause]] = defaultdict(Counter)
     late_ms: dict[str, Counter[Cause]] = defaultdict(Counter)
@@ -220,7 +228,7 @@
         lost[loss.queue][loss.cause] += 1
         late_ms[loss.queue][loss.cause] += loss.late_ms  # type: ignore[assignment]
     return tuple(
-        QueueAccount(
+        QueueLosses(
             queue=queue,
             judged=count,
             good=count - lost[queue].total(),
@@ -231,12 +239,12 @@
     )
 
 
-def _sum_services(shortfalls: Sequence[ServiceLoss]) -> tuple[ServiceAccount, ...]:
-    by_queue: dict[str, list[ServiceLoss]] = defaultdict(list)
+def _sum_services(shortfalls: Sequence[ServiceShortfall]) -> tuple[ServiceLosses, ...]:
+    by_queue: dict[str, list[ServiceShortfall]] = defaultdict(list)
     for shortfall in shortfalls:
         by_queue[shortfall.queue].append(shortfall)
     return tuple(
-        ServiceAccount(
+        ServiceLosses(
             queue=queue,
             jobs=len({row.job for row in rows}),
             periods=len(rows),
@@ -246,29 +254,29 @@
     )
 
 
-def _sum_tasks(rows: Iterable[ServiceLoss]) -> dict[Cause, float]:
+def _sum_tasks(rows: Iterable[ServiceShortfall]) -> dict[Cause, float]:
     sums: dict[Cause, float] = defaultdict(float)
     for row in rows:
         for cause, count in row.lost.items():
-            sums[cause] += count * _PERIOD_S
+            sums[cause] += count * _SHORTFALL_PERIOD_S
     return dict(sums)
 
 
-def _sum_moments(
+def _bin_losses(
     losses: Sequence[JobLoss],
-    shortfalls: Sequence[ServiceLoss],
+    shortfalls: Sequence[ServiceShortfall],
     *,
     began_s: float,
     bin_s: float,
-) -> tuple[Moment, ...]:
+) -> tuple[TimeBin, ...]:
     jobs: dict[int, Counter[Cause]] = defaultdict(Counter)
-    rows: dict[int, list[ServiceLoss]] = defaultdict(list)
+    rows: dict[int, list[ServiceShortfall]] = defaultdict(list)
     for loss in losses:
         jobs[int((loss.at_s - began_s) // bin_s)][loss.cause] += 1
     for shortfall in shortfalls:
         rows[int((shortfall.at_s - began_s) // bin_s)].append(shortfall)
     return tuple(
-        Moment(
+        TimeBin(
             at_s=number * bin_s,
             jobs=dict(jobs[number]),
             task_s=_sum_tasks(rows[number]),
--- a/trefoilhook/account/tests/__init__.py
+++ b/trefoilhook/account/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the account of lost worth."""
+"""Tests of the loss report."""
--- a/trefoilhook/account/timeline.py
+++ b/trefoilhook/account/timeline.py
@@ -1,9 +1,9 @@
-"""What the time of one job went into, walked back along its critical path.
+"""Attributes the time of a job to causes, along its critical path.
 
-From its end, the walk goes to the task that was done last, through that task's attempts
-to when it could first have been started, from there to the task of an earlier step that
-was done last, and so on to the job's acceptance. Whatever lies on the way is counted
-once, so that the parts add up to the whole.
+The critical path is followed backwards: from the end of the job to the task that was
+done last, through the attempts at that task to the time from which it could have been
+started, from there to the last task done before, and so on to the job's acceptance.
+All time on the path is attributed once, so that the parts add up to the total.
 """
 
 import bisect
@@ -15,14 +15,14 @@
 from trefoilhook.account.core import Cause
 from trefoilhook.story import LogLine
 
-__all__ = ["WAIT_CAUSES", "Attempt", "Interval", "JobLines", "walk_back"]
+__all__ = ["WAIT_CAUSES", "Attempt", "Interval", "JobAttempts", "attribute_time"]
 
 _MS_PER_S = 1000.0
 
 _DONE = "done"
 
-_SAME_MOMENT_S = 0.001
-"""Lines of one decision are written within so much of each other, in s."""
+_SIMULTANEITY_S = 0.001
+"""Log lines about one decision are written at most this far apart, in s."""
 
 WAIT_CAUSES = {
     cause.value: cause
@@ -30,19 +30,19 @@
         Cause.NO_WORKER,
         Cause.EVACUATED,
         Cause.NO_ROOM,
-        Cause.IN_PIECES,
-        Cause.NOT_BORNE,
-        Cause.BEHIND,
-        Cause.APART,
-        Cause.LIST_STALE,
+        Cause.FRAGMENTED,
+        Cause.INTERFERENCE,
+        Cause.BEHIND_OTHERS,
+        Cause.ISOLATED,
+        Cause.WORKER_LIST_STALE,
     )
-} | {"owner new": Cause.OWNER_AWAY}
-"""Causes by the reason for waiting that log lines give."""
+} | {"owner new": Cause.NO_OWNER}
+"""Causes by the wait reason in log lines."""
 
 
 @attrs.frozen(kw_only=True)
 class Interval:
-    """A stretch of time, in s since the Unix epoch."""
+    """An interval of time, in s since the Unix epoch."""
 
     begin_s: float
     end_s: float
@@ -50,33 +50,34 @@
 
 @attrs.define(kw_only=True)
 class Attempt:
-    """One attempt at a task, as its lines tell of it.
+    """One attempt at a task, from its log lines.
 
     Parameters
     ----------
     task : str
-        The task.
+        Id of the task.
     number : int
-        Of the attempt.
+        Number of the attempt.
     started_s : float or None
-        When its start was confirmed.
+        When the start was confirmed, in s since the Unix epoch.
     ended_s : float or None
-        When its end was learned, or it was given up.
-    how : str
-        How it ended.
+        When the end was reported or the attempt was given up, in s since the Unix
+        epoch.
+    outcome : str
+        How the attempt ended; empty if it has not.
     waited_ms : float
-        How long its task waited for the place before, in ms.
+        How long the task waited for its placement, in ms.
     waited_for : str
-        What for longest.
+        The wait reason that lasted longest.
     estimate_ms, slowing_ms : float
-        Declared time, and time lost by its pace, in ms.
+        Declared run time, and time lost to throttling, in ms.
     """
 
     task: str
     number: int
     started_s: float | None = None
     ended_s: float | None = None
-    how: str = ""
+    outcome: str = ""
     waited_ms: float = 0.0
     waited_for: str = ""
     estimate_ms: float = 0.0
@@ -84,13 +85,13 @@
 
 
 @attrs.define(kw_only=True)
-class JobLines:
-    """The lines on one job's tasks, taken in the order of time."""
+class JobAttempts:
+    """Attempts at the tasks of one job; lines must be added in order of time."""
 
     attempts: dict[tuple[str, int], Attempt] = attrs.Factory(dict)
 
-    def take(self, line: LogLine) -> None:
-        """Take in a line on a task."""
+    def add_line(self, line: LogLine) -> None:
+        """Evaluate a log line about a task."""
         fields = line.fields
         number = fields.get("attempt")
         if not isinstance(number, int):
@@ -105,56 +106,60 @@
             attempt.waited_for = str(fields.get("waited_for", ""))
         elif line.event == "TASK_ENDED":
             attempt.ended_s = line.time_s
-            attempt.how = str(fields.get("how"))
+            attempt.outcome = str(fields.get("how"))
             attempt.estimate_ms = _read_number(fields.get("estimate_ms"))
             attempt.slowing_ms = _read_number(fields.get("slowing_ms"))
         elif line.event == "TASK_GIVEN_UP" and attempt.ended_s is None:
             attempt.ended_s = line.time_s
-            attempt.how = str(fields.get("why"))
+            attempt.outcome = str(fields.get("why"))
 
 
 def _read_number(value: object) -> float:
     return float(value) if isinstance(value, (int, float)) else 0.0
 
 
-class _Walk:
-    """The way back along a job's critical path, and what lay on it."""
+class _CriticalPath:
+    """Position on the way back along a job's critical path, and time by cause."""
 
     def __init__(
-        self, *, least_s: float, end_s: float, absences: Sequence[Interval]
+        self, *, begin_s: float, end_s: float, ownerless: Sequence[Interval]
     ) -> None:
-        self._least_s = least_s
+        self._begin_s = begin_s
         self.at_s = end_s
         self.spent_ms: dict[Cause, float] = defaultdict(float)
-        self._absences = absences
+        self._ownerless = ownerless
 
-    def go_to(self, at_s: float, cause: Cause) -> None:
-        """Go back to a time; what lies between went into ``cause``."""
-        at_s = max(at_s, self._least_s)
+    def attribute_back_to(self, at_s: float, cause: Cause) -> None:
+        """Attribute the time back to ``at_s`` to a cause.
+
+        Of owner overhead and lost attempts, the time without an owner is attributed to
+        `Cause.NO_OWNER` instead.
+        """
+        at_s = max(at_s, self._begin_s)
         if at_s >= self.at_s:
             return
-        away_s = 0.0
-        if cause in (Cause.OWNER, Cause.RESTARTED):
-            away_s = _measure_overlap(self._absences, at_s, self.at_s)
-        whole_s = self.at_s - at_s
-        self.spent_ms[Cause.OWNER_AWAY] += away_s * _MS_PER_S
-        self.spent_ms[cause] += (whole_s - away_s) * _MS_PER_S
+        ownerless_s = 0.0
+        if cause in (Cause.OWNER_OVERHEAD, Cause.RESTARTED):
+            ownerless_s = _measure_overlap(self._ownerless, at_s, self.at_s)
+        total_s = self.at_s - at_s
+        self.spent_ms[Cause.NO_OWNER] += ownerless_s * _MS_PER_S
+        self.spent_ms[cause] += (total_s - ownerless_s) * _MS_PER_S
         self.at_s = at_s
 
-    def pass_work(self, attempt: Attempt, started_s: float) -> None:
-        """Go back through the run that was done."""
-        started_s = max(started_s, self._least_s)
-        whole_ms = max(0.0, self.at_s - started_s) * _MS_PER_S
+    def attribute_run(self, attempt: Attempt, started_s: float) -> None:
+        """Attribute the time of a run, back to its start."""
+        started_s = max(started_s, self._begin_s)
+        total_ms = max(0.0, self.at_s - started_s) * _MS_PER_S
         if attempt.ended_s is None:
-            self.spent_ms[Cause.RUNNING] += whole_ms
+            self.spent_ms[Cause.RUNNING] += total_ms
             self.at_s = min(self.at_s, started_s)
             return
-        slowed_ms = min(whole_ms, attempt.slowing_ms)
-        work_ms = min(whole_ms - slowed_ms, attempt.estimate_ms or whole_ms)
+        throttled_ms = min(total_ms, attempt.slowing_ms)
+        work_ms = min(total_ms - throttled_ms, attempt.estimate_ms or total_ms)
         for cause, spent_ms in (
-            (Cause.SLOWED, slowed_ms),
-            (Cause.LONGER, whole_ms - slowed_ms - work_ms),
-            (Cause.WORK, work_ms),
+            (Cause.THROTTLED, throttled_ms),
+            (Cause.OVERRUN, total_ms - throttled_ms - work_ms),
+            (Cause.DECLARED_WORK, work_ms),
         ):
             self.spent_ms[cause] += spent_ms
         self.at_s = min(self.at_s, started_s)
@@ -169,98 +174,102 @@
     )
 
 
-def walk_back(
-    lines: JobLines,
+def attribute_time(
+    job: JobAttempts,
     *,
     accepted_s: float,
     end_s: float,
-    absences: Sequence[Interval] = (),
+    ownerless: Sequence[Interval] = (),
     open_cause: Cause | None = None,
 ) -> dict[Cause, float]:
-    """Return what a job's time went into, in ms, by cause.
+    """Return the time of a job by cause, in ms.
 
     Parameters
     ----------
-    lines : JobLines
-        The lines on its tasks.
+    job : JobAttempts
+        Attempts at its tasks.
     accepted_s, end_s : float
-        When it was accepted and when it ended, or the logs did, in s.
-    absences : sequence of Interval
-        When nobody owned the shard.
+        When the job was accepted, and when it or else the log ended, in s since the
+        Unix epoch.
+    ownerless : sequence of Interval
+        Intervals in which the shard had no owner that knew the running tasks.
     open_cause : Cause, optional
-        For a job that isn't done: what its tasks wait for if none of them runs.
+        Only for an unfinished or failed job: cause of the time in which none of its
+        tasks ran.
     """
-    walk = _Walk(least_s=accepted_s, end_s=end_s, absences=absences)
-    by_task = _sort_attempts(lines.attempts.values())
+    path = _CriticalPath(begin_s=accepted_s, end_s=end_s, ownerless=ownerless)
+    by_task = _group_by_task(job.attempts.values())
     done = sorted(
         (
             attempt
-            for attempt in lines.attempts.values()
-            if attempt.how == _DONE and attempt.ended_s is not None
+            for attempt in job.attempts.values()
+            if attempt.outcome == _DONE and attempt.ended_s is not None
         ),
         key=_read_end,
     )
     if open_cause is not None:
-        _pass_open(walk, by_task, done, open_cause)
-    while walk.at_s > accepted_s:
-        number = bisect.bisect_right(done, walk.at_s + _SAME_MOMENT_S, key=_read_end)
+        _attribute_unfinished(path, by_task, done, open_cause)
+    while path.at_s > accepted_s:
+        number = bisect.bisect_right(done, path.at_s + _SIMULTANEITY_S, key=_read_end)
         if not number:
             break
         last = done[number - 1]
         del done[number - 1 :]
-        walk.go_to(_read_end(last), Cause.OWNER)
-        _pass_attempts(walk, last, by_task[last.task])
-    walk.go_to(accepted_s, Cause.OWNER)
-    return {cause: spent for cause, spent in walk.spent_ms.items() if spent > 0.0}
+        path.attribute_back_to(_read_end(last), Cause.OWNER_OVERHEAD)
+        _attribute_attempts(path, last, by_task[last.task])
+    path.attribute_back_to(accepted_s, Cause.OWNER_OVERHEAD)
+    return {cause: spent for cause, spent in path.spent_ms.items() if spent > 0.0}
 
 
 def _read_end(attempt: Attempt) -> float:
     return attempt.ended_s if attempt.ended_s is not None else 0.0
 
 
-def _sort_attempts(attempts: Iterable[Attempt]) -> dict[str, list[Attempt]]:
+def _group_by_task(attempts: Iterable[Attempt]) -> dict[str, list[Attempt]]:
     by_task: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in attempts:
         by_task[attempt.task].append(attempt)
-    for tries in by_task.values():
-        tries.sort(key=lambda attempt: attempt.number)
+    for task_attempts in by_task.values():
+        task_attempts.sort(key=lambda attempt: attempt.number)
     return by_task
 
 
-def _pass_open(
-    walk: _Walk,
+def _attribute_unfinished(
+    path: _CriticalPath,
     by_task: dict[str, list[Attempt]],
     done: Sequence[Attempt],
     open_cause: Cause,
 ) -> None:
-    """Go back through what isn't done: the task that was started last, or the wait."""
+    """Attribute the time of unfinished tasks: the latest started one, or the wait."""
     finished = {attempt.task for attempt in done}
     latest = [
-        tries[-1]
-        for task, tries in by_task.items()
-        if task not in finished and tries[-1].started_s is not None
+        attempts[-1]
+        for task, attempts in by_task.items()
+        if task not in finished and attempts[-1].started_s is not None
     ]
     if not latest:
-        walk.go_to(_read_end(done[-1]) if done else 0.0, open_cause)
+        path.attribute_back_to(_read_end(done[-1]) if done else 0.0, open_cause)
         return
     last = max(latest, key=lambda attempt: attempt.started_s or 0.0)
     if last.ended_s is not None:
-        walk.go_to(last.ended_s, open_cause)
-        walk.go_to(last.started_s or 0.0, Cause.RESTARTED)
-    _pass_attempts(walk, last, by_task[last.task])
+        path.attribute_back_to(last.ended_s, open_cause)
+        path.attribute_back_to(last.started_s or 0.0, Cause.RESTARTED)
+    _attribute_attempts(path, last, by_task[last.task])
 
 
-def _pass_attempts(walk: _Walk, last: Attempt, tries: Sequence[Attempt]) -> None:
-    """Go back through the attempts at one task, from the last to the first."""
-    for attempt in reversed(tries):
+def _attribute_attempts(
+    path: _CriticalPath, last: Attempt, attempts: Sequence[Attempt]
+) -> None:
+    """Attribute the time of the attempts at one task, from the last to the first."""
+    for attempt in reversed(attempts):
         if attempt.number > last.number or attempt.started_s is None:
             continue
         if attempt is not last and attempt.ended_s is not None:
-            walk.go_to(attempt.ended_s, Cause.RESTARTED)
+            path.attribute_back_to(attempt.ended_s, Cause.RESTARTED)
         if attempt is last:
-            walk.pass_work(attempt, min(attempt.started_s, walk.at_s))
+            path.attribute_run(attempt, min(attempt.started_s, path.at_s))
         else:
-            walk.go_to(attempt.started_s, Cause.RESTARTED)
+            path.attribute_back_to(attempt.started_s, Cause.RESTARTED)
         waited_s = attempt.waited_ms / _MS_PER_S
         cause = WAIT_CAUSES.get(attempt.waited_for, Cause.UNKNOWN)
-        walk.go_to(attempt.started_s - waited_s, cause)
+        path.attribute_back_to(attempt.started_s - waited_s, cause)
--- a/trefoilhook/burn/__init__.py
+++ b/trefoilhook/burn/__init__.py
@@ -1,4 +1,4 @@
-"""Service-level burn: how fast services use their error budget up."""
+"""Error-budget burn rates of services and job queues."""
 
 from trefoilhook.burn.core import (
     Alert,
@@ -12,9 +12,9 @@
 from trefoilhook.burn.ledger import BurnLedger, is_counted
 from trefoilhook.burn.outcomes import (
     JobOutcome,
-    judge_each_job,
-    judge_jobs,
-    report_jobs,
+    build_job_report,
+    classify_jobs,
+    classify_jobs_by_id,
 )
 from trefoilhook.burn.report import FindObjective, build_report
 
@@ -29,9 +29,9 @@
     "SourceRow",
     "TeamBurn",
     "WindowBurn",
+    "build_job_report",
     "build_report",
+    "classify_jobs",
+    "classify_jobs_by_id",
     "is_counted",
-    "judge_each_job",
-    "judge_jobs",
-    "report_jobs",
 ]
--- a/trefoilhook/burn/core.py
+++ b/trefoilhook/burn/core.py
@@ -1,4 +1,4 @@
-"""The report on service-level burn: what it says, and the arithmetic behind it.
+"""Burn report: its data classes, burn rates, error budgets and alerts.
 
 References
 ----------
@@ -14,8 +14,8 @@
 __all__ = [
     "Alert",
     "BurnReport",
-    "ServiceBurn",
     "SeriesPoint",
+    "ServiceBurn",
     "SourceRow",
     "TeamBurn",
     "WindowBurn",
@@ -24,13 +24,13 @@
     "compute_burn_rate",
 ]
 
-#: Long window, short window and burn rate from which both raise the alert [1]_.
+#: Long window, short window, and burn rate that both must reach for the alert [1]_.
 _PAGE_RULES = (("1h", "5m", 14.4), ("6h", "30m", 6.0))
 _TICKET_RULES = (("3d", "6h", 1.0),)
 
 
 class Alert(enum.Enum):
-    """How urgently somebody should look."""
+    """Urgency of an alert."""
 
     NONE = "none"
     TICKET = "ticket"
@@ -39,7 +39,7 @@
 
 @attrs.frozen(kw_only=True)
 class WindowBurn:
-    """Requests of a window that ends now.
+    """Requests of a window that ends at the time of the report.
 
     Parameters
     ----------
@@ -48,10 +48,10 @@
     good : int
         Requests that met the objective.
     bad : int
-        Requests that did not.
+        Requests that did not meet it.
     burn_rate : float
-        Share of bad requests over the share that the objective allows; 1 uses the
-        budget up exactly over the budget's period.
+        Share of bad requests divided by the share that the objective allows. At a
+        rate of 1 the error budget lasts exactly one budget period.
     """
 
     window: str
@@ -71,7 +71,7 @@
     good : int
         Requests that met the objective.
     bad : int
-        Requests that did not.
+        Requests that did not meet it.
     burn_rate : float
         Burn rate of the hour.
     """
@@ -84,26 +84,27 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceBurn:
-    """Burn of one service.
+    """Burn rates, error budget and latencies of one service.
 
     Parameters
     ----------
     team, service : str
-        Which service.
+        Names of the team and of the service.
     latency_ms : float
-        Objective: a later answer counts as bad, in ms.
+        Latency objective, in ms; slower responses count as bad.
     target : float
-        Objective: share of requests that must be good.
+        Share of requests that must be good.
     windows : tuple of WindowBurn
-        From the shortest to the budget's period.
+        Windows from the shortest to the budget period.
     budget_left : float
-        Share of the period's error budget that is left; negative when overspent.
+        Remaining share of the period's error budget; negative when overspent.
     alert : Alert
-        The most urgent rule that holds.
+        Most urgent alert raised.
     p50_ms, p99_ms, p999_ms : float
-        Latency of executed requests over the latest three days, in ms; 0 without any.
+        Latency percentiles of successful requests of the last three days, in ms; 0
+        without any.
     series : tuple of SeriesPoint
-        Hours of the latest three days, the oldest first.
+        Hours of the last three days, oldest first.
     """
 
     team: str
@@ -121,16 +122,16 @@
 
 @attrs.frozen(kw_only=True)
 class TeamBurn:
-    """Burn of a team over all its services.
+    """Error budget of a team over all its services.
 
     Parameters
     ----------
     team : str
-        Which team.
+        Name of the team.
     good, bad : int
-        Requests of the budget's period.
+        Requests of the budget period.
     budget_left : float
-        Share of the services' budgets, added up, that is left.
+        Remaining share of the sum of the services' error budgets.
     """
 
     team: str
@@ -141,16 +142,16 @@
 
 @attrs.frozen(kw_only=True)
 class SourceRow:
-    """An instance whose counts are in the report, also when it is long gone.
+    """A run of an instance, live or not, whose counts are in the report.
 
     Parameters
     ----------
     instance_id : str
-        Which instance.
+        Id of the instance.
     started_ms : float
-        When it started, in ms since the Unix epoch.
+        Start of the run, in ms since the Unix epoch.
     counted_until_ms : float
-        Time of its latest count in the report, in ms since the Unix epoch.
+        Start of its latest slot with counts, in ms since the Unix epoch.
     """
 
     instance_id: str
@@ -160,20 +161,20 @@
 
 @attrs.frozen(kw_only=True)
 class BurnReport:
-    """Burn of services and teams, merged over instances.
+    """Burn of services and teams, merged across instances.
 
     Parameters
     ----------
     at_ms : float
         Wall time of the report, in ms since the Unix epoch.
     period : str
-        Window over which the error budget is spent.
+        Name of the window that the error budget covers.
     services : tuple of ServiceBurn
-        One row a service.
+        One row per service.
     teams : tuple of TeamBurn
-        One row a team.
+        One row per team.
     sources : tuple of SourceRow
-        Where the counts come from.
+        Runs of instances that the counts come from.
     """
 
     at_ms: float
@@ -184,23 +185,23 @@
 
 
 def compute_burn_rate(*, good: int, bad: int, target: float) -> float:
-    """Return the share of bad requests over the allowed share; 0 without requests."""
+    """Return the ratio of the bad share to the allowed share; 0 without requests."""
     total = good + bad
     return bad / total / (1.0 - target) if total else 0.0
 
 
 def compute_budget_left(*, bad: int, allowed_bad: float) -> float:
-    """Return the share of an error budget that is left; 1 when nothing was spent."""
+    """Return the remaining share of an error budget; 1 without bad requests."""
     if bad == 0:
         return 1.0
     return 1.0 - bad / allowed_bad if allowed_bad > 0 else -float(bad)
 
 
 def compute_alert(windows: Iterable[WindowBurn]) -> Alert:
-    """Return the most urgent alert whose long and short window both burn too fast.
+    """Return the most urgent alert whose long and short windows both burn too fast.
 
-    The long window keeps a short burst from waking anybody; the short one ends the
-    alert soon after the burst did.
+    The long window keeps a short burst of errors from raising an alert; the short
+    window ends the alert soon after the errors stop.
     """
     rates = {window.window: window.burn_rate for window in windows}
 
--- a/trefoilhook/burn/ledger.py
+++ b/trefoilhook/burn/ledger.py
@@ -1,8 +1,9 @@
-"""Counts of good and bad requests, kept by source and merged without loss.
+"""Counts of good and bad requests by source, with an idempotent merge.
 
-A source is one run of one instance: its id and its start. Its counts in a slot only
-grow, so that of two states of a slot the larger one is the later. Merging takes that
-one and never adds, whatever comes twice, late or by way of a third instance.
+A source is one run of an instance, identified by instance id and start time. Its counts
+of a slot never decrease, so the larger of two states of a slot is the newer one.
+Merging keeps the larger state and never adds, so that duplicated, delayed or relayed
+states do no harm.
 """
 
 import json
@@ -35,29 +36,29 @@
 
 _US_PER_MS = 1000.0
 _MAX_LATENCY_US = 3_600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _MAX_SOURCES = 2_000
-_RECENT_MS = 300_000.0
-_MAX_AHEAD_SLOTS = 2
+_RECENT_WINDOW_MS = 300_000.0
+_MAX_FUTURE_SLOTS = 2
 _GOOD_CODES = (ResultCode.OK, ResultCode.REPLAYED)
-_FIRST_CALLERS_FAULT = 300
-_FIRST_SYSTEM_FAULT = 900
+_FIRST_CALLER_ERROR = 300
+_FIRST_SYSTEM_ERROR = 900
 
 
 def build_histogram() -> HdrHistogram:
-    """Build an empty histogram of latencies in us."""
-    return HdrHistogram(1, _MAX_LATENCY_US, _DIGITS)
+    """Return an empty histogram for latencies in us."""
+    return HdrHistogram(1, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
 def is_counted(code: ResultCode) -> bool:
-    """Tell whether an answer says something about the service.
+    """Return whether a response counts towards the service's error budget.
 
-    A caller's own fault and a quota that is used up don't: they would let one caller
-    spend the error budget of all.
+    Caller errors and exceeded quotas don't count: otherwise a single caller could spend
+    the error budget of a service.
     """
     if code is ResultCode.QUOTA_EXCEEDED:
         return False
-    return not _FIRST_CALLERS_FAULT <= code.number < _FIRST_SYSTEM_FAULT
+    return not _FIRST_CALLER_ERROR <= code.number < _FIRST_SYSTEM_ERROR
 
 
 @attrs.frozen(kw_only=True)
@@ -70,7 +71,7 @@
 
 @attrs.define(kw_only=True)
 class ServiceState:
-    """Counts of a service at a source, by tier and slot, and latencies by day."""
+    """Counts of a service by tier and slot, and latencies by day, from one source."""
 
     slots: dict[str, dict[int, SlotCounts]] = attrs.field(
         factory=lambda: {tier.name: {} for tier in TIERS}
@@ -84,7 +85,7 @@
 
 @attrs.define(kw_only=True)
 class _LiveCounts:
-    """Own counts of the current minute and latencies of the current day."""
+    """Unflushed counts of the current minute and latencies of the current day."""
 
     minute: int
     good: int = 0
@@ -108,22 +109,22 @@
 
 
 class BurnLedger:
-    """Counts of this instance and of all others it has heard from.
+    """Request counts of this instance and those received from other instances.
 
     Parameters
     ----------
     instance_id : str
-        This instance.
+        Id of this instance.
     clock : Clock
-        Where time comes from.
+        Source of the wall time.
 
     Notes
     -----
-    Failures guarded against. A restarted instance counts from zero: were its counts
-    taken for its earlier ones, requests would vanish from the report; its start makes
-    it another source. A lost instance takes its counts along: each of its peers keeps
-    what it last heard. A state that comes twice or late must not count twice or wipe
-    a newer one: the larger state of a slot stays.
+    A restarted instance counts from zero. Its start time makes it a new source;
+    otherwise its new counts would replace the earlier ones, and requests would vanish
+    from the report. When an instance is lost, its peers keep the counts that they last
+    received. Duplicated or delayed states neither count twice nor overwrite newer ones,
+    as the larger state of a slot is kept.
     """
 
     def __init__(self, *, instance_id: str, clock: Clock) -> None:
@@ -131,7 +132,7 @@
         self._own = SourceKey(instance_id=instance_id, started_ms=clock.wall_ms())
         self._sources: dict[SourceKey, _Services] = {self._own: {}}
         self._live: dict[_ServiceKey, _LiveCounts] = {}
-        self._turn = 0
+        self._source_cursor = 0
 
     def record(
         self,
@@ -142,16 +143,16 @@
         latency_ms: float,
         objective: Objective,
     ) -> None:
-        """Count the answer to one request.
+        """Count the response to one request.
 
         Parameters
         ----------
         team, service : str
-            Which service.
+            Names of the team and of the service.
         code : ResultCode
-            What became of the request.
+            Result of the request.
         latency_ms : float
-            Time from the request's arrival to its answer, in ms.
+            Time from the arrival of the request to its response, in ms.
         objective : Objective
             The service's objective.
         """
@@ -167,35 +168,35 @@
         live.bad += 1
 
     def encode(self, *, after_ms: float = 0.0, is_own_only: bool = False) -> str:
-        """Return counts as JSON, for other instances to `merge`.
+        """Return the counts as JSON, for other instances to `merge`.
 
         Parameters
         ----------
         after_ms : float, optional
-            Only slots that were still open at this wall time, in ms.
+            Include only slots that end after this wall time, in ms.
         is_own_only : bool, optional
-            Leave out what was heard from others.
+            Leave out counts received from other instances.
         """
-        self._settle()
+        self._flush_and_expire()
         keys = [self._own] if is_own_only else list(self._sources)
-        return _write(self._build_source(key, after_ms) for key in keys)
+        return _serialize(self._build_source(key, after_ms) for key in keys)
 
     def encode_part(self) -> str:
-        """Return a part of the counts that is cheap to send often.
+        """Return a subset of the counts, small enough to be sent often.
 
-        Own counts of the latest minutes, and all counts of one source in turn: peers
-        that ask again and again end up with everything, at a cost that does not grow
-        with the number of sources.
+        It holds this instance's recent counts and all counts of one source, chosen in
+        rotation. Peers that poll repeatedly receive all counts, and the size of a
+        response does not grow with the number of sources.
         """
-        self._settle()
+        self._flush_and_expire()
         keys = list(self._sources)
-        self._turn = (self._turn + 1) % len(keys)
-        recent_ms = self._clock.wall_ms() - _RECENT_MS
+        self._source_cursor = (self._source_cursor + 1) % len(keys)
+        recent_ms = self._clock.wall_ms() - _RECENT_WINDOW_MS
         recent = self._build_source(self._own, recent_ms)
-        return _write((recent, self._build_source(keys[self._turn], 0.0)))
+        return _serialize((recent, self._build_source(keys[self._source_cursor], 0.0)))
 
     def merge(self, text: str) -> bool:
-        """Take in what another instance encoded; False if it can't be read."""
+        """Merge counts encoded by another instance; return False if invalid."""
         try:
             message = read_message(LedgerMessage, parse_json(text))
         except SettingsError:
@@ -210,12 +211,12 @@
                 service = (counts.team, counts.service)
                 state = services.setdefault(service, ServiceState())
                 _merge_service(state, counts, now_ms)
-        self._drop_old_sources()
+        self._expire_sources()
         return True
 
     def list_sources(self) -> Iterator[tuple[SourceKey, _Services]]:
-        """Yield each source with its services, settled and without old slots."""
-        self._settle()
+        """Yield each source with its services, up to date and without expired slots."""
+        self._flush_and_expire()
         yield from self._sources.items()
 
     def _build_source(self, key: SourceKey, after_ms: float) -> SourceCounts:
@@ -232,7 +233,7 @@
             return live
         fresh = _LiveCounts(minute=minute)
         if live is not None:
-            state = self._fold(key, live)
+            state = self._flush_live(key, live)
             if live.day == fresh.day:
                 fresh.latencies = live.latencies
             else:
@@ -240,27 +241,27 @@
         self._live[key] = fresh
         return fresh
 
-    def _fold(self, key: _ServiceKey, live: _LiveCounts) -> ServiceState:
-        """Move live counts to the slots of all tiers."""
+    def _flush_live(self, key: _ServiceKey, live: _LiveCounts) -> ServiceState:
+        """Add live counts to the slots of all tiers and reset them."""
         state = self._sources[self._own].setdefault(key, ServiceState())
         for tier in TIERS:
-            _add(state.slots[tier.name], tier, live)
+            _add_counts(state.slots[tier.name], tier, live)
         live.good = live.bad = 0
         return state
 
-    def _settle(self) -> None:
-        """Fold the live counts and drop what is too old."""
+    def _flush_and_expire(self) -> None:
+        """Flush all live counts, then drop expired slots and sources."""
         for key, live in self._live.items():
-            state = self._fold(key, live)
+            state = self._flush_live(key, live)
             state.latencies[live.day] = live.encode_latencies()
         now_ms = self._clock.wall_ms()
         for services in self._sources.values():
             for state in services.values():
-                _drop_old_slots(state, now_ms)
-        self._drop_old_sources()
+                _expire_slots(state, now_ms)
+        self._expire_sources()
 
-    def _drop_old_sources(self) -> None:
-        """Drop sources without counts and, above the bound, those started first."""
+    def _expire_sources(self) -> None:
+        """Drop sources without counts and, above `_MAX_SOURCES`, the oldest ones."""
         others = sorted(
             (key for key in self._sources if key != self._own),
             key=lambda key: key.started_ms,
@@ -274,12 +275,12 @@
                 del self._sources[key]
 
 
-def _write(sources: Iterable[SourceCounts]) -> str:
+def _serialize(sources: Iterable[SourceCounts]) -> str:
     message = LedgerMessage(sources=tuple(sources))
     return json.dumps(dump_json(message), separators=(",", ":"))
 
 
-def _add(slots: dict[int, SlotCounts], tier: Tier, live: _LiveCounts) -> None:
+def _add_counts(slots: dict[int, SlotCounts], tier: Tier, live: _LiveCounts) -> None:
     if live.good + live.bad == 0:
         return
     index = tier.find_slot(live.start_ms)
@@ -289,15 +290,15 @@
     )
 
 
-def _drop_old(slots: dict[int, SlotCounts], tier: Tier, now_ms: float) -> None:
+def _expire_tier(slots: dict[int, SlotCounts], tier: Tier, now_ms: float) -> None:
     oldest = tier.find_slot(now_ms) - tier.slots + 1
     for index in [index for index in slots if index < oldest]:
         del slots[index]
 
 
-def _drop_old_slots(state: ServiceState, now_ms: float) -> None:
+def _expire_slots(state: ServiceState, now_ms: float) -> None:
     for tier in TIERS:
-        _drop_old(state.slots[tier.name], tier, now_ms)
+        _expire_tier(state.slots[tier.name], tier, now_ms)
     oldest = DAYS.find_slot(now_ms) - LATENCY_DAYS + 1
     for index in [index for index in state.latencies if index < oldest]:
         del state.latencies[index]
@@ -306,7 +307,7 @@
 def _merge_service(state: ServiceState, counts: ServiceCounts, now_ms: float) -> None:
     for tier in TIERS:
         slots = state.slots[tier.name]
-        newest = tier.find_slot(now_ms) + _MAX_AHEAD_SLOTS
+        newest = tier.find_slot(now_ms) + _MAX_FUTURE_SLOTS
         incoming: tuple[SlotCounts, ...] = getattr(counts, tier.name)
         for slot in incoming:
             known = slots.get(slot.index)
@@ -317,10 +318,10 @@
         held = state.latencies.get(latencies.index)
         if held is None or latencies.count > held.count:
             state.latencies[latencies.index] = latencies
-    _drop_old_slots(state, now_ms)
+    _expire_slots(state, now_ms)
 
 
-def _list_open(
+def _select_slots(
     slots: Iterable[SlotCounts], tier: Tier, after_ms: float
 ) -> tuple[SlotCounts, ...]:
     first = tier.find_slot(after_ms)
@@ -331,7 +332,7 @@
     first_day = DAYS.find_slot(after_ms)
     for (team, service), state in services.items():
         minutes, hours, days = (
-            _list_open(state.slots[tier.name].values(), tier, after_ms)
+            _select_slots(state.slots[tier.name].values(), tier, after_ms)
             for tier in TIERS
         )
         latencies = state.latencies.values()
--- a/trefoilhook/burn/messages.py
+++ b/trefoilhook/burn/messages.py
@@ -1,4 +1,4 @@
-"""Counts as instances exchange them."""
+"""Messages in which instances exchange request counts."""
 
 import attrs
 
@@ -17,16 +17,16 @@
 
 @attrs.frozen(kw_only=True)
 class Tier:
-    """Slots of one length.
+    """Time slots of one length, and how many of them are retained.
 
     Parameters
     ----------
     name : str
-        Field of `ServiceCounts` that holds them.
+        Field of `ServiceCounts` that holds the slots.
     slot_ms : int
         Length of a slot, in ms.
     slots : int
-        Number of slots that are kept.
+        Number of slots that are retained.
     """
 
     name: str
@@ -34,7 +34,7 @@
     slots: int
 
     def find_slot(self, wall_ms: float) -> int:
-        """Return the number of the slot at a wall time."""
+        """Return the index of the slot that contains a wall time."""
         return int(wall_ms // self.slot_ms)
 
 
@@ -45,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class SlotCounts:
-    """Requests of one slot; they only ever grow at their source."""
+    """Requests of one slot; at their source the counts never decrease."""
 
     index: int
     good: int
@@ -53,13 +53,13 @@
 
     @property
     def total(self) -> int:
-        """All requests of the slot."""
+        """Good and bad requests."""
         return self.good + self.bad
 
 
 @attrs.frozen(kw_only=True)
 class EncodedLatencies:
-    """Latencies of one day in HdrHistogram's own encoding, in us."""
+    """Latency histogram of one day, in us, in the encoding of HdrHistogram."""
 
     index: int
     count: int
@@ -68,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceCounts:
-    """Counts of one service at one source."""
+    """Counts of one service from one source."""
 
     team: str
     service: str
--- a/trefoilhook/burn/outcomes.py
+++ b/trefoilhook/burn/outcomes.py
@@ -1,8 +1,8 @@
-"""The report on burn out of the logs of processes on the users' platform.
+"""Burn report on jobs, built from the logs of processes on the users' platform.
 
-There is no service to count answers at: a job is good when it ends in time, and which
-time that is depends on the job. The processes log both; here a ledger counts them, a
-source for each process, as instances do that serve requests.
+A job is good if it completes within its objective, which is set per job. The processes
+log both. The outcomes are counted in one `BurnLedger` per process, as instances count
+the requests that they serve.
 """
 
 import statistics
@@ -19,58 +19,61 @@
 from trefoilhook.results import ResultCode
 from trefoilhook.story import LogLine
 
-__all__ = ["JobOutcome", "judge_each_job", "judge_jobs", "report_jobs"]
+__all__ = ["JobOutcome", "build_job_report", "classify_jobs", "classify_jobs_by_id"]
 
 _MS_PER_S = 1000.0
 
 _TEAM = "jobs"
-"""Stands in the report where others have a team: a queue belongs to none."""
+"""Team name in the report: queues belong to no team."""
 
 _CLIENT_ERROR_STATUS = 400
 
-_LEAST_OBJECTIVE_MS = 1.0
-"""Stands for the objective of a job that was turned away, which is bad in any case; an
-objective below it is invalid."""
+_MIN_OBJECTIVE_MS = 1.0
+"""Objective used for rejected jobs, which count as bad in any case. `Objective` accepts
+no lower value."""
 
 
 @attrs.frozen(kw_only=True)
 class JobOutcome:
-    """What became of one job.
+    """Outcome of one job.
 
     Parameters
     ----------
     at_s : float
-        When that was known, in s since the Unix epoch.
+        When the outcome was logged, in s since the Unix epoch.
     instance : str
-        Who told so.
+        Instance that logged it.
     queue : str
-        Its queue.
+        Queue of the job.
     code : ResultCode
-        How it ended.
+        Result of the job.
     spent_ms : float
-        Time from its acceptance, in ms.
+        Time since the job was accepted, in ms.
     objective_ms : float
-        Time that it should have taken, in ms; 0 where it isn't known.
+        Objective for the time to completion, in ms; 0 if unknown.
     """
 
     at_s: float
     instance: str
     queue: str
     code: ResultCode
-    spent_ms: float = 0.0
+    elapsed_ms: float = 0.0
     objective_ms: float = 0.0
 
 
 @attrs.define(kw_only=True)
-class _Job:
-    """The lines on one job that decide, each the first or the last of its kind."""
+class _JobEvents:
+    """The log lines that decide the outcome of one job.
+
+    Of acceptances and ends the first line is kept, of rejections the last.
+    """
 
     accepted: LogLine | None = None
     finished: LogLine | None = None
     cancelled: bool = False
-    turned_away: LogLine | None = None
+    rejected: LogLine | None = None
 
-    def take(self, line: LogLine) -> None:
+    def add_line(self, line: LogLine) -> None:
         if line.event == "JOB_ACCEPTED":
             self.accepted = self.accepted or line
         elif line.event == "JOB_FINISHED":
@@ -78,22 +81,22 @@
         elif line.event == "JOB_CANCELLED":
             self.cancelled = True
         elif line.event in ("REQUEST_REFUSED", "REQUEST_FAILED"):
-            self.turned_away = line
+            self.rejected = line
 
-    def judge(self, end_s: float) -> JobOutcome | None:
-        """Return what became of the job; None if that says nothing about the system."""
+    def classify(self, end_s: float) -> JobOutcome | None:
+        """Return the outcome; None if the job doesn't count, or not yet."""
         if self.cancelled:
             return None
         if self.finished is not None:
-            return _judge_finished(self.finished)
+            return _classify_finished(self.finished)
         if self.accepted is not None:
-            return _judge_open(self.accepted, end_s)
-        if self.turned_away is not None:
-            return _judge_turned_away(self.turned_away)
+            return _classify_unfinished(self.accepted, end_s)
+        if self.rejected is not None:
+            return _classify_rejected(self.rejected)
         return None
 
 
-def _judge_finished(line: LogLine) -> JobOutcome | None:
+def _classify_finished(line: LogLine) -> JobOutcome | None:
     fields = line.fields
     phase = fields.get("phase")
     if phase == "cancelled" or not {"objective_ms", "late_ms"} <= fields.keys():
@@ -104,16 +107,16 @@
         instance=line.instance,
         queue=str(fields.get("queue")),
         code=ResultCode.OK if phase == "completed" else ResultCode.BACKEND_FAILED,
-        spent_ms=objective_ms + float(fields["late_ms"]),
+        elapsed_ms=objective_ms + float(fields["late_ms"]),
         objective_ms=objective_ms,
     )
 
 
-def _judge_open(line: LogLine, end_s: float) -> JobOutcome | None:
-    """Judge a job that hasn't ended: it is late already, or still has time.
+def _classify_unfinished(line: LogLine, end_s: float) -> JobOutcome | None:
+    """Classify a job that hasn't ended: overdue jobs count as bad, others not yet.
 
-    Failure guarded against: a job that is never run has no last line. Judged by ends
-    alone, a queue that stands still would look as good as one without jobs.
+    A job that is never run logs no end. If only ended jobs counted, a stalled queue
+    would look as good as an empty one.
     """
     if "objective_ms" not in line.fields:
         return None
@@ -126,12 +129,12 @@
         instance=line.instance,
         queue=str(line.fields.get("queue")),
         code=ResultCode.QUEUE_DEADLINE,
-        spent_ms=spent_ms,
+        elapsed_ms=spent_ms,
         objective_ms=objective_ms,
     )
 
 
-def _judge_turned_away(line: LogLine) -> JobOutcome:
+def _classify_rejected(line: LogLine) -> JobOutcome:
     code = ResultCode.STORE_UNAVAILABLE
     if line.event == "REQUEST_FAILED":
         is_clients = line.fields.get("status") == _CLIENT_ERROR_STATUS
@@ -144,45 +147,46 @@
     )
 
 
-def judge_jobs(lines: Iterable[LogLine]) -> Iterator[JobOutcome]:
-    """Yield what became of each job, once for each, whoever told of it how often.
+def classify_jobs(lines: Iterable[LogLine]) -> Iterator[JobOutcome]:
+    """Yield the outcome of each job, once even if it was logged several times.
 
     Parameters
     ----------
     lines : iterable of LogLine
         Logs of all processes, in any order.
     """
-    yield from judge_each_job(lines).values()
+    yield from classify_jobs_by_id(lines).values()
 
 
-def judge_each_job(lines: Iterable[LogLine]) -> dict[str, JobOutcome]:
-    """Return what became of each job that says something about the system, by job."""
-    jobs: dict[str, _Job] = defaultdict(_Job)
+def classify_jobs_by_id(lines: Iterable[LogLine]) -> dict[str, JobOutcome]:
+    """Return the outcomes of the jobs that count, by job id."""
+    jobs: dict[str, _JobEvents] = defaultdict(_JobEvents)
     end_s = 0.0
     for line in sorted(lines, key=lambda line: line.time_s):
         end_s = line.time_s
         if "job" in line.fields:
-            jobs[str(line.fields["job"])].take(line)
-    outcomes = {job_id: job.judge(end_s) for job_id, job in jobs.items()}
+            jobs[str(line.fields["job"])].add_line(line)
+    outcomes = {job_id: job.classify(end_s) for job_id, job in jobs.items()}
     return {job_id: found for job_id, found in outcomes.items() if found is not None}
 
 
-def report_jobs(lines: Iterable[LogLine], *, target: float) -> BurnReport:
-    """Build the report on jobs out of logs.
+def build_job_report(lines: Iterable[LogLine], *, target: float) -> BurnReport:
+    """Build the burn report on jobs from logs.
 
     Parameters
     ----------
     lines : iterable of LogLine
-        Logs of all processes, in any order; the report's windows end with the last.
+        Logs of all processes, in any order; the windows of the report end at the
+        latest line.
     target : float
         Share of jobs that must be good.
     """
     kept = sorted(lines, key=lambda line: line.time_s)
-    outcomes = sorted(judge_jobs(kept), key=lambda outcome: outcome.at_s)
+    outcomes = sorted(classify_jobs(kept), key=lambda outcome: outcome.at_s)
     end_ms = kept[-1].time_s * _MS_PER_S if kept else 0.0
     if not outcomes:
         return BurnReport(at_ms=end_ms, period=PERIOD)
-    first, *others = _count(outcomes, _find_starts(kept), target)
+    first, *others = _count_outcomes(outcomes, _find_starts(kept), target)
     for other in others:
         first.merge(other.encode())
     objectives = _find_objectives(outcomes, target)
@@ -194,17 +198,17 @@
 
 
 def _find_starts(lines: Iterable[LogLine]) -> dict[str, float]:
-    """Return the time of each process's first line, in ms since the Unix epoch."""
+    """Return the time of each instance's first line, in ms since the Unix epoch."""
     starts: dict[str, float] = {}
     for line in lines:
         starts.setdefault(line.instance, line.time_s * _MS_PER_S)
     return starts
 
 
-def _count(
+def _count_outcomes(
     outcomes: Iterable[JobOutcome], starts: dict[str, float], target: float
 ) -> list[BurnLedger]:
-    """Count outcomes, which come in order of time, at the processes that told them."""
+    """Count outcomes, sorted by time, in one ledger per instance that logged them."""
     time = ManualTime(epoch_ms=0.0)
     clock = build_manual_clock(time)
     ledgers: dict[str, BurnLedger] = {}
@@ -218,7 +222,7 @@
             team=_TEAM,
             service=outcome.queue,
             code=outcome.code,
-            latency_ms=outcome.spent_ms,
+            latency_ms=outcome.elapsed_ms,
             objective=_build_objective(outcome.objective_ms, target),
         )
     return list(ledgers.values())
@@ -227,7 +231,7 @@
 def _find_objectives(
     outcomes: Iterable[JobOutcome], target: float
 ) -> dict[str, Objective]:
-    """Return what the report shows as a queue's objective: the middle of its jobs'."""
+    """Return the objective shown for each queue: the median over its jobs."""
     found: dict[str, list[float]] = defaultdict(list)
     for outcome in outcomes:
         known = [outcome.objective_ms] if outcome.objective_ms else []
@@ -239,4 +243,4 @@
 
 
 def _build_objective(latency_ms: float, target: float) -> Objective:
-    return Objective(latency_ms=max(latency_ms, _LEAST_OBJECTIVE_MS), target=target)
+    return Objective(latency_ms=max(latency_ms, _MIN_OBJECTIVE_MS), target=target)
--- a/trefoilhook/burn/page.py
+++ b/trefoilhook/burn/page.py
@@ -1,4 +1,4 @@
-"""The report as text and as a self-contained page with plots."""
+"""Renders the burn report as text and as a self-contained HTML page with plots."""
 
 import html
 import io
@@ -13,9 +13,9 @@
 
 __all__ = [
     "STYLE",
+    "align_columns",
     "build_table",
     "draw_svg",
-    "pad_columns",
     "render_html",
     "render_text",
 ]
@@ -48,7 +48,7 @@
 )
 
 
-def _show_time(at_ms: float) -> str:
+def _format_time(at_ms: float) -> str:
     at = datetime.fromtimestamp(at_ms / _MS_PER_S, tz=UTC)
     return at.isoformat(timespec="seconds")
 
@@ -67,7 +67,7 @@
     )
 
 
-def pad_columns(rows: Sequence[tuple[str, ...]]) -> Iterator[str]:
+def align_columns(rows: Sequence[tuple[str, ...]]) -> Iterator[str]:
     """Yield the lines of a table whose columns are aligned."""
     widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     for row in rows:
@@ -76,9 +76,9 @@
 
 
 def render_text(report: BurnReport) -> str:
-    """Return the report as lines of text."""
+    """Return the report as text."""
     lines = [
-        f"service-level burn at {_show_time(report.at_ms)}; "
+        f"service-level burn at {_format_time(report.at_ms)}; "
         f"budget period {report.period}; {len(report.sources)} instances counted"
     ]
     if not report.services:
@@ -89,11 +89,11 @@
         (row.team, str(row.good), str(row.bad), f"{row.budget_left:.1%}")
         for row in report.teams
     ]
-    return "\n".join((*lines, "", *pad_columns(services), "", *pad_columns(teams)))
+    return "\n".join((*lines, "", *align_columns(services), "", *align_columns(teams)))
 
 
 def _draw_service(burn: ServiceBurn) -> str:
-    """Return a plot of a service's burn rate and requests by the hour, as SVG."""
+    """Return an SVG plot of a service's hourly burn rate and requests."""
     times = [
         datetime.fromtimestamp(point.at_ms / _MS_PER_S, tz=UTC) for point in burn.series
     ]
@@ -113,7 +113,7 @@
 
 
 def draw_svg(figure: Figure) -> str:
-    """Return a figure as SVG, the same for the same figure."""
+    """Return a figure as SVG; equal figures give equal SVG."""
     with mpl.rc_context({"svg.fonttype": "none", "svg.hashsalt": _HASH_SALT}):
         FigureCanvasSVG(figure)
         buffer = io.StringIO()
@@ -128,7 +128,7 @@
 
 
 def build_table(headers: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    """Return a table as HTML."""
+    """Return an HTML table."""
     body = "\n".join(_build_row(row, "td") for row in rows)
     return f"<table>\n{_build_row(headers, 'th')}\n{body}\n</table>"
 
@@ -150,22 +150,26 @@
 
 
 def render_html(report: BurnReport) -> str:
-    """Return the report as one HTML page that fetches nothing."""
+    """Return the report as an HTML page that loads no external resources."""
     services = [_build_cells(burn) for burn in report.services]
-    sources = [
-        (row.instance_id, _show_time(row.started_ms), _show_time(row.counted_until_ms))
+    instances = [
+        (
+            row.instance_id,
+            _format_time(row.started_ms),
+            _format_time(row.counted_until_ms),
+        )
         for row in report.sources
     ]
     return "\n".join(
         (
             '<!doctype html><html lang="en"><head><meta charset="utf-8">',
             f"<title>Service-level burn</title><style>{STYLE}</style></head><body>",
-            f"<h1>Service-level burn</h1><p>{_show_time(report.at_ms)}, budget period "
-            f"{html.escape(report.period)}</p>",
+            f"<h1>Service-level burn</h1><p>{_format_time(report.at_ms)}, "
+            f"budget period {html.escape(report.period)}</p>",
             build_table(_HEADERS, services),
             *(_build_section(burn) for burn in report.services),
             "<h2>Instances counted</h2>",
-            build_table(("instance", "started", "counted until"), sources),
+            build_table(("instance", "started", "counted until"), instances),
             "</body></html>\n",
         )
     )
--- a/trefoilhook/burn/report.py
+++ b/trefoilhook/burn/report.py
@@ -1,4 +1,4 @@
-"""Building of the report from the counts of all sources."""
+"""Builds the burn report from the counts of all sources."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Iterator
@@ -30,7 +30,7 @@
 
 __all__ = ["FindObjective", "build_report"]
 
-#: Returns the objective of a team's service; None when it has none any more.
+#: Returns the objective of a team's service; None if it has none (any more).
 FindObjective = Callable[[str, str], Objective | None]
 
 PERIOD = "28d"
@@ -47,7 +47,7 @@
 
 
 @attrs.define(kw_only=True)
-class _Sum:
+class _Totals:
     good: int = 0
     bad: int = 0
 
@@ -69,19 +69,19 @@
     now_ms: float,
     team: str | None = None,
 ) -> BurnReport:
-    """Build the report from all that a ledger holds.
+    """Build the report from the counts in a ledger.
 
     Parameters
     ----------
     ledger : BurnLedger
-        Counts, merged with those of other instances.
+        Counts of this instance, merged with those of other instances.
     find_objective : callable
         Returns the objective of a team's service, or None; services without one are
         left out.
     now_ms : float
         Wall time at which all windows end, in ms since the Unix epoch.
     team : str, optional
-        Only this team's services.
+        Restricts the report to services of this team.
     """
     states: dict[tuple[str, str], list[ServiceState]] = defaultdict(list)
     rows = []
@@ -102,7 +102,7 @@
 
 
 def _build_source(source: SourceKey, states: Iterable[ServiceState]) -> SourceRow:
-    """Build a source's row; its latest count is known to a minute."""
+    """Build the row of a source; the time of its latest count is exact to a minute."""
     ends = [source.started_ms]
     for state in states:
         for tier in TIERS:
@@ -140,7 +140,7 @@
     )
     period = windows[-1]
     allowed_bad = (period.good + period.bad) * (1.0 - objective.target)
-    p50_ms, p99_ms, p999_ms = _read_percentiles(states)
+    p50_ms, p99_ms, p999_ms = _compute_percentiles(states)
     return ServiceBurn(
         team=team,
         service=service,
@@ -156,8 +156,8 @@
     )
 
 
-def _merge_slots(states: list[ServiceState], tier: Tier) -> dict[int, _Sum]:
-    sums: dict[int, _Sum] = defaultdict(_Sum)
+def _merge_slots(states: list[ServiceState], tier: Tier) -> dict[int, _Totals]:
+    sums: dict[int, _Totals] = defaultdict(_Totals)
     for state in states:
         for index, slot in state.slots[tier.name].items():
             sums[index].add(slot)
@@ -165,7 +165,7 @@
 
 
 def _build_window(
-    name: str, sums: dict[int, _Sum], before: int, objective: Objective
+    name: str, sums: dict[int, _Totals], before: int, objective: Objective
 ) -> WindowBurn:
     inside = [total for index, total in sums.items() if index > before]
     good = sum(total.good for total in inside)
@@ -174,7 +174,9 @@
     return WindowBurn(window=name, good=good, bad=bad, burn_rate=rate)
 
 
-def _build_series(sums: dict[int, _Sum], objective: Objective) -> Iterator[SeriesPoint]:
+def _build_series(
+    sums: dict[int, _Totals], objective: Objective
+) -> Iterator[SeriesPoint]:
     for index, total in sorted(sums.items()):
         yield SeriesPoint(
             at_ms=index * float(HOURS.slot_ms),
@@ -186,7 +188,7 @@
         )
 
 
-def _read_percentiles(states: list[ServiceState]) -> tuple[float, ...]:
+def _compute_percentiles(states: list[ServiceState]) -> tuple[float, ...]:
     merged = build_histogram()
     for state in states:
         for latencies in state.latencies.values():
@@ -198,11 +200,11 @@
 
 
 def _add_encoded(merged: HdrHistogram, data: str) -> None:
-    """Add an encoded histogram.
+    """Add an encoded histogram; skip it if it can't be decoded.
 
-    Failure guarded against: a peer of another version, or a broken one, sends what
-    can't be decoded, and no instance can build a report until that day is over. Such
-    a histogram is passed over. The library has errors without a common base for it.
+    Without this, an invalid histogram from a faulty peer or one of another version
+    would keep all instances from building reports until that day's slot expires. The
+    library's decoding errors have no common base class.
     """
     try:
         merged.decode_and_add(data.encode())
--- a/trefoilhook/burn/tests/__init__.py
+++ b/trefoilhook/burn/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the service-level burn."""
+"""Tests of the burn package."""
--- a/trefoilhook/burn/tests/test_ledger.py
+++ b/trefoilhook/burn/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Counts that survive restarts, lost instances and states that come twice or late."""
+"""Merging of counts across restarts, lost instances and duplicated messages."""
 
 import re
 import unittest
@@ -19,7 +19,7 @@
 
 
 class _Fleet:
-    """Instances with ledgers on one time."""
+    """Builds ledgers of instances that share a manual clock."""
 
     def __init__(self):
         self.time = ManualTime()
@@ -63,9 +63,9 @@
         self.fleet = _Fleet()
 
     def test_counts_of_a_restarted_instance_are_added(self):
-        # The report shows fewer requests than an hour ago. An instance with a fixed
-        # id restarts, counts from zero, and its peer takes the small new counts for
-        # the large old ones (or passes them over until they have grown larger).
+        # Guards against a report that loses requests: an instance with a fixed id
+        # restarts and counts from zero, and its peer replaces the earlier counts by
+        # the new ones, or ignores the new ones until they exceed the earlier ones.
         peer = self.fleet.start("i-2")
         for good in (10, 3):
             instance = self.fleet.start("i-1")
@@ -75,8 +75,8 @@
         self.assertEqual(self.fleet.count(peer), (13, 0))
 
     def test_counts_of_a_lost_instance_stay(self):
-        # A burst of failures is gone from the report. The instance that served them
-        # died, and the one asked for the report started after that.
+        # Guards against losing the counts of an instance that died, in a report from
+        # an instance that was started later.
         lost, witness = self.fleet.start("i-1"), self.fleet.start("i-2")
         _record(lost, good=5, bad=5)
         witness.merge(lost.encode(is_own_only=True))
@@ -87,9 +87,9 @@
         sources = {row.instance_id for row in self.fleet.report(fresh).sources}
         self.assertEqual(sources, {"i-1", "i-3"})
 
-    def test_states_that_come_late_or_twice_change_nothing(self):
-        # The report shows twice the requests, or goes back by some. A peer's answer
-        # was delayed and arrives after a newer one, or comes by two ways.
+    def test_duplicated_and_delayed_states_change_nothing(self):
+        # Guards against counting requests twice or losing some when a peer's response
+        # arrives after a newer one, or over two paths.
         source, peer = self.fleet.start("i-1"), self.fleet.start("i-2")
         _record(source, good=2, bad=1)
         older = source.encode()
@@ -101,7 +101,7 @@
         source.merge(peer.encode())
         self.assertEqual(self.fleet.count(source), (4, 1))
 
-    def test_windows_hold_what_happened_in_them(self):
+    def test_windows_count_their_own_requests(self):
         ledger = self.fleet.start("i-1")
         for pause_ms, bad in (
             (20 * _DAY_MS, 1),
@@ -118,7 +118,7 @@
         found = {window.window: window.bad for window in service.windows}
         self.assertEqual(found, wanted)
 
-    def test_old_slots_are_dropped(self):
+    def test_expired_slots_are_dropped(self):
         ledger = self.fleet.start("i-1")
         sizes = []
         for _ in range(150):
@@ -139,8 +139,9 @@
         self.assertEqual(self.fleet.count(peer), (0, 2))
 
     def test_parts_add_up_to_the_whole(self):
-        # A lost instance's counts never reach the ones started later: to save bytes,
-        # peers send only their own. In turn they send each source that they know.
+        # Guards against peers that send only their own counts, so that the counts of a
+        # lost instance never reach instances started later. Each part holds one source
+        # in rotation.
         ledgers = [self.fleet.start(f"i-{number}") for number in range(4)]
         for ledger in ledgers:
             _record(ledger, good=1, bad=1)
@@ -154,8 +155,8 @@
         self.assertEqual(self.fleet.count(fresh), (4, 4))
 
     def test_recent_counts_are_in_every_part(self):
-        # The report lags by as many exchanges as there are sources: what an instance
-        # counted since comes only when it is its own turn.
+        # Guards against a report that lags by one exchange per source, because an
+        # instance sends its own new counts only when the rotation reaches them.
         ledger, peer = self.fleet.start("i-1"), self.fleet.start("i-2")
         _record(peer, good=1)
         ledger.merge(peer.encode())
@@ -164,17 +165,17 @@
             peer.merge(ledger.encode_part())
             self.assertEqual(self.fleet.count(peer), (1, total))
 
-    def test_spoilt_messages_are_refused_or_passed_over(self):
+    def test_invalid_messages_are_rejected_or_skipped(self):
         ledger, peer = self.fleet.start("i-1"), self.fleet.start("i-2")
         _record(ledger, good=1)
         text = ledger.encode()
         for broken in ("", "{}", "[]", text[:-1], "\ud800"):
             self.assertFalse(peer.merge(broken), broken)
         for data in ("", "!", "AAAA", "HISTFAAAAAB42pNpmSzMwMDAxAAB"):
-            spoilt = re.sub('"data":"[^"]*"', f'"data":"{data}"', text)
+            invalid = re.sub('"data":"[^"]*"', f'"data":"{data}"', text)
             with self.subTest(data=data):
                 peer = self.fleet.start("i-2")
-                self.assertTrue(peer.merge(spoilt))
+                self.assertTrue(peer.merge(invalid))
                 self.assertEqual(self.fleet.count(peer), (1, 0))
 
     def test_latency_percentiles_are_merged(self):
@@ -186,7 +187,7 @@
         self.assertAlmostEqual(service.p50_ms, 150.0, delta=2)
         self.assertAlmostEqual(service.p99_ms, 150.0, delta=2)
 
-    def test_codes_count_for_the_service_or_not_at_all(self):
+    def test_each_code_is_good_bad_or_not_counted(self):
         for code in ResultCode:
             ledger = self.fleet.start("i-1")
             ledger.record(
@@ -218,7 +219,7 @@
             max_size=12,
         )
     )
-    def test_any_exchange_ends_with_all_requests_counted_once(self, steps):
+    def test_any_exchange_counts_each_request_once(self, steps):
         fleet = _Fleet()
         ledgers = [fleet.start(f"i-{n}") for n in range(3)]
         good = bad = 0
@@ -236,7 +237,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    """What the report says of the counts."""
+    """Budgets, alerts and rows of the report."""
 
     def setUp(self):
         self.fleet = _Fleet()
--- a/trefoilhook/burn/tests/test_outcomes.py
+++ b/trefoilhook/burn/tests/test_outcomes.py
@@ -1,9 +1,9 @@
-"""Jobs that logs tell of, judged and counted once."""
+"""Classification of jobs from logs, and the report on them."""
 
 import json
 import unittest
 
-from trefoilhook.burn import Alert, judge_jobs, report_jobs
+from trefoilhook.burn import Alert, build_job_report, classify_jobs
 from trefoilhook.burn.page import render_html, render_text
 from trefoilhook.results import ResultCode
 from trefoilhook.story import read_lines
@@ -17,25 +17,27 @@
 
 
 def _accept(at_s, job="j1", queue="q", objective_ms=1000, instance="a"):
-    told = {} if objective_ms is None else {"objective_ms": objective_ms}
-    return _line(at_s, "JOB_ACCEPTED", job, instance, queue=queue, **told)
+    objective = {} if objective_ms is None else {"objective_ms": objective_ms}
+    return _line(at_s, "JOB_ACCEPTED", job, instance, queue=queue, **objective)
 
 
 def _finish(at_s, job="j1", queue="q", late_ms=-100, phase="completed", **fields):
-    told = {} if late_ms is None else {"objective_ms": 1000, "late_ms": late_ms}
-    return _line(at_s, "JOB_FINISHED", job, queue=queue, phase=phase, **told, **fields)
+    objective = {} if late_ms is None else {"objective_ms": 1000, "late_ms": late_ms}
+    return _line(
+        at_s, "JOB_FINISHED", job, queue=queue, phase=phase, **objective, **fields
+    )
 
 
 def _refuse(at_s, job="j1", instance="a"):
     return _line(at_s, "REQUEST_REFUSED", job, instance, queue="q", why="store away")
 
 
-def _judge(*lines):
-    return [outcome.code for outcome in judge_jobs(read_lines(lines))]
+def _classify(*lines):
+    return [outcome.code for outcome in classify_jobs(read_lines(lines))]
 
 
-class JudgementTest(unittest.TestCase):
-    """What a job counts as."""
+class ClassificationTest(unittest.TestCase):
+    """Outcomes of single jobs."""
 
     def test_outcomes_table(self):
         ok, failed = ResultCode.OK, ResultCode.BACKEND_FAILED
@@ -46,45 +48,49 @@
             ("ended by its client", [_accept(0), _line(1, "JOB_CANCELLED")], []),
             ("cancelled", [_accept(0), _finish(1, phase="cancelled")], []),
             ("refused three times", [_refuse(n) for n in range(3)], [refused]),
-            ("refused, then taken", [_refuse(0), _accept(1), _finish(2)], [ok]),
+            ("refused, then accepted", [_refuse(0), _accept(1), _finish(2)], [ok]),
             ("state not read", [_accept(0), _refuse(1), _finish(2)], [ok]),
-            ("told twice", [_accept(0), _finish(1), _finish(2, late_ms=500)], [ok]),
+            ("logged twice", [_accept(0), _finish(1), _finish(2, late_ms=500)], [ok]),
             ("unknown", [_line(0, "REQUEST_FAILED", queue="q", status=504)], [lost]),
             (
-                "wrong request",
+                "invalid request",
                 [_line(0, "REQUEST_FAILED", queue="q", status=400)],
                 [ResultCode.BAD_REQUEST],
             ),
             (
-                "open past its time",
+                "unfinished and overdue",
                 [_accept(0), _line(9, "STARTED", job="other")],
                 [ResultCode.QUEUE_DEADLINE],
             ),
-            ("open in time", [_accept(0), _line(0.9, "STARTED", job="other")], []),
             (
-                "lasts or repeats",
+                "unfinished, not overdue",
+                [_accept(0), _line(0.9, "STARTED", job="other")],
+                [],
+            ),
+            (
+                "long-running or repeating, without an objective",
                 [_accept(0, objective_ms=None), _finish(9, late_ms=None)],
                 [],
             ),
         )
         for name, lines, expected in table:
             with self.subTest(name):
-                self.assertEqual(_judge(*lines), expected)
+                self.assertEqual(_classify(*lines), expected)
 
-    def test_lines_of_other_formats_are_passed_over(self):
+    def test_lines_of_other_formats_are_skipped(self):
         lines = ("no line", "{", '{"t":1}', " 0.5 node-1 " + _accept(0), _finish(1))
-        self.assertEqual(_judge(*lines), [ResultCode.OK])
+        self.assertEqual(_classify(*lines), [ResultCode.OK])
 
 
 class ReportTest(unittest.TestCase):
-    """The report over several processes."""
+    """The report on several processes."""
 
     def _report(self, *lines, target=0.9):
-        return report_jobs(read_lines(lines), target=target)
+        return build_job_report(read_lines(lines), target=target)
 
     def test_queues_of_several_processes(self):
-        # A queue is served by several processes: one accepts, another ends the job, a
-        # third refuses. Each job counts once, at the process that told its outcome.
+        # One process accepts a job, another finishes it, a third refuses others. Each
+        # job counts once, in the ledger of the process that logged its outcome.
         lines = []
         for number in range(18):
             job = f"j{number}"
@@ -105,10 +111,10 @@
         self.assertAlmostEqual(queue.p50_ms, 750.0, delta=10.0)
         self.assertEqual(queue.latency_ms, 1000.0)
 
-    def test_both_forms(self):
+    def test_text_and_html(self):
         report = self._report(_accept(0), _finish(1))
         self.assertIn("jobs/q", render_text(report))
         self.assertIn("90.000% in 1000 ms", render_html(report))
 
-    def test_no_lines(self):
+    def test_empty_logs(self):
         self.assertEqual(self._report().services, ())
--- a/trefoilhook/burn/tests/test_page.py
+++ b/trefoilhook/burn/tests/test_page.py
@@ -1,4 +1,4 @@
-"""The report as text and as a page."""
+"""The burn report as text and as an HTML page."""
 
 import re
 import unittest
@@ -46,14 +46,14 @@
 
 
 class PageTest(unittest.TestCase):
-    """Both forms of the report."""
+    """Rendering of the report."""
 
     def test_text_shows_every_service_and_team(self):
         text = render_text(_build_report())
         for part in ("a/<b>seats & more", "ticket", "25.0%", "9.09", "28d"):
             self.assertIn(part, text)
 
-    def test_page_fetches_nothing_and_escapes_names(self):
+    def test_page_loads_nothing_and_escapes_names(self):
         page = render_html(_build_report())
         self.assertNotIn("<b>seats", page)
         self.assertIn("&lt;b&gt;seats &amp; more", page)
@@ -65,7 +65,7 @@
         ]
         self.assertEqual(outer, [])
 
-    def test_plots_are_well_formed_and_the_same_each_time(self):
+    def test_plots_are_well_formed_and_deterministic(self):
         page = render_html(_build_report())
         self.assertEqual(page, render_html(_build_report()))
         (plot,) = re.findall(r"<svg.*?</svg>", page, re.DOTALL)
--- a/trefoilhook/command/account.py
+++ b/trefoilhook/command/account.py
@@ -8,8 +8,8 @@
 from cleo.helpers import option
 from cleo.io.outputs.output import Type
 
-from trefoilhook.account import build_account
-from trefoilhook.command.exits import USAGE_EXIT
+from trefoilhook.account import build_loss_report
+from trefoilhook.command.exit_codes import USAGE_EXIT_CODE
 from trefoilhook.command.logs import LOG_OPTION, read_logs
 from trefoilhook.settings import dump_json
 
@@ -43,14 +43,14 @@
         if bin_s is None:
             text = f"--bin {self.option('bin')}: must be a number of seconds over 0"
             self.io.write_error_line(text, type=Type.RAW)
-            return USAGE_EXIT
+            return USAGE_EXIT_CODE
         unread: Counter[str] = Counter()
         try:
             lines = read_logs(self.option("log"), unread=unread)
         except OSError as error:
             self.io.write_error_line(str(error), type=Type.RAW)
-            return USAGE_EXIT
-        account = build_account(lines, bin_s=bin_s, unread=unread)
+            return USAGE_EXIT_CODE
+        account = build_loss_report(lines, bin_s=bin_s, unread=unread)
         # Drawing libraries take long to load; no other command should wait for them.
         from trefoilhook.account.page import render_html, render_text
 
--- a/trefoilhook/command/burn.py
+++ b/trefoilhook/command/burn.py
@@ -7,8 +7,8 @@
 from cleo.helpers import option
 from cleo.io.outputs.output import Type
 
-from trefoilhook.burn import report_jobs
-from trefoilhook.command.exits import USAGE_EXIT
+from trefoilhook.burn import build_job_report
+from trefoilhook.command.exit_codes import USAGE_EXIT_CODE
 from trefoilhook.command.logs import LOG_OPTION, read_logs
 from trefoilhook.configuration import Objective
 from trefoilhook.settings import FieldError, dump_json
@@ -44,13 +44,13 @@
         if target is None:
             text = f"--target {self.option('target')}: must be a share, such as 0.99"
             self.io.write_error_line(text, type=Type.RAW)
-            return USAGE_EXIT
+            return USAGE_EXIT_CODE
         try:
             lines = read_logs(self.option("log"))
         except OSError as error:
             self.io.write_error_line(str(error), type=Type.RAW)
-            return USAGE_EXIT
-        report = report_jobs(lines, target=target)
+            return USAGE_EXIT_CODE
+        report = build_job_report(lines, target=target)
         # Drawing libraries take long to load; no other command should wait for them.
         from trefoilhook.burn.page import render_html, render_text
 
--- a/trefoilhook/command/client.py
+++ b/trefoilhook/command/client.py
@@ -92,7 +92,7 @@
     )
 
 
-def build_send(address: ServerAddress, *, authority_file: Path | None) -> Send:
+def build_send(address: ServerAddress, *, ca_file: Path | None) -> Send:
     """Build the function that sends to one address.
 
     Parameters
@@ -105,7 +105,7 @@
     """
     tls = None
     if address.is_tls:
-        tls = ssl.create_default_context(cafile=authority_file)
+        tls = ssl.create_default_context(cafile=ca_file)
     client = HttpClient(host=address.host, port=address.port, tls=tls)
 
     async def send(request: HttpRequest, timeout_ms: float) -> HttpResponse:
@@ -133,7 +133,7 @@
         self,
         cls: type[T],
         method: str,
-        steps: tuple[str, ...],
+        segments: tuple[str, ...],
         *,
         query: dict[str, str] | None = None,
         body: bytes = b"",
@@ -161,13 +161,13 @@
         ApiError
             If the call was refused or failed.
         """
-        target = "/" + "/".join(quote(step, safe="") for step in steps)
+        target = "/" + "/".join(quote(step, safe="") for step in segments)
         if query:
             target += "?" + urlencode(query)
         request = HttpRequest(
             method=method, target=target, headers=self._build_headers(), body=body
         )
-        response = await self._exchange(request, timeout_ms)
+        response = await self._send_request(request, timeout_ms)
         data = _parse_answer(response)
         if response.status >= _FIRST_FAILURE_STATUS:
             raise _read_error(response, data)
@@ -182,7 +182,9 @@
             return (content_type,)
         return (content_type, ("authorization", f"Bearer {self._token}"))
 
-    async def _exchange(self, request: HttpRequest, timeout_ms: float) -> HttpResponse:
+    async def _send_request(
+        self, request: HttpRequest, timeout_ms: float
+    ) -> HttpResponse:
         try:
             return await self._send(request, timeout_ms)
         except (NotSentError, AnswerLostError) as error:
--- a/trefoilhook/command/cluster.py
+++ b/trefoilhook/command/cluster.py
@@ -7,7 +7,13 @@
 from trefoilhook.admin.backend import ClusterStatus
 from trefoilhook.admin.cluster import DrainAnswer
 from trefoilhook.burn import BurnReport
-from trefoilhook.command.core import CommandSpec, Outcome, Session, Sheet, UsageError
+from trefoilhook.command.core import (
+    CommandContext,
+    CommandOutput,
+    CommandSpec,
+    TableData,
+    UsageError,
+)
 from trefoilhook.results import ResultCode
 
 __all__ = ["SPECS"]
@@ -15,7 +21,7 @@
 _MS_PER_S = 1000.0
 
 
-def _tell(is_true: bool) -> str:
+def _format_bool(is_true: bool) -> str:
     return "yes" if is_true else "no"
 
 
@@ -31,9 +37,9 @@
     )
 
 
-async def _show_status(session: Session) -> Outcome:
-    status = await session.client.fetch(ClusterStatus, "GET", ("v1", "status"))
-    instances = Sheet(
+async def _show_status(context: CommandContext) -> CommandOutput:
+    status = await context.client.fetch(ClusterStatus, "GET", ("v1", "status"))
+    instances = TableData(
         headers=(
             "instance",
             "failure domain",
@@ -52,54 +58,54 @@
                 row.address,
                 row.state,
                 str(row.applied_revision),
-                _tell(row.is_store_reachable),
+                _format_bool(row.is_store_reachable),
                 str(row.shard_count),
             )
             for row in status.instances
         ),
     )
-    shards = Sheet(
+    shards = TableData(
         headers=("shard", "owner", "epoch"),
         rows=tuple(
             (row.shard_id, row.owner_instance_id or "(none)", str(row.epoch))
             for row in status.shards
         ),
     )
-    sheets = (instances, shards) if session.get_option("shards") else (instances,)
-    return Outcome(body=status, text=_show_store(status), sheets=sheets)
+    tables = (instances, shards) if context.get_option("shards") else (instances,)
+    return CommandOutput(body=status, text=_show_store(status), tables=tables)
 
 
-async def _drain(session: Session) -> Outcome:
-    instance_id = str(session.get_argument("instance"))
+async def _drain(context: CommandContext) -> CommandOutput:
+    instance_id = str(context.get_argument("instance"))
     steps = ("v1", "instances", instance_id, "drain")
-    answer = await session.client.fetch(DrainAnswer, "POST", steps)
+    answer = await context.client.fetch(DrainAnswer, "POST", steps)
     text = f"{answer.instance_id} hands its shards over and leaves"
-    return Outcome(body=answer, text=text, code=ResultCode.ACCEPTED)
+    return CommandOutput(body=answer, text=text, code=ResultCode.ACCEPTED)
 
 
-async def _declare_gone(session: Session) -> Outcome:
-    instance_id = str(session.get_argument("instance"))
+async def _declare_gone(context: CommandContext) -> CommandOutput:
+    instance_id = str(context.get_argument("instance"))
     steps = ("v1", "instances", instance_id, "gone")
-    answer = await session.client.fetch(DrainAnswer, "POST", steps)
+    answer = await context.client.fetch(DrainAnswer, "POST", steps)
     text = f"nobody waits for {answer.instance_id} any more"
-    return Outcome(body=answer, text=text, code=ResultCode.ACCEPTED)
+    return CommandOutput(body=answer, text=text, code=ResultCode.ACCEPTED)
 
 
-async def _report_burn(session: Session) -> Outcome:
+async def _report_burn(context: CommandContext) -> CommandOutput:
     # Drawing libraries take long to load; no other command should wait for them.
     from trefoilhook.burn.page import render_html, render_text
 
-    team = session.get_option("team")
+    team = context.get_option("team")
     query = {} if team is None else {"team": str(team)}
-    report = await session.client.fetch(BurnReport, "GET", ("v1", "burn"), query=query)
-    file = session.get_option("html")
+    report = await context.client.fetch(BurnReport, "GET", ("v1", "burn"), query=query)
+    file = context.get_option("html")
     if file is None:
-        return Outcome(body=report, text=render_text(report))
+        return CommandOutput(body=report, text=render_text(report))
     try:
         Path(file).write_text(render_html(report), encoding="utf-8")
     except OSError as error:
         raise UsageError(f"{file}: {error.strerror}") from error
-    return Outcome(body=report, text=f"written to {file}")
+    return CommandOutput(body=report, text=f"written to {file}")
 
 
 SPECS = (
--- a/trefoilhook/command/configuration.py
+++ b/trefoilhook/command/configuration.py
@@ -11,39 +11,45 @@
 from trefoilhook.admin.backend import InForceReport
 from trefoilhook.admin.configuration import ConfigurationAnswer, HistoryAnswer
 from trefoilhook.command.client import ApiError
-from trefoilhook.command.core import CommandSpec, Outcome, Session, Sheet, UsageError
+from trefoilhook.command.core import (
+    CommandContext,
+    CommandOutput,
+    CommandSpec,
+    TableData,
+    UsageError,
+)
 from trefoilhook.results import ResultCode
 from trefoilhook.settings import InvalidSettingsError, parse_json
 
 __all__ = ["SPECS"]
 
 _MS_PER_S = 1000.0
-_WAIT_STEP_MS = 5_000.0
+_LONG_POLL_MS = 5_000.0
 _ANSWER_MARGIN_MS = 10_000.0
 _DEFAULT_WAIT_S = 60.0
 
 
-def _split_path(session: Session) -> tuple[str, str]:
+def _split_path(context: CommandContext) -> tuple[str, str]:
     """Split ``team/steps`` into the team and the path inside its subtree."""
-    team, _, path = str(session.get_argument("path")).strip("/").partition("/")
+    team, _, path = str(context.get_argument("path")).strip("/").partition("/")
     if not team:
         raise UsageError("the path begins with the name of a team")
     return team, path
 
 
-def _build_steps(team: str, path: str) -> tuple[str, ...]:
+def _build_path(team: str, path: str) -> tuple[str, ...]:
     rest = tuple(path.split("/")) if path else ()
     return ("v1", "config", "teams", team, *rest)
 
 
-def _build_query(session: Session) -> dict[str, str]:
-    revision = session.get_option("revision")
+def _build_query(context: CommandContext) -> dict[str, str]:
+    revision = context.get_option("revision")
     return {} if revision is None else {"revision": str(revision)}
 
 
-def _read_value(session: Session) -> Any:
+def _read_value(context: CommandContext) -> Any:
     """Read the value from the argument, from ``--file`` or from standard input."""
-    text, file = session.get_argument("value"), session.get_option("file")
+    text, file = context.get_argument("value"), context.get_option("file")
     if (text is None) == (file is None):
         raise UsageError("give either a value or --file")
     if file is not None:
@@ -63,66 +69,66 @@
         raise UsageError(f"{name}: {error}") from error
 
 
-def _show_value(answer: ConfigurationAnswer) -> Outcome:
+def _show_value(answer: ConfigurationAnswer) -> CommandOutput:
     note = "" if answer.is_from_store else "  (in force here; the store is down)"
     text = f"revision {answer.revision}{note}\n{json.dumps(answer.value, indent=2)}"
-    return Outcome(body=answer, text=text)
+    return CommandOutput(body=answer, text=text)
 
 
-async def _get(session: Session) -> Outcome:
-    team, path = _split_path(session)
-    steps = _build_steps(team, path)
-    return _show_value(await session.client.fetch(ConfigurationAnswer, "GET", steps))
+async def _get(context: CommandContext) -> CommandOutput:
+    team, path = _split_path(context)
+    steps = _build_path(team, path)
+    return _show_value(await context.client.fetch(ConfigurationAnswer, "GET", steps))
 
 
-async def _set(session: Session) -> Outcome:
-    team, path = _split_path(session)
-    answer = await session.client.fetch(
+async def _set(context: CommandContext) -> CommandOutput:
+    team, path = _split_path(context)
+    answer = await context.client.fetch(
         ConfigurationAnswer,
         "PUT",
-        _build_steps(team, path),
-        query=_build_query(session),
-        body=json.dumps(_read_value(session)).encode(),
+        _build_path(team, path),
+        query=_build_query(context),
+        body=json.dumps(_read_value(context)).encode(),
     )
-    return Outcome(body=answer, text=f"accepted at revision {answer.revision}")
+    return CommandOutput(body=answer, text=f"accepted at revision {answer.revision}")
 
 
-async def _delete(session: Session) -> Outcome:
-    team, path = _split_path(session)
-    answer = await session.client.fetch(
+async def _delete(context: CommandContext) -> CommandOutput:
+    team, path = _split_path(context)
+    answer = await context.client.fetch(
         ConfigurationAnswer,
         "DELETE",
-        _build_steps(team, path),
-        query=_build_query(session),
+        _build_path(team, path),
+        query=_build_query(context),
     )
-    return Outcome(body=answer, text=f"deleted at revision {answer.revision}")
+    return CommandOutput(body=answer, text=f"deleted at revision {answer.revision}")
 
 
-async def _validate(session: Session) -> Outcome:
-    team, path = _split_path(session)
-    answer = await session.client.fetch(
+async def _validate(context: CommandContext) -> CommandOutput:
+    team, path = _split_path(context)
+    answer = await context.client.fetch(
         ConfigurationAnswer,
         "POST",
         ("v1", "config", "teams", team, "validate"),
         query={"path": path},
-        body=json.dumps(_read_value(session)).encode(),
+        body=json.dumps(_read_value(context)).encode(),
     )
-    return Outcome(body=answer, text=f"valid against revision {answer.revision}")
+    return CommandOutput(body=answer, text=f"valid against revision {answer.revision}")
 
 
-def _show_time(at_ms: float) -> str:
+def _format_time(at_ms: float) -> str:
     at = datetime.fromtimestamp(at_ms / _MS_PER_S, tz=UTC)
     return at.isoformat(timespec="seconds")
 
 
-async def _show_history(session: Session) -> Outcome:
-    team = str(session.get_argument("team"))
+async def _show_history(context: CommandContext) -> CommandOutput:
+    team = str(context.get_argument("team"))
     steps = ("v1", "config", "teams", team, "history")
-    answer = await session.client.fetch(HistoryAnswer, "GET", steps)
+    answer = await context.client.fetch(HistoryAnswer, "GET", steps)
     rows = tuple(
         (
             str(change.revision),
-            _show_time(change.at_ms),
+            _format_time(change.at_ms),
             change.author,
             change.action,
             change.path or "(whole)",
@@ -130,37 +136,37 @@
         for change in answer.changes
     )
     headers = ("revision", "time", "author", "action", "path")
-    return Outcome(body=answer, sheets=(Sheet(headers=headers, rows=rows),))
+    return CommandOutput(body=answer, tables=(TableData(headers=headers, rows=rows),))
 
 
-async def _wait(session: Session) -> Outcome:
-    timeout_ms = session.read_number("timeout", _DEFAULT_WAIT_S) * _MS_PER_S
-    deadline_ms = session.clock.monotonic_ms() + timeout_ms
+async def _wait(context: CommandContext) -> CommandOutput:
+    timeout_ms = context.read_number("timeout", _DEFAULT_WAIT_S) * _MS_PER_S
+    deadline_ms = context.clock.monotonic_ms() + timeout_ms
     while True:
-        left_ms = max(0.0, deadline_ms - session.clock.monotonic_ms())
-        step_ms = min(left_ms, _WAIT_STEP_MS)
+        remaining_ms = max(0.0, deadline_ms - context.clock.monotonic_ms())
+        poll_ms = min(remaining_ms, _LONG_POLL_MS)
         try:
-            report = await _wait_once(session, step_ms)
+            report = await _wait_once(context, poll_ms)
         except ApiError as error:
-            if error.code is not ResultCode.STALE_REVISION or left_ms <= step_ms:
+            if error.code is not ResultCode.STALE_REVISION or remaining_ms <= poll_ms:
                 raise
-            session.show_progress(error.detail.detail)
+            context.show_progress(error.detail.detail)
             continue
         text = f"revision {report.revision} is in force on {len(report.instances)}"
-        return Outcome(body=report, text=f"{text} instances")
+        return CommandOutput(body=report, text=f"{text} instances")
 
 
-async def _wait_once(session: Session, step_ms: float) -> InForceReport:
+async def _wait_once(context: CommandContext, poll_ms: float) -> InForceReport:
     query = {
-        "revision": str(session.get_argument("revision")),
-        "timeout_ms": str(int(step_ms)),
+        "revision": str(context.get_argument("revision")),
+        "timeout_ms": str(int(poll_ms)),
     }
-    return await session.client.fetch(
+    return await context.client.fetch(
         InForceReport,
         "GET",
         ("v1", "config", "wait"),
         query=query,
-        timeout_ms=step_ms + _ANSWER_MARGIN_MS,
+        timeout_ms=poll_ms + _ANSWER_MARGIN_MS,
     )
 
 
--- a/trefoilhook/command/core.py
+++ b/trefoilhook/command/core.py
@@ -25,16 +25,23 @@
     ServerAddress,
     build_send,
 )
-from trefoilhook.command.exits import USAGE_EXIT, derive_exit_code
+from trefoilhook.command.exit_codes import USAGE_EXIT_CODE, derive_exit_code
 from trefoilhook.exceptions import SettingsError
 from trefoilhook.results import ResultCode
 from trefoilhook.settings import dump_json
 
-__all__ = ["ApiCommand", "CommandSpec", "Outcome", "Session", "Sheet", "UsageError"]
+__all__ = [
+    "ApiCommand",
+    "CommandContext",
+    "CommandOutput",
+    "CommandSpec",
+    "TableData",
+    "UsageError",
+]
 
 SERVER_VARIABLE = "TREFOILHOOK_SERVER"
 TOKEN_VARIABLE = "TREFOILHOOK_TOKEN"
-AUTHORITY_VARIABLE = "TREFOILHOOK_CA_FILE"
+CA_FILE_VARIABLE = "TREFOILHOOK_CA_FILE"
 
 _DEFAULT_SERVER = "http://127.0.0.1:2380"
 _PROGRESS_AFTER_MS = 1_000.0
@@ -46,7 +53,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Sheet:
+class TableData:
     """A table to print."""
 
     headers: tuple[str, ...]
@@ -54,7 +61,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class CommandOutput:
     """What a command brought.
 
     Parameters
@@ -71,12 +78,12 @@
 
     body: object
     text: str = ""
-    sheets: tuple[Sheet, ...] = ()
+    tables: tuple[TableData, ...] = ()
     code: ResultCode = ResultCode.OK
 
 
 @attrs.frozen(kw_only=True)
-class Session:
+class CommandContext:
     """What a command works with.
 
     Parameters
@@ -139,7 +146,7 @@
 
     name: str
     description: str
-    run: Callable[[Session], Awaitable[Outcome]]
+    run: Callable[[CommandContext], Awaitable[CommandOutput]]
     examples: tuple[str, ...]
     arguments: tuple[Argument, ...] = ()
     options: tuple[Option, ...] = ()
@@ -159,7 +166,7 @@
         option(
             "ca-file",
             description=f"PEM file of the authorities of the server's certificate. "
-            f"[{AUTHORITY_VARIABLE}]",
+            f"[{CA_FILE_VARIABLE}]",
             flag=False,
         ),
         option("json", description="Print the answer as JSON."),
@@ -200,52 +207,52 @@
     def handle(self) -> int:
         """Carry the command out and return the exit code."""
         try:
-            outcome = trio.run(self._run)
+            output = trio.run(self._run)
         except SettingsError as error:
             self._write_error_line(str(error))
-            return USAGE_EXIT
+            return USAGE_EXIT_CODE
         except ApiError as error:
             self._show_error(error)
             return derive_exit_code(error.code)
-        self._show(outcome)
-        return derive_exit_code(outcome.code)
+        self._show(output)
+        return derive_exit_code(output.code)
 
-    async def _run(self) -> Outcome:
+    async def _run(self) -> CommandOutput:
         progress = _Progress(self.io.error_output)
-        session = Session(
+        context = CommandContext(
             client=AdminClient(
                 send=self._send or self._build_send(),
-                token=self._read("token", TOKEN_VARIABLE) or "",
+                token=self._read_option("token", TOKEN_VARIABLE) or "",
             ),
             clock=build_system_clock(),
             get_argument=self.argument,
             get_option=self.option,
             show_progress=progress.set_message,
         )
-        return await _run_with_progress(self._spec.run, session, progress)
+        return await _run_with_progress(self._spec.run, context, progress)
 
-    def _read(self, name: str, variable: str) -> str | None:
+    def _read_option(self, name: str, variable: str) -> str | None:
         given = self.option(name)
         return given if given is not None else os.environ.get(variable)
 
     def _build_send(self) -> Send:
-        server = self._read("server", SERVER_VARIABLE) or _DEFAULT_SERVER
-        authority = self._read("ca-file", AUTHORITY_VARIABLE)
+        server = self._read_option("server", SERVER_VARIABLE) or _DEFAULT_SERVER
+        authority = self._read_option("ca-file", CA_FILE_VARIABLE)
         path = None if authority is None else Path(authority)
         try:
-            return build_send(ServerAddress.from_text(server), authority_file=path)
+            return build_send(ServerAddress.from_text(server), ca_file=path)
         except OSError as error:
             raise UsageError(f"{authority}: {error}") from error
 
-    def _show(self, outcome: Outcome) -> None:
+    def _show(self, output: CommandOutput) -> None:
         if self.option("json"):
-            text = json.dumps(dump_json(outcome.body), indent=2)
+            text = json.dumps(dump_json(output.body), indent=2)
             self.io.write_line(text, type=Type.RAW)
             return
-        if outcome.text:
-            self.io.write_line(outcome.text, type=Type.RAW)
-        for sheet in outcome.sheets:
-            _draw(sheet, self.io.output)
+        if output.text:
+            self.io.write_line(output.text, type=Type.RAW)
+        for table in output.tables:
+            _render_table(table, self.io.output)
 
     def _show_error(self, error: ApiError) -> None:
         detail = error.detail
@@ -258,18 +265,20 @@
             value = json.dumps(detail.standing.value)
             line = f"It is at revision {detail.standing.revision} now: {value}"
             self._write_error_line(line)
-        again = " The same call may be made again." if detail.may_retry else ""
-        self._write_error_line(f"Outcome: {detail.outcome}.{again}")
+        retry_note = " The same call may be made again." if detail.may_retry else ""
+        self._write_error_line(f"Outcome: {detail.outcome}.{retry_note}")
 
     def _write_error_line(self, text: str) -> None:
         self.io.write_error_line(text, type=Type.RAW)
 
 
-def _draw(sheet: Sheet, output: Output) -> None:
-    table = Table(output, style="compact")
-    table.set_headers([Formatter.escape(header) for header in sheet.headers])
-    table.set_rows([[Formatter.escape(cell) for cell in row] for row in sheet.rows])
-    table.render()
+def _render_table(table: TableData, output: Output) -> None:
+    cleo_table = Table(output, style="compact")
+    cleo_table.set_headers([Formatter.escape(header) for header in table.headers])
+    cleo_table.set_rows(
+        [[Formatter.escape(cell) for cell in row] for row in table.rows]
+    )
+    cleo_table.render()
 
 
 class _Progress:
@@ -299,18 +308,20 @@
 
 
 async def _run_with_progress(
-    run: Callable[[Session], Awaitable[Outcome]], session: Session, progress: _Progress
-) -> Outcome:
-    outcomes: list[Outcome] = []
+    run: Callable[[CommandContext], Awaitable[CommandOutput]],
+    context: CommandContext,
+    progress: _Progress,
+) -> CommandOutput:
+    outputs: list[CommandOutput] = []
     failures: list[ApiError | SettingsError] = []
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(progress.run, session.clock)
+        nursery.start_soon(progress.run, context.clock)
         try:
-            outcomes.append(await run(session))
+            outputs.append(await run(context))
         except (ApiError, SettingsError) as error:
             failures.append(error)
         nursery.cancel_scope.cancel()
     progress.finish()
     if failures:
         raise failures[0]
-    return outcomes[0]
+    return outputs[0]
--- a/trefoilhook/command/evacuations.py
+++ b/trefoilhook/command/evacuations.py
@@ -8,7 +8,7 @@
 from cleo.io.outputs.output import Type
 
 from trefoilhook.account import EvacuationReport, list_evacuations
-from trefoilhook.command.exits import USAGE_EXIT
+from trefoilhook.command.exit_codes import USAGE_EXIT_CODE
 from trefoilhook.command.logs import LOG_OPTION, read_logs
 from trefoilhook.settings import dump_json
 
@@ -30,7 +30,7 @@
             reports = list_evacuations(read_logs(self.option("log")))
         except OSError as error:
             self.io.write_error_line(str(error), type=Type.RAW)
-            return USAGE_EXIT
+            return USAGE_EXIT_CODE
         if self.option("json"):
             self.io.write_line(json.dumps(dump_json(reports), indent=2), type=Type.RAW)
         else:
--- a/trefoilhook/command/exits.py
+++ b/trefoilhook/command/exit_codes.py
@@ -2,14 +2,14 @@
 
 from trefoilhook.results import ResultCode
 
-__all__ = ["USAGE_EXIT", "derive_exit_code"]
+__all__ = ["USAGE_EXIT_CODE", "derive_exit_code"]
 
 #: Given by the command-line library for unknown commands, options and arguments.
-USAGE_EXIT = 1
+USAGE_EXIT_CODE = 1
 
 _HUNDRED = 100
 _TEN = 10
-_DONE = (ResultCode.OK, ResultCode.ACCEPTED, ResultCode.REPLAYED)
+_SUCCESS_CODES = (ResultCode.OK, ResultCode.ACCEPTED, ResultCode.REPLAYED)
 
 
 def derive_exit_code(code: ResultCode) -> int:
@@ -17,6 +17,6 @@
 
     The result code 107 ends with 17, 304 with 34 and 500 with 50.
     """
-    if code in _DONE:
+    if code in _SUCCESS_CODES:
         return 0
     return code.number // _HUNDRED * _TEN + code.number % _HUNDRED
--- a/trefoilhook/command/jobs.py
+++ b/trefoilhook/command/jobs.py
@@ -16,7 +16,13 @@
 )
 from trefoilhook.admin.jobs import CancelBody
 from trefoilhook.command.client import build_error
-from trefoilhook.command.core import CommandSpec, Outcome, Session, Sheet, UsageError
+from trefoilhook.command.core import (
+    CommandContext,
+    CommandOutput,
+    CommandSpec,
+    TableData,
+    UsageError,
+)
 from trefoilhook.results import ResultCode
 from trefoilhook.settings import FieldError, dump_json
 
@@ -25,20 +31,20 @@
 TEAM_VARIABLE = "TREFOILHOOK_TEAM"
 
 _FOLLOW_INTERVAL_MS = 500.0
-_PAGE = 500
+_PAGE_SIZE = 500
 _MB = 1_000_000
 _HEADERS = ("id", "name", "kind", "state", "worker", "attempt", "detail")
 
 
-def _read_team(session: Session) -> str:
-    team = session.get_option("team") or os.environ.get(TEAM_VARIABLE)
+def _read_team(context: CommandContext) -> str:
+    team = context.get_option("team") or os.environ.get(TEAM_VARIABLE)
     if not team:
         raise UsageError(f"give --team, or set {TEAM_VARIABLE}")
     return str(team)
 
 
-def _build_steps(session: Session, segment: str, *rest: str) -> tuple[str, ...]:
-    return ("v1", "teams", _read_team(session), segment, *rest)
+def _build_path(context: CommandContext, segment: str, *rest: str) -> tuple[str, ...]:
+    return ("v1", "teams", _read_team(context), segment, *rest)
 
 
 def _build_row(job: JobRecord) -> tuple[str, ...]:
@@ -54,42 +60,42 @@
     )
 
 
-def _show_jobs(body: object, jobs: tuple[JobRecord, ...]) -> Outcome:
+def _show_jobs(body: object, jobs: tuple[JobRecord, ...]) -> CommandOutput:
     rows = tuple(_build_row(job) for job in jobs)
-    return Outcome(body=body, sheets=(Sheet(headers=_HEADERS, rows=rows),))
+    return CommandOutput(body=body, tables=(TableData(headers=_HEADERS, rows=rows),))
 
 
-def _read_body(session: Session) -> JobBody:
+def _read_body(context: CommandContext) -> JobBody:
     try:
         return JobBody(
-            name=session.get_argument("name"),
-            job_id=session.get_option("id") or str(uuid6.uuid7()),
-            task_class=session.get_option("class") or "default",
-            is_urgent=session.get_option("urgent"),
-            is_idempotent=session.get_option("idempotent"),
+            name=context.get_argument("name"),
+            job_id=context.get_option("id") or str(uuid6.uuid7()),
+            task_class=context.get_option("class") or "default",
+            is_urgent=context.get_option("urgent"),
+            is_idempotent=context.get_option("idempotent"),
             resources=JobResources(
-                cores=session.read_number("cores", 1.0),
-                memory_bytes=int(session.read_number("memory-mb", 256) * _MB),
-                accelerators=int(session.read_number("accelerators", 0)),
+                cores=context.read_number("cores", 1.0),
+                memory_bytes=int(context.read_number("memory-mb", 256) * _MB),
+                accelerators=int(context.read_number("accelerators", 0)),
             ),
-            declared_run_ms=int(session.read_number("run-ms", 60_000)),
-            payload=session.get_option("payload") or "",
+            declared_run_ms=int(context.read_number("run-ms", 60_000)),
+            payload=context.get_option("payload") or "",
         )
     except FieldError as error:
         raise UsageError(str(error)) from error
 
 
 def _build_create(segment: str) -> CommandSpec:
-    async def create(session: Session) -> Outcome:
-        body = _read_body(session)
-        job = await session.client.fetch(
+    async def create(context: CommandContext) -> CommandOutput:
+        body = _read_body(context)
+        job = await context.client.fetch(
             JobRecord,
             "POST",
-            _build_steps(session, segment),
+            _build_path(context, segment),
             body=json.dumps(dump_json(body)).encode(),
         )
         text = f"{job.job_id} is recorded durably; state: {job.state}"
-        return Outcome(body=job, text=text, code=ResultCode.ACCEPTED)
+        return CommandOutput(body=job, text=text, code=ResultCode.ACCEPTED)
 
     noun = segment.removesuffix("s")
     return CommandSpec(
@@ -101,19 +107,19 @@
             "--memory-mb 2000 --run-ms 600000",
         ),
         arguments=(argument("name", "Name for people."),),
-        options=(_TEAM, *_SIZE),
+        options=(_TEAM_OPTION, *_CREATE_OPTIONS),
     )
 
 
 def _build_list(segment: str) -> CommandSpec:
-    async def list_all(session: Session) -> Outcome:
-        limit = int(session.read_number("limit", _PAGE))
+    async def list_all(context: CommandContext) -> CommandOutput:
+        limit = int(context.read_number("limit", _PAGE_SIZE))
         jobs: tuple[JobRecord, ...] = ()
         after = ""
         while len(jobs) < limit:
-            query = {"limit": str(min(_PAGE, limit - len(jobs))), "after": after}
-            page = await session.client.fetch(
-                JobListing, "GET", _build_steps(session, segment), query=query
+            query = {"limit": str(min(_PAGE_SIZE, limit - len(jobs))), "after": after}
+            page = await context.client.fetch(
+                JobListing, "GET", _build_path(context, segment), query=query
             )
             jobs += page.jobs
             after = page.next_after
@@ -127,19 +133,19 @@
         description=f"Lists the team's {segment}.",
         run=list_all,
         examples=(f"trefoilhook {noun} list --team bookings --limit 20",),
-        options=(_TEAM, _LIMIT),
+        options=(_TEAM_OPTION, _LIMIT_OPTION),
     )
 
 
-async def _fetch_job(session: Session, segment: str, *rest: str) -> JobRecord:
-    job_id = str(session.get_argument("id"))
-    steps = _build_steps(session, segment, job_id, *rest)
-    return await session.client.fetch(JobRecord, "GET", steps)
+async def _fetch_job(context: CommandContext, segment: str, *rest: str) -> JobRecord:
+    job_id = str(context.get_argument("id"))
+    steps = _build_path(context, segment, job_id, *rest)
+    return await context.client.fetch(JobRecord, "GET", steps)
 
 
 def _build_show(segment: str) -> CommandSpec:
-    async def show(session: Session) -> Outcome:
-        job = await _fetch_job(session, segment)
+    async def show(context: CommandContext) -> CommandOutput:
+        job = await _fetch_job(context, segment)
         return _show_jobs(job, (job,))
 
     noun = segment.removesuffix("s")
@@ -148,27 +154,27 @@
         description=f"Shows one {noun}.",
         run=show,
         examples=(f"trefoilhook {noun} show night-roster-7 --team bookings",),
-        arguments=(_ID,),
-        options=(_TEAM,),
+        arguments=(_JOB_ID,),
+        options=(_TEAM_OPTION,),
     )
 
 
 def _build_cancel(segment: str) -> CommandSpec:
-    async def cancel(session: Session) -> Outcome:
-        body = CancelBody(job_ids=tuple(session.get_argument("ids")))
-        report = await session.client.fetch(
+    async def cancel(context: CommandContext) -> CommandOutput:
+        body = CancelBody(job_ids=tuple(context.get_argument("ids")))
+        report = await context.client.fetch(
             CancelReport,
             "POST",
-            _build_steps(session, segment, "cancel"),
+            _build_path(context, segment, "cancel"),
             body=json.dumps(dump_json(body)).encode(),
         )
         rows = [(job_id, "cancelled", "") for job_id in report.cancelled]
         rows += [(row.job_id, "refused", row.detail) for row in report.refused]
-        sheet = Sheet(headers=("id", "outcome", "detail"), rows=tuple(rows))
+        table = TableData(headers=("id", "outcome", "detail"), rows=tuple(rows))
         code = ResultCode.ACCEPTED
         if report.refused:
             code = ResultCode.from_number(report.refused[0].result_number)
-        return Outcome(body=report, sheets=(sheet,), code=code)
+        return CommandOutput(body=report, tables=(table,), code=code)
 
     noun = segment.removesuffix("s")
     return CommandSpec(
@@ -177,18 +183,18 @@
         run=cancel,
         examples=(f"trefoilhook {noun} cancel night-roster-7 --team bookings",),
         arguments=(argument("ids", "Ids.", multiple=True),),
-        options=(_TEAM,),
+        options=(_TEAM_OPTION,),
     )
 
 
 def _build_follow(segment: str) -> CommandSpec:
-    async def follow(session: Session) -> Outcome:
+    async def follow(context: CommandContext) -> CommandOutput:
         while True:
-            job = await _fetch_job(session, segment)
+            job = await _fetch_job(context, segment)
             if job.is_ended:
-                return _show_end(job)
-            session.show_progress(f"{job.job_id}: {job.state} {job.worker_id}")
-            await session.clock.sleep_ms(_FOLLOW_INTERVAL_MS)
+                return _show_result(job)
+            context.show_progress(f"{job.job_id}: {job.state} {job.worker_id}")
+            await context.clock.sleep_ms(_FOLLOW_INTERVAL_MS)
 
     noun = segment.removesuffix("s")
     return CommandSpec(
@@ -196,12 +202,12 @@
         description=f"Waits for the end of one {noun} and ends with its result code.",
         run=follow,
         examples=(f"trefoilhook {noun} follow night-roster-7 --team bookings",),
-        arguments=(_ID,),
-        options=(_TEAM,),
+        arguments=(_JOB_ID,),
+        options=(_TEAM_OPTION,),
     )
 
 
-def _show_end(job: JobRecord) -> Outcome:
+def _show_result(job: JobRecord) -> CommandOutput:
     try:
         code = ResultCode.from_number(job.result_number)
     except ValueError:
@@ -209,16 +215,18 @@
         raise build_error(ResultCode.INTERNAL, message) from None
     text = "\n".join(part for part in (job.detail, job.result) if part)
     row = (job.job_id, job.state, f"{code.name} ({code.number})")
-    sheet = Sheet(headers=("id", "state", "result"), rows=(row,))
-    return Outcome(body=job, text=text, sheets=(sheet,), code=code)
+    table = TableData(headers=("id", "state", "result"), rows=(row,))
+    return CommandOutput(body=job, text=text, tables=(table,), code=code)
 
 
-async def _explain(session: Session) -> Outcome:
-    job = await _fetch_job(session, "jobs", "explain")
-    return Outcome(body=job, text=f"{job.job_id} is {job.state}.\n{job.explanation}")
+async def _explain(context: CommandContext) -> CommandOutput:
+    job = await _fetch_job(context, "jobs", "explain")
+    return CommandOutput(
+        body=job, text=f"{job.job_id} is {job.state}.\n{job.explanation}"
+    )
 
 
-def _build_size_options() -> tuple[Option, ...]:
+def _build_create_options() -> tuple[Option, ...]:
     return (
         option("id", description="Own id; the same id is the same job.", flag=False),
         option("class", description="Tasks of one class are alike.", flag=False),
@@ -232,10 +240,12 @@
     )
 
 
-_TEAM = option("team", description=f"Name of the team. [{TEAM_VARIABLE}]", flag=False)
-_LIMIT = option("limit", description=f"Most rows. [{_PAGE}]", flag=False)
-_ID = argument("id", "Id of the job, watcher or service.")
-_SIZE = _build_size_options()
+_TEAM_OPTION = option(
+    "team", description=f"Name of the team. [{TEAM_VARIABLE}]", flag=False
+)
+_LIMIT_OPTION = option("limit", description=f"Most rows. [{_PAGE_SIZE}]", flag=False)
+_JOB_ID = argument("id", "Id of the job, watcher or service.")
+_CREATE_OPTIONS = _build_create_options()
 
 SPECS = (
     *(
@@ -254,7 +264,7 @@
         description="Tells why a job waits, or where it was placed and against what.",
         run=_explain,
         examples=("trefoilhook explain night-roster-7 --team bookings",),
-        arguments=(_ID,),
-        options=(_TEAM,),
+        arguments=(_JOB_ID,),
+        options=(_TEAM_OPTION,),
     ),
 )
--- a/trefoilhook/command/pages.py
+++ b/trefoilhook/command/pages.py
@@ -10,7 +10,7 @@
 
 from trefoilhook.admin.openapi import render_openapi
 from trefoilhook.command.application import SPECS
-from trefoilhook.command.exits import derive_exit_code
+from trefoilhook.command.exit_codes import derive_exit_code
 from trefoilhook.configuration import TeamConfiguration
 from trefoilhook.daemon.settings import DaemonSettings
 from trefoilhook.logs import Event
@@ -22,11 +22,13 @@
 
 DOCS = Path(__file__).parents[2] / "docs"
 
-_MADE = "Made from the code by `python -m trefoilhook.command.pages`; a test checks it."
+_GENERATED_NOTE = (
+    "Made from the code by `python -m trefoilhook.command.pages`; a test checks it."
+)
 
 _SETTINGS_HEAD = f"""# Settings
 
-{_MADE}
+{_GENERATED_NOTE}
 The file is one JSON object with a member for each section below. A setting that is left
 out has its default. Unknown names, wrong types and impossible combinations are refused:
 `trefoilhookd --check-settings` says why.
@@ -34,7 +36,7 @@
 
 _TEAM_HEAD = f"""# A team's configuration
 
-{_MADE}
+{_GENERATED_NOTE}
 What a team's subtree may hold; `trefoilhook config set TEAM/PATH VALUE` sets it, for
 instance `trefoilhook config set bookings/services/seat-check/timeout_ms 800`. A
 setting that is left out has its default. How changes work stands in
@@ -79,7 +81,7 @@
     headers = ("number", "name", "was it run", "may retry", "HTTP", "exit", "meaning")
     return f"""# Result codes
 
-{_MADE}
+{_GENERATED_NOTE}
 Every answer carries one of these codes; numbers are stable. "Was it run" is proved:
 "not run" means that nothing was or will be done, "unknown" that nobody can tell. "May
 retry" says whether the same request may be sent again. "Exit" is the exit code of
@@ -101,7 +103,7 @@
     ]
     return f"""# Log events
 
-{_MADE}
+{_GENERATED_NOTE}
 Each line of the log is one JSON object with the number and name of an event, beside
 ids of requests and jobs: at the top level on the users' platform, under `record.extra`
 elsewhere. Numbers are stable. No event is written more than 100 times a second, and no
@@ -126,7 +128,7 @@
     headers = ("name", "kind", "unit", "attributes", "meaning")
     return f"""# Metrics
 
-{_MADE}
+{_GENERATED_NOTE}
 `GET /metrics` of the admin API gives them in the Prometheus text format; dots are
 underscores there. Attributes take few values; at most 200 series of an instrument are
 told apart, the rest is counted as `other`.
@@ -153,7 +155,7 @@
     listed = "\n".join(_list_commands())
     return f"""# Commands
 
-{_MADE}
+{_GENERATED_NOTE}
 Every command takes `--server`, `--token`, `--ca-file` and `--json`; the first three
 can come from `TREFOILHOOK_SERVER`, `TREFOILHOOK_TOKEN` and `TREFOILHOOK_CA_FILE`. Exit
 codes are in [RESULT_CODES.md](RESULT_CODES.md). `trefoilhook completions bash` (or
--- a/trefoilhook/command/story.py
+++ b/trefoilhook/command/story.py
@@ -4,7 +4,7 @@
 from cleo.helpers import argument
 
 from trefoilhook.command.logs import LOG_OPTION, read_logs
-from trefoilhook.story import select_story, tell_story
+from trefoilhook.story import format_history, select_history
 
 __all__ = ["StoryCommand"]
 
@@ -24,7 +24,7 @@
     def handle(self) -> int:
         """Run the command."""
         lines = read_logs(self.option("log"))
-        story = select_story(lines, self.argument("id"))
-        for text in tell_story(story):
+        story = select_history(lines, self.argument("id"))
+        for text in format_history(story):
             self.line(text)
         return 0 if story else _NOTHING_FOUND
--- a/trefoilhook/command/tests/test_burn.py
+++ b/trefoilhook/command/tests/test_burn.py
@@ -7,7 +7,7 @@
 
 from cleo.testers.application_tester import ApplicationTester
 
-from trefoilhook.command import USAGE_EXIT, build_application
+from trefoilhook.command import USAGE_EXIT_CODE, build_application
 
 
 def _line(instance: str, event: str, **fields) -> str:
@@ -61,9 +61,9 @@
         empty.touch()
         table = (
             (f"--log {empty}", 1),
-            (f"--log {self.directory / 'none'}", USAGE_EXIT),
-            (f"{self.logs} --target 1", USAGE_EXIT),
-            (f"{self.logs} --target much", USAGE_EXIT),
+            (f"--log {self.directory / 'none'}", USAGE_EXIT_CODE),
+            (f"{self.logs} --target 1", USAGE_EXIT_CODE),
+            (f"{self.logs} --target much", USAGE_EXIT_CODE),
         )
         for arguments, expected in table:
             with self.subTest(arguments):
--- a/trefoilhook/command/tests/test_commands.py
+++ b/trefoilhook/command/tests/test_commands.py
@@ -15,7 +15,7 @@
 from trefoilhook.admin.tests.fakes import CLUSTER_TOKEN, build_instance
 from trefoilhook.command import (
     SPECS,
-    USAGE_EXIT,
+    USAGE_EXIT_CODE,
     build_application,
     derive_exit_code,
 )
@@ -186,7 +186,7 @@
     def test_addresses_that_make_no_sense_are_refused(self):
         for server in ("ftp://127.0.0.1:1", "127.0.0.1", "http://[::1", "http://:x"):
             code, printed = _run(_build_tester(None), f"status --server {server}")
-            self.assertEqual(code, USAGE_EXIT, printed)
+            self.assertEqual(code, USAGE_EXIT_CODE, printed)
             self.assertIn("is not an address", printed)
 
 
--- a/trefoilhook/command/tests/test_evacuations.py
+++ b/trefoilhook/command/tests/test_evacuations.py
@@ -7,7 +7,7 @@
 
 from cleo.testers.application_tester import ApplicationTester
 
-from trefoilhook.command import USAGE_EXIT, build_application
+from trefoilhook.command import USAGE_EXIT_CODE, build_application
 
 _BEGIN_S = 1_750_000_000.0
 
@@ -93,7 +93,9 @@
 
     def test_missing_file(self):
         tester = ApplicationTester(build_application())
-        self.assertEqual(tester.execute("evacuations --log none.jsonl"), USAGE_EXIT)
+        self.assertEqual(
+            tester.execute("evacuations --log none.jsonl"), USAGE_EXIT_CODE
+        )
 
 
 if __name__ == "__main__":
--- a/trefoilhook/story/__init__.py
+++ b/trefoilhook/story/__init__.py
@@ -1,5 +1,5 @@
-"""The story of one request, out of the logs of several instances."""
+"""History of a job, task or worker, merged from the logs of several instances."""
 
-from trefoilhook.story.core import LogLine, read_lines, select_story, tell_story
+from trefoilhook.story.core import LogLine, format_history, read_lines, select_history
 
-__all__ = ["LogLine", "read_lines", "select_story", "tell_story"]
+__all__ = ["LogLine", "format_history", "read_lines", "select_history"]
--- a/trefoilhook/story/core.py
+++ b/trefoilhook/story/core.py
@@ -1,9 +1,9 @@
-"""Merging of log lines into the story of one id.
+"""Merges log lines into the history of one id.
 
-Lines that name the id are joined by what happened to all jobs meanwhile: changes of
-owner, lost workers, a store that was away. Instances' clocks differ a little; lines of
-one instance keep their order, and an end that seems to come before its cause is most
-often that difference.
+Lines that mention the id are merged with events that concern all jobs, such as changes
+of owner, lost workers and store outages. Lines are sorted by the clocks of the
+instances, which differ slightly: an effect that is listed before its cause is most
+often due to that difference.
 """
 
 import json
@@ -13,9 +13,9 @@
 
 import attrs
 
-__all__ = ["LogLine", "read_lines", "select_story", "tell_story"]
+__all__ = ["LogLine", "format_history", "read_lines", "select_history"]
 
-_CONTEXT = frozenset(
+_CONTEXT_EVENTS = frozenset(
     {
         "STARTED",
         "STOPPING",
@@ -35,33 +35,33 @@
         "CONFIG_IN_FORCE",
     }
 )
-"""Events that concern every job that is open at the time."""
+"""Events that concern every unfinished job."""
 
-_IDS = ("job", "task", "worker")
-_HIDDEN = frozenset({"t", "level", "instance", "event", "event_name"})
+_ID_FIELDS = ("job", "task", "worker")
+_HEADER_FIELDS = frozenset({"t", "level", "instance", "event", "event_name"})
 
-_MOST_ALIKE = 3
-"""Lines in a row that are alike and shown; the others are counted."""
+_MAX_SIMILAR = 3
+"""Number of consecutive similar lines to show; further ones are only counted."""
 
-_DECIDING = ("how", "why", "queue", "outcome")
-"""Fields in which lines of one event and instance must agree to be alike: an end that
-failed among those that are done is what a story is read for."""
+_GROUPING_FIELDS = ("how", "why", "queue", "outcome")
+"""Fields that must be equal for lines of one event and instance to be similar. They
+keep a failed end visible among successful ones."""
 
 
 @attrs.frozen(kw_only=True)
 class LogLine:
-    """One line of a log.
+    """One log line.
 
     Parameters
     ----------
     time_s : float
-        When it was written, in s since the Unix epoch, by the instance's clock.
+        Time by the instance's clock, in s since the Unix epoch.
     instance : str
-        Who wrote it.
+        Instance that wrote the line.
     event : str
         Name of the event.
     fields : dict
-        Everything else that it tells.
+        Remaining fields, without those listed above and the log level.
     """
 
     time_s: float
@@ -69,30 +69,33 @@
     event: str
     fields: dict[str, Any]
 
-    def names(self, wanted: str) -> bool:
-        """Tell whether the line is about an id: a job, a task of it, or a worker."""
-        values = [str(self.fields.get(key, "")) for key in _IDS]
+    def mentions(self, wanted_id: str) -> bool:
+        """Return whether the line is about an id of a job, a task or a worker.
+
+        A line about a task is also about its job.
+        """
+        values = [str(self.fields.get(key, "")) for key in _ID_FIELDS]
         suspects = self.fields.get("suspects")
         if isinstance(suspects, list):
             values += [
                 str(each.get("task", "")) for each in suspects if isinstance(each, dict)
             ]
         return any(
-            value == wanted or value.startswith(f"{wanted}.") for value in values
+            value == wanted_id or value.startswith(f"{wanted_id}.") for value in values
         )
 
 
 def read_lines(
     source: Iterable[str], *, unread: Counter[str] | None = None
 ) -> Iterator[LogLine]:
-    """Read log lines, without what stands before the first brace; skip all others.
+    """Parse log lines as JSON from their first brace on; skip invalid ones.
 
     Parameters
     ----------
     source : iterable of str
         Lines of text.
     unread : Counter of str, optional
-        Where the lines that are skipped are counted, by reason.
+        Counts skipped lines by reason.
     """
     skipped: Counter[str] = Counter() if unread is None else unread
     for text in source:
@@ -106,7 +109,7 @@
                 time_s=float(value["t"]),
                 instance=str(value["instance"]),
                 event=str(value["event_name"]),
-                fields={k: v for k, v in value.items() if k not in _HIDDEN},
+                fields={k: v for k, v in value.items() if k not in _HEADER_FIELDS},
             )
         except (json.JSONDecodeError, RecursionError):
             skipped["cut or not JSON"] += 1
@@ -114,33 +117,34 @@
             skipped["without time, instance or event"] += 1
 
 
-def select_story(lines: Iterable[LogLine], wanted: str) -> list[LogLine]:
-    """Keep the lines about an id, and what concerned all jobs between them.
+def select_history(lines: Iterable[LogLine], wanted_id: str) -> list[LogLine]:
+    """Select the lines about an id, and the context events between them.
 
-    Of what is told by queue, only that of the queues that lines about the id name. A
-    store that was lost before the first of these lines, and not back, is told as well.
+    Context events of a queue are selected only if a line about the id names that queue.
+    Store outages that began before the first line about the id and were still open then
+    are included as well.
     """
     ordered = sorted(lines, key=lambda line: line.time_s)
-    own = [line for line in ordered if line.names(wanted)]
+    own = [line for line in ordered if line.mentions(wanted_id)]
     if not own:
         return []
     first, last = own[0].time_s, own[-1].time_s
     queues = {line.fields.get("queue") for line in own} | {None}
-    earlier = _list_open_losses(line for line in ordered if line.time_s < first)
+    earlier = _list_store_outages(line for line in ordered if line.time_s < first)
     return earlier + [
         line
         for line in ordered
-        if line.names(wanted)
+        if line.mentions(wanted_id)
         or (
-            line.event in _CONTEXT
+            line.event in _CONTEXT_EVENTS
             and first <= line.time_s <= last
             and line.fields.get("queue") in queues
         )
     ]
 
 
-def _list_open_losses(ordered: Iterable[LogLine]) -> list[LogLine]:
-    """Return each instance's loss of the store that has not ended."""
+def _list_store_outages(ordered: Iterable[LogLine]) -> list[LogLine]:
+    """Return the ``STORE_DOWN`` lines of outages that have not ended."""
     losses: dict[str, LogLine] = {}
     for line in ordered:
         if line.event == "STORE_DOWN":
@@ -150,37 +154,37 @@
     return sorted(losses.values(), key=lambda line: line.time_s)
 
 
-def _tell_line(line: LogLine, began_s: float) -> str:
+def _format_line(line: LogLine, began_s: float) -> str:
     details = " ".join(f"{key}={value}" for key, value in line.fields.items())
     offset = line.time_s - began_s
     return f"{offset:9.3f} s  {line.instance}  {line.event}  {details}"
 
 
-def _describe(line: LogLine) -> tuple[str, ...]:
-    """Return what two lines share that are alike."""
-    deciding = (str(line.fields.get(name)) for name in _DECIDING)
-    return (line.event, line.instance, *deciding)
+def _build_key(line: LogLine) -> tuple[str, ...]:
+    """Return a key that is equal for similar lines."""
+    values = (str(line.fields.get(name)) for name in _GROUPING_FIELDS)
+    return (line.event, line.instance, *values)
 
 
-def tell_story(lines: Sequence[LogLine]) -> list[str]:
-    """Write a story, a line an event, with times from its beginning.
+def format_history(lines: Sequence[LogLine]) -> list[str]:
+    """Format a history, one line per event, with times relative to the first.
 
-    Lines in a row that are alike are counted after the third.
+    Of more than three consecutive similar lines, the rest is shown as a count.
     """
     if not lines:
         return ["no line names this id"]
-    told: list[str] = []
-    alike = 0
+    formatted: list[str] = []
+    similar = 0
     previous: LogLine | None = None
     for line in lines:
-        same = previous is not None and _describe(line) == _describe(previous)
-        alike = alike + 1 if same else 0
-        if alike < _MOST_ALIKE:
-            told.append(_tell_line(line, lines[0].time_s))
-        elif alike == _MOST_ALIKE:
-            told.append("")
-        if alike >= _MOST_ALIKE:
-            more = alike - _MOST_ALIKE + 1
-            told[-1] = f"{'':11}  {line.instance}  {line.event}  {more} more"
+        is_similar = previous is not None and _build_key(line) == _build_key(previous)
+        similar = similar + 1 if is_similar else 0
+        if similar < _MAX_SIMILAR:
+            formatted.append(_format_line(line, lines[0].time_s))
+        elif similar == _MAX_SIMILAR:
+            formatted.append("")
+        if similar >= _MAX_SIMILAR:
+            more = similar - _MAX_SIMILAR + 1
+            formatted[-1] = f"{'':11}  {line.instance}  {line.event}  {more} more"
         previous = line
-    return told
+    return formatted
--- a/trefoilhook/story/tests/__init__.py
+++ b/trefoilhook/story/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the story package."""
+"""Tests of the history of an id."""
--- a/trefoilhook/story/tests/test_core.py
+++ b/trefoilhook/story/tests/test_core.py
@@ -1,9 +1,9 @@
-"""Stories out of logs."""
+"""Selection and formatting of the history of an id."""
 
 import json
 import unittest
 
-from trefoilhook.story import read_lines, select_story, tell_story
+from trefoilhook.story import format_history, read_lines, select_history
 
 
 def _line(time_s: float, instance: str, event: str, **fields) -> str:
@@ -23,13 +23,13 @@
 )
 
 
-class StoryTest(unittest.TestCase):
-    """Selecting and telling."""
+class HistoryTest(unittest.TestCase):
+    """Selecting lines and formatting them."""
 
-    def test_own_lines_and_what_concerned_all_between_them(self):
-        story = select_story(read_lines(_LOG), "j1")
+    def test_own_lines_and_context_events_between_them(self):
+        history = select_history(read_lines(_LOG), "j1")
         self.assertEqual(
-            [(line.event, line.instance) for line in story],
+            [(line.event, line.instance) for line in history],
             [
                 ("JOB_ACCEPTED", "b"),
                 ("TASK_STARTED", "a"),
@@ -38,45 +38,47 @@
             ],
         )
 
-    def test_id_that_begins_another_is_not_meant(self):
+    def test_prefix_of_another_id_does_not_match(self):
         log = (_line(1.0, "a", "JOB_ACCEPTED", job="j11"),)
-        self.assertEqual(select_story(read_lines(log), "j1"), [])
+        self.assertEqual(select_history(read_lines(log), "j1"), [])
 
-    def test_many_alike_are_counted(self):
+    def test_similar_lines_are_counted(self):
         log = [_line(float(n), "a", "STORE_DOWN", job="j") for n in range(9)]
-        told = tell_story(select_story(read_lines(log), "j"))
-        self.assertEqual(len(told), 4)
-        self.assertIn("6 more", told[-1])
+        history = format_history(select_history(read_lines(log), "j"))
+        self.assertEqual(len(history), 4)
+        self.assertIn("6 more", history[-1])
 
     def test_unknown_id(self):
-        self.assertEqual(tell_story([]), ["no line names this id"])
+        self.assertEqual(format_history([]), ["no line names this id"])
 
-    def test_end_that_failed_is_shown_among_those_that_are_done(self):
-        # A job has failed as one task failed three times. The third failure was the
-        # fifth end in a row, so the story counted it among "2 more".
+    def test_failed_end_is_shown_among_successful_ends(self):
+        # Guards against hiding a failed end: as the fifth consecutive end it was
+        # counted among "2 more" similar lines.
         ends = ["done"] * 4 + ["failed"] + ["done"] * 4
         log = [
             _line(float(n), "a", "TASK_ENDED", task=f"j.0.0.{n}", how=how)
             for n, how in enumerate(ends)
         ]
-        told = tell_story(select_story(read_lines(log), "j"))
-        self.assertEqual(sum("how=failed" in text for text in told), 1)
-        self.assertEqual(sum("1 more" in text for text in told), 2)
+        history = format_history(select_history(read_lines(log), "j"))
+        self.assertEqual(sum("how=failed" in text for text in history), 1)
+        self.assertEqual(sum("1 more" in text for text in history), 2)
 
-    def test_of_queues_that_wait_only_its_own_is_told(self):
+    def test_only_waits_of_its_own_queue_are_selected(self):
         log = [
             _line(1.0, "a", "JOB_ACCEPTED", job="j", queue="q"),
             _line(2.0, "a", "QUEUE_WAITS", queue="q", tasks=4),
             _line(2.0, "a", "QUEUE_WAITS", queue="other", tasks=9),
             _line(3.0, "a", "JOB_FINISHED", job="j", queue="q"),
         ]
-        told = select_story(read_lines(log), "j")
-        waits = [line.fields["queue"] for line in told if line.event == "QUEUE_WAITS"]
+        history = select_history(read_lines(log), "j")
+        waits = [
+            line.fields["queue"] for line in history if line.event == "QUEUE_WAITS"
+        ]
         self.assertEqual(waits, ["q"])
 
-    def test_store_that_was_lost_before_the_first_line_is_told(self):
-        # A submission is refused as the store is away. The line that told of the loss
-        # came before it, so the story began without its cause.
+    def test_store_outage_before_the_first_line_is_included(self):
+        # Guards against a history without its cause: a submission is refused during a
+        # store outage whose STORE_DOWN line precedes the first line about the job.
         log = [
             _line(1.0, "a", "STORE_DOWN", why="no answer"),
             _line(1.1, "b", "STORE_DOWN", why="no answer"),
@@ -85,8 +87,8 @@
             _line(1.7, "c", "STARTED"),
             _line(2.0, "a", "REQUEST_REFUSED", job="j", queue="q"),
         ]
-        told = select_story(read_lines(log), "j")
+        history = select_history(read_lines(log), "j")
         self.assertEqual(
-            [(line.instance, line.event) for line in told],
+            [(line.instance, line.event) for line in history],
             [("a", "STORE_DOWN"), ("a", "REQUEST_REFUSED")],
         )
