--- a/trefoilhook/account/page.py
+++ b/trefoilhook/account/page.py
@@ -12,7 +12,7 @@
 
 _MS_PER_S = 1000.0
 _FIGURE_INCHES = (8.0, 3.2)
-_BAR_SHARE = 0.9
+_BAR_WIDTH_RATIO = 0.9
 
 _JOB_HEADERS = ("queue", "judged", "good", "cause", "jobs lost", "late s")
 _SERVICE_HEADERS = ("queue", "jobs short", "periods", "cause", "task s")
@@ -69,7 +69,7 @@
 
 
 def _describe_unread(report: LossReport) -> str:
-    reasons = ", ".join(f"{count} {why}" for why, count in report.unread.items())
+    reasons = ", ".join(f"{count} {reason}" for reason, count in report.unread.items())
     return f"lines left out: {reasons}" if reasons else "no line was left out"
 
 
@@ -94,13 +94,17 @@
     figure = Figure(figsize=_FIGURE_INCHES, layout="constrained")
     axes = figure.subplots()
     starts = [time_bin.at_s for time_bin in report.moments]
-    width = _BAR_SHARE * _find_bin_width(starts)
-    floor = [0.0] * len(starts)
+    width = _BAR_WIDTH_RATIO * _find_bin_width(starts)
+    bottoms = [0.0] * len(starts)
     causes = {cause for time_bin in report.moments for cause in read(time_bin)}
     for cause in sorted(causes, key=lambda cause: cause.value):
         heights = [float(read(time_bin).get(cause, 0.0)) for time_bin in report.moments]
-        axes.bar(starts, heights, width, bottom=floor, align="edge", label=cause.value)
-        floor = [low + high for low, high in zip(floor, heights, strict=True)]
+        axes.bar(
+            starts, heights, width, bottom=bottoms, align="edge", label=cause.value
+        )
+        bottoms = [
+            bottom + height for bottom, height in zip(bottoms, heights, strict=True)
+        ]
     axes.set_xlabel("s")
     axes.set_ylabel(label)
     if causes:
--- a/trefoilhook/account/report.py
+++ b/trefoilhook/account/report.py
@@ -31,9 +31,9 @@
 _SHORTFALL_PERIOD_S = 2.0
 """Length of the period that a ``SERVICE_SHORT`` line covers, in s."""
 
-_TASK_EVENTS = frozenset({"TASK_STARTED", "TASK_ENDED", "TASK_GIVEN_UP"})
+_ATTEMPT_EVENTS = frozenset({"TASK_STARTED", "TASK_ENDED", "TASK_GIVEN_UP"})
 
-_REFUSALS = frozenset({ResultCode.STORE_UNAVAILABLE, ResultCode.ANSWER_LOST})
+_REFUSED_CODES = frozenset({ResultCode.STORE_UNAVAILABLE, ResultCode.ANSWER_LOST})
 
 
 @attrs.define(kw_only=True)
@@ -48,7 +48,7 @@
 
     def add_line(self, line: LogLine) -> None:
         """Evaluate a log line."""
-        if line.event in _TASK_EVENTS:
+        if line.event in _ATTEMPT_EVENTS:
             job_id = str(line.fields.get("task")).partition(".")[0]
             self.attempts[job_id].add_line(line)
             return
@@ -125,7 +125,7 @@
 ) -> JobLoss:
     """Return the loss of a job, with its most expensive cause."""
     at_s = jobs.accepted_s.get(job_id, jobs.first_s.get(job_id, outcome.at_s))
-    if outcome.code in _REFUSALS:
+    if outcome.code in _REFUSED_CODES:
         return JobLoss(job=job_id, queue=outcome.queue, at_s=at_s, cause=Cause.REFUSED)
     is_done = outcome.code is ResultCode.OK
     spent = attribute_time(
@@ -162,21 +162,21 @@
     Such an interval lasts from the last line of the previous owner until the new owner
     logs ``SHARD_SETTLED``.
     """
-    found: list[Interval] = []
+    intervals: list[Interval] = []
     owner = ""
-    last_s = 0.0
+    last_seen_s = 0.0
     begin_s: float | None = None
     for line in ordered:
         if line.event == "SHARD_CLAIMED":
-            begin_s = last_s if owner else line.time_s
+            begin_s = last_seen_s if owner else line.time_s
             owner = line.instance
         elif line.event == "SHARD_SETTLED" and line.instance == owner:
             if begin_s is not None:
-                found.append(Interval(begin_s=begin_s, end_s=line.time_s))
+                intervals.append(Interval(begin_s=begin_s, end_s=line.time_s))
             begin_s = None
         if line.instance == owner and line.event in _OWNER_EVENTS:
-            last_s = line.time_s
-    return found
+            last_seen_s = line.time_s
+    return intervals
 
 
 _OWNER_EVENTS = frozenset(
@@ -269,17 +269,17 @@
     began_s: float,
     bin_s: float,
 ) -> tuple[TimeBin, ...]:
-    jobs: dict[int, Counter[Cause]] = defaultdict(Counter)
-    rows: dict[int, list[ServiceShortfall]] = defaultdict(list)
+    jobs_by_bin: dict[int, Counter[Cause]] = defaultdict(Counter)
+    shortfalls_by_bin: dict[int, list[ServiceShortfall]] = defaultdict(list)
     for loss in losses:
-        jobs[int((loss.at_s - began_s) // bin_s)][loss.cause] += 1
+        jobs_by_bin[int((loss.at_s - began_s) // bin_s)][loss.cause] += 1
     for shortfall in shortfalls:
-        rows[int((shortfall.at_s - began_s) // bin_s)].append(shortfall)
+        shortfalls_by_bin[int((shortfall.at_s - began_s) // bin_s)].append(shortfall)
     return tuple(
         TimeBin(
             at_s=number * bin_s,
-            jobs=dict(jobs[number]),
-            task_s=_sum_tasks(rows[number]),
+            jobs=dict(jobs_by_bin[number]),
+            task_s=_sum_tasks(shortfalls_by_bin[number]),
         )
-        for number in sorted(jobs.keys() | rows.keys())
+        for number in sorted(jobs_by_bin.keys() | shortfalls_by_bin.keys())
     )
--- a/trefoilhook/burn/ledger.py
+++ b/trefoilhook/burn/ledger.py
@@ -231,15 +231,15 @@
         live = self._live.get(key)
         if live is not None and live.minute == minute:
             return live
-        fresh = _LiveCounts(minute=minute)
+        new = _LiveCounts(minute=minute)
         if live is not None:
             state = self._flush_live(key, live)
-            if live.day == fresh.day:
-                fresh.latencies = live.latencies
+            if live.day == new.day:
+                new.latencies = live.latencies
             else:
                 state.latencies[live.day] = live.encode_latencies()
-        self._live[key] = fresh
-        return fresh
+        self._live[key] = new
+        return new
 
     def _flush_live(self, key: _ServiceKey, live: _LiveCounts) -> ServiceState:
         """Add live counts to the slots of all tiers and reset them."""
@@ -262,12 +262,12 @@
 
     def _expire_sources(self) -> None:
         """Drop sources without counts and, above `_MAX_SOURCES`, the oldest ones."""
-        others = sorted(
+        other_sources = sorted(
             (key for key in self._sources if key != self._own),
             key=lambda key: key.started_ms,
         )
-        excess = len(others) - _MAX_SOURCES
-        for position, key in enumerate(others):
+        excess = len(other_sources) - _MAX_SOURCES
+        for position, key in enumerate(other_sources):
             is_empty = not any(
                 any(state.slots.values()) for state in self._sources[key].values()
             )
@@ -311,12 +311,12 @@
         incoming: tuple[SlotCounts, ...] = getattr(counts, tier.name)
         for slot in incoming:
             known = slots.get(slot.index)
-            is_later = known is None or slot.total > known.total
-            if is_later and slot.index <= newest and min(slot.good, slot.bad) >= 0:
+            is_newer = known is None or slot.total > known.total
+            if is_newer and slot.index <= newest and min(slot.good, slot.bad) >= 0:
                 slots[slot.index] = slot
     for latencies in counts.latencies:
-        held = state.latencies.get(latencies.index)
-        if held is None or latencies.count > held.count:
+        known_latencies = state.latencies.get(latencies.index)
+        if known_latencies is None or latencies.count > known_latencies.count:
             state.latencies[latencies.index] = latencies
     _expire_slots(state, now_ms)
 
@@ -342,5 +342,5 @@
             minutes=minutes,
             hours=hours,
             days=days,
-            latencies=tuple(one for one in latencies if one.index >= first_day),
+            latencies=tuple(day for day in latencies if day.index >= first_day),
         )
--- a/trefoilhook/burn/outcomes.py
+++ b/trefoilhook/burn/outcomes.py
@@ -137,8 +137,8 @@
 def _classify_rejected(line: LogLine) -> JobOutcome:
     code = ResultCode.STORE_UNAVAILABLE
     if line.event == "REQUEST_FAILED":
-        is_clients = line.fields.get("status") == _CLIENT_ERROR_STATUS
-        code = ResultCode.BAD_REQUEST if is_clients else ResultCode.ANSWER_LOST
+        is_client_error = line.fields.get("status") == _CLIENT_ERROR_STATUS
+        code = ResultCode.BAD_REQUEST if is_client_error else ResultCode.ANSWER_LOST
     return JobOutcome(
         at_s=line.time_s,
         instance=line.instance,
@@ -167,7 +167,9 @@
         if "job" in line.fields:
             jobs[str(line.fields["job"])].add_line(line)
     outcomes = {job_id: job.classify(end_s) for job_id, job in jobs.items()}
-    return {job_id: found for job_id, found in outcomes.items() if found is not None}
+    return {
+        job_id: outcome for job_id, outcome in outcomes.items() if outcome is not None
+    }
 
 
 def build_job_report(lines: Iterable[LogLine], *, target: float) -> BurnReport:
@@ -181,12 +183,12 @@
     target : float
         Share of jobs that must be good.
     """
-    kept = sorted(lines, key=lambda line: line.time_s)
-    outcomes = sorted(classify_jobs(kept), key=lambda outcome: outcome.at_s)
-    end_ms = kept[-1].time_s * _MS_PER_S if kept else 0.0
+    ordered = sorted(lines, key=lambda line: line.time_s)
+    outcomes = sorted(classify_jobs(ordered), key=lambda outcome: outcome.at_s)
+    end_ms = ordered[-1].time_s * _MS_PER_S if ordered else 0.0
     if not outcomes:
         return BurnReport(at_ms=end_ms, period=PERIOD)
-    first, *others = _count_outcomes(outcomes, _find_starts(kept), target)
+    first, *others = _count_outcomes(outcomes, _find_starts(ordered), target)
     for other in others:
         first.merge(other.encode())
     objectives = _find_objectives(outcomes, target)
@@ -232,13 +234,13 @@
     outcomes: Iterable[JobOutcome], target: float
 ) -> dict[str, Objective]:
     """Return the objective shown for each queue: the median over its jobs."""
-    found: dict[str, list[float]] = defaultdict(list)
+    objectives: dict[str, list[float]] = defaultdict(list)
     for outcome in outcomes:
         known = [outcome.objective_ms] if outcome.objective_ms else []
-        found[outcome.queue].extend(known)
+        objectives[outcome.queue].extend(known)
     return {
-        queue: _build_objective(statistics.median(times or [0.0]), target)
-        for queue, times in found.items()
+        queue: _build_objective(statistics.median(objectives_ms or [0.0]), target)
+        for queue, objectives_ms in objectives.items()
     }
 
 
--- a/trefoilhook/burn/report.py
+++ b/trefoilhook/burn/report.py
@@ -103,15 +103,15 @@
 
 def _build_source(source: SourceKey, states: Iterable[ServiceState]) -> SourceRow:
     """Build the row of a source; the time of its latest count is exact to a minute."""
-    ends = [source.started_ms]
+    times_ms = [source.started_ms]
     for state in states:
         for tier in TIERS:
             starts = (index * float(tier.slot_ms) for index in state.slots[tier.name])
-            ends.extend(starts)
+            times_ms.extend(starts)
     return SourceRow(
         instance_id=source.instance_id,
         started_ms=source.started_ms,
-        counted_until_ms=max(ends),
+        counted_until_ms=max(times_ms),
     )
 
 
@@ -195,7 +195,7 @@
             _add_encoded(merged, latencies.data)
     if not merged.get_total_count():
         return tuple(0.0 for _ in _PERCENTILES)
-    values = (merged.get_value_at_percentile(one) for one in _PERCENTILES)
+    values = (merged.get_value_at_percentile(percentile) for percentile in _PERCENTILES)
     return tuple(value / _US_PER_MS for value in values)
 
 
--- a/trefoilhook/command/burn.py
+++ b/trefoilhook/command/burn.py
@@ -8,7 +8,7 @@
 from cleo.io.outputs.output import Type
 
 from trefoilhook.burn import build_job_report
-from trefoilhook.command.exit_codes import USAGE_EXIT_CODE
+from trefoilhook.command.exits import USAGE_EXIT_CODE
 from trefoilhook.command.logs import LOG_OPTION, read_logs
 from trefoilhook.configuration import Objective
 from trefoilhook.settings import FieldError, dump_json
--- a/trefoilhook/command/core.py
+++ b/trefoilhook/command/core.py
@@ -25,7 +25,7 @@
     ServerAddress,
     build_send,
 )
-from trefoilhook.command.exit_codes import USAGE_EXIT_CODE, derive_exit_code
+from trefoilhook.command.exits import USAGE_EXIT_CODE, derive_exit_code
 from trefoilhook.exceptions import SettingsError
 from trefoilhook.results import ResultCode
 from trefoilhook.settings import dump_json
--- a/trefoilhook/command/evacuations.py
+++ b/trefoilhook/command/evacuations.py
@@ -8,7 +8,7 @@
 from cleo.io.outputs.output import Type
 
 from trefoilhook.account import EvacuationReport, list_evacuations
-from trefoilhook.command.exit_codes import USAGE_EXIT_CODE
+from trefoilhook.command.exits import USAGE_EXIT_CODE
 from trefoilhook.command.logs import LOG_OPTION, read_logs
 from trefoilhook.settings import dump_json
 
--- a/trefoilhook/command/pages.py
+++ b/trefoilhook/command/pages.py
@@ -10,7 +10,7 @@
 
 from trefoilhook.admin.openapi import render_openapi
 from trefoilhook.command.application import SPECS
-from trefoilhook.command.exit_codes import derive_exit_code
+from trefoilhook.command.exits import derive_exit_code
 from trefoilhook.configuration import TeamConfiguration
 from trefoilhook.daemon.settings import DaemonSettings
 from trefoilhook.logs import Event
@@ -145,7 +145,7 @@
             for argument in spec.arguments
         ]
         yield f"## `{' '.join(usage)}`\n\n{spec.description}\n"
-        rows = [(f"`--{one.name}`", one.description) for one in spec.options]
+        rows = [(f"`--{option.name}`", option.description) for option in spec.options]
         if rows:
             yield _build_table(("option", "meaning"), rows) + "\n"
         yield "\n".join(("```", *spec.examples, "```")) + "\n"
