--- a/trefoilhook/account/page.py
+++ b/trefoilhook/account/page.py
@@ -102,9 +102,7 @@
         axes.bar(
             starts, heights, width, bottom=bottoms, align="edge", label=cause.value
         )
-        bottoms = [
-            bottom + height for bottom, height in zip(bottoms, heights, strict=True)
-        ]
+        bottoms = [base + height for base, height in zip(bottoms, heights, strict=True)]
     axes.set_xlabel("s")
     axes.set_ylabel(label)
     if causes:
--- a/trefoilhook/command/tests/test_pages.py
+++ b/trefoilhook/command/tests/test_pages.py
@@ -17,7 +17,7 @@
     for line in _read(name).splitlines():
         cells = [cell.strip() for cell in line.strip("|").split(" | ")]
         if cells[0].isdigit():
-            assert cells[0] not in rows, f"duplicate number {cells[0]} in {name}"
+            assert cells[0] not in rows, f"{cells[0]} is listed twice in {name}"
             rows[cells[0]] = cells[1:]
     return rows
 
