--- a/trefoilhook/configuration/__init__.py
+++ b/trefoilhook/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: one subtree a team, checked whole, changed by CAS."""
+"""Team configuration: one validated subtree per team, changed by compare-and-swap."""
 
 from trefoilhook.configuration.core import (
     ConfigurationConflictError,
--- a/trefoilhook/configuration/commit.py
+++ b/trefoilhook/configuration/commit.py
@@ -1,4 +1,4 @@
-"""Writing a document so that its fate is known, also when answers are lost."""
+"""Writing a document such that its outcome is known even if responses are lost."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -16,48 +16,48 @@
 
 __all__ = ["ReadEntry", "SwapEntry", "commit_document"]
 
-#: Reads the entry at a key; None when there is none.
+#: Reads the entry at a key; None if there is none.
 ReadEntry = Callable[[str], Awaitable[RawEntry | None]]
 
 
 class SwapEntry(Protocol):
-    """Writes a value if its key is at a revision, and sends it again when in doubt."""
+    """Compare-and-swap of a key that retries if the outcome is unknown."""
 
     async def __call__(self, key: str, value: bytes, *, expected_revision: int) -> int:
-        """Return the revision of the write."""
+        """Write ``value`` if the key is at a revision; return the new revision."""
 
 
 async def commit_document(
     *, get: ReadEntry, swap: SwapEntry, key: str, document: TeamDocument
 ) -> int:
-    """Write a document whose last change is new; returns its revision.
+    """Write a document with a new last change; return the revision of that change.
 
     Parameters
     ----------
     get : callable
         Reads an entry of the store.
     swap : callable
-        Compare-and-swap of the store's adapter, the one that reads back.
+        Compare-and-swap of the store's adapter, in the variant that reads back.
     key : str
-        Key to write.
+        Key of the document.
     document : TeamDocument
-        What to write at the previous revision of its last change.
+        The document; its last change names the expected revision of the key.
 
     Raises
     ------
     ConflictError
-        If another change followed the expected revision; this one never will.
+        If another change followed the expected revision; this one has no effect.
     StoreError
-        If nothing changed; or, with the code COMMIT_UNKNOWN, if the store never said
-        whether the change took effect.
+        If nothing changed; or, with the code COMMIT_UNKNOWN, if it is unknown whether
+        the change took effect.
 
     Notes
     -----
-    Failure guarded against: the store makes the change and its answer is lost, then
-    another operator's change is made on top. The swap, sent again, meets a foreign
-    value; its operator would be told of a conflict although the change is in force.
-    The guard holds since each change is written with its nonce and with the revision
-    it was made at: the one that followed the expected revision is this one or not.
+    If the store applies the change but its response is lost, and another operator
+    changes the document afterwards, the retried swap finds a foreign value and would
+    report a conflict although the change took effect. Each change is therefore stored
+    with a nonce and with the revision that it was based on, which identify the change
+    that followed the expected revision.
     """
     change = document.changes[-1]
     value = encode_document(document)
@@ -70,23 +70,23 @@
 
 
 async def _find_own_revision(get: ReadEntry, key: str, change: StoredChange) -> int:
-    """Tell by the nonce which change followed the expected revision."""
+    """Return the change's revision if its nonce followed the expected revision."""
     try:
         entry = await get(key)
         changes = decode_document(entry.value).changes if entry else ()
     except (StoreError, SettingsError):
-        raise _build_doubt() from None
+        raise _build_unknown_commit_error() from None
     revision = entry.revision if entry else 0
     for known in reversed(changes):
         if known.previous_revision == change.previous_revision:
             if known.nonce == change.nonce:
                 return revision
-            raise ConflictError("another change was first")
+            raise ConflictError("another change followed the expected revision")
         revision = known.previous_revision
-    raise _build_doubt()
+    raise _build_unknown_commit_error()
 
 
-def _build_doubt() -> StoreUnavailableError:
-    # Also when the expected revision still stands: an attempt may be on its way yet.
-    message = "the store did not say whether the change took effect"
+def _build_unknown_commit_error() -> StoreUnavailableError:
+    # Also if the key is still at the expected revision: an attempt may be in flight.
+    message = "it is unknown whether the change took effect in the store"
     return StoreUnavailableError(message, code=ResultCode.COMMIT_UNKNOWN)
--- a/trefoilhook/configuration/core.py
+++ b/trefoilhook/configuration/core.py
@@ -1,4 +1,4 @@
-"""Changing a team's configuration: read, edit, check whole, compare-and-swap."""
+"""Changes of a team's configuration: read, edit, validate, compare-and-swap."""
 
 import secrets
 from collections.abc import Callable
@@ -17,7 +17,7 @@
     list_changes,
 )
 from trefoilhook.configuration.paths import (
-    Steps,
+    PathSegments,
     get_value,
     parse_path,
     remove_value,
@@ -42,12 +42,12 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationValue:
-    """What stands at a path.
+    """The value at a path of a team's configuration.
 
     Parameters
     ----------
     revision : int
-        Revision of the team's subtree; 0 when the team has none.
+        Revision of the team's subtree; 0 if the team has none.
     value : object
         The value, as parsed JSON.
     """
@@ -57,14 +57,14 @@
 
 
 class ConfigurationConflictError(ConflictError):
-    """Another operator was first; what stands now is carried along.
+    """The configuration was changed concurrently; holds the current value.
 
     Parameters
     ----------
     message : str
-        What happened, for people.
+        Human-readable description of the error.
     standing : ConfigurationValue
-        What stands at the path now, with its revision.
+        Current value at the path, with its revision.
     """
 
     def __init__(self, message: str, *, standing: ConfigurationValue) -> None:
@@ -77,28 +77,28 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Loaded:
+class _LoadedDocument:
     revision: int
     document: TeamDocument
 
 
 class ConfigurationEditor:
-    """Reads and changes the teams' configuration in the store.
+    """Reads and changes the configuration of teams in the store.
 
     Parameters
     ----------
     get : callable
         Reads an entry of the store.
     swap : callable
-        Compare-and-swap of the store's adapter, the one that reads back.
+        Compare-and-swap of the store's adapter, in the variant that reads back.
     root : str
         Prefix of all keys, without a trailing ``/``.
     clock : Clock
-        Where the time of a change is read.
+        Source of the time of a change.
     history_limit : int, optional
-        Changes kept with a team's subtree.
+        Number of changes kept in the history of a subtree.
     make_nonce : callable, optional
-        Makes the text that marks one change.
+        Returns a unique string that identifies one change.
     """
 
     def __init__(
@@ -119,39 +119,39 @@
         self._make_nonce = make_nonce
 
     async def read(self, team: str, path: str) -> ConfigurationValue:
-        """Return what the store holds at a path.
+        """Return the value at a path, as read from the store.
 
         Raises
         ------
         RequestError
-            If the path is malformed or nothing stands there.
+            If the path is malformed or doesn't exist.
         StoreError
-            If the store doesn't answer.
+            If the store is unavailable.
         """
-        steps = parse_path(path)
+        segments = parse_path(path)
         loaded = await self._load(team)
         if loaded.revision == 0 or loaded.document.is_deleted:
             message = f"the team {team} has no configuration"
             raise RequestError(message, code=ResultCode.NOT_FOUND)
-        value = get_value(loaded.document.subtree, steps)
+        value = get_value(loaded.document.subtree, segments)
         return ConfigurationValue(revision=loaded.revision, value=value)
 
     async def read_history(self, team: str) -> tuple[ChangeRecord, ...]:
-        """Return the latest changes of a team's subtree, the newest first."""
+        """Return the latest changes of a team's subtree, newest first."""
         loaded = await self._load(team)
         return list_changes(loaded.document, revision=loaded.revision)
 
     async def validate(self, team: str, path: str, value: Any) -> ConfigurationValue:
-        """Check a change whole without making it; returns the whole as it would be.
+        """Validate a change without applying it; return the resulting subtree.
 
         Raises
         ------
         InvalidSettingsError
-            If the subtree would not be valid.
+            If the resulting subtree would be invalid.
         """
-        steps = parse_path(path)
+        segments = parse_path(path)
         loaded = await self._load(team)
-        subtree = replace_value(loaded.document.subtree, steps, value)
+        subtree = replace_value(loaded.document.subtree, segments, value)
         read_settings(TeamConfiguration, subtree)
         return ConfigurationValue(revision=loaded.revision, value=subtree)
 
@@ -170,18 +170,18 @@
         Parameters
         ----------
         team : str
-            Whose subtree.
+            Name of the team.
         path : str
-            Path inside the subtree; empty for the whole.
+            Path in the subtree; empty for the whole subtree.
         value : object
-            Parsed JSON.
+            The new value, as parsed JSON.
         author : str
-            Whose token the change is made with.
+            Name of the owner of the token that the change is made with.
         expected_revision : int, optional
-            Revision that the operator edited, 0 for a team without configuration;
-            the one read now when not given.
+            Revision that the change is based on, 0 for a team without configuration;
+            by default the current one.
         kept : tuple of str, optional
-            Parts of the subtree that the author may not change.
+            Names in the subtree that the author may not change.
 
         Returns
         -------
@@ -191,22 +191,22 @@
         Raises
         ------
         RequestError
-            If a part that must be kept would change; nothing changed.
+            If a part that the author may not change differs; nothing changed.
         InvalidSettingsError
-            If the whole subtree would not be valid; nothing changed.
+            If the resulting subtree would be invalid; nothing changed.
         ConfigurationConflictError
-            If another change was first; nothing changed.
+            If the subtree is not at the expected revision; nothing changed.
         StoreError
-            If the store can't be reached: nothing changed, or, with the code
-            COMMIT_UNKNOWN, it never said whether the change took effect.
+            If the store is unavailable: nothing changed, or, with the code
+            COMMIT_UNKNOWN, it is unknown whether the change took effect.
         """
-        steps = parse_path(path)
+        segments = parse_path(path)
 
         def edit(subtree: dict[str, Any]) -> dict[str, Any]:
-            return replace_value(subtree, steps, value)
+            return replace_value(subtree, segments, value)
 
         revision = await self._change(
-            team, steps, edit, "set", author, expected_revision, kept
+            team, segments, edit, "set", author, expected_revision, kept
         )
         return ConfigurationValue(revision=revision, value=value)
 
@@ -219,52 +219,54 @@
         expected_revision: int | None = None,
         kept: tuple[str, ...] = (),
     ) -> ConfigurationValue:
-        """Delete what stands at a path; see `put` for parameters and errors."""
-        steps = parse_path(path)
+        """Delete the value at a path; see `put` for parameters and errors."""
+        segments = parse_path(path)
 
         def edit(subtree: dict[str, Any]) -> dict[str, Any]:
-            return remove_value(subtree, steps)
+            return remove_value(subtree, segments)
 
         revision = await self._change(
-            team, steps, edit, "delete", author, expected_revision, kept
+            team, segments, edit, "delete", author, expected_revision, kept
         )
         return ConfigurationValue(revision=revision, value=None)
 
-    async def _load(self, team: str, *, is_replaced: bool = False) -> _Loaded:
+    async def _load(
+        self, team: str, *, accepts_invalid: bool = False
+    ) -> _LoadedDocument:
         """Read a team's document.
 
-        With ``is_replaced`` a value that can't be read counts as an empty document:
-        a value spoilt by another program could else never be put right.
+        With ``accepts_invalid`` an invalid value counts as an empty document, so that a
+        value corrupted by another program can be replaced.
         """
         reason = is_name(team)
         if reason is not None:
-            raise RequestError(f"the name of a team {reason}")
+            raise RequestError(f"team name {reason}")
         entry = await self._get(build_team_key(self._root, team))
         if entry is None:
-            return _Loaded(revision=0, document=TeamDocument())
+            return _LoadedDocument(revision=0, document=TeamDocument())
         try:
             document = decode_document(entry.value)
         except SettingsError:
-            if not is_replaced:
+            if not accepts_invalid:
                 raise
             document = TeamDocument()
-        return _Loaded(revision=entry.revision, document=document)
+        return _LoadedDocument(revision=entry.revision, document=document)
 
     async def _change(
         self,
         team: str,
-        steps: Steps,
+        segments: PathSegments,
         edit: _Edit,
         action: Action,
         author: str,
         expected_revision: int | None,
-        kept: tuple[str, ...],
+        protected: tuple[str, ...],
     ) -> int:
-        loaded = await self._load(team, is_replaced=not steps)
+        loaded = await self._load(team, accepts_invalid=not segments)
         if expected_revision not in (None, loaded.revision):
-            raise self._build_conflict(team, steps, loaded)
+            raise self._build_conflict(team, segments, loaded)
         subtree = edit(loaded.document.subtree)
-        _check_kept(loaded.document.subtree, subtree, kept)
+        _check_protected(loaded.document.subtree, subtree, protected)
         read_settings(TeamConfiguration, subtree)
         change = StoredChange(
             previous_revision=loaded.revision,
@@ -272,12 +274,12 @@
             author=author[:_MAX_AUTHOR_CHARACTERS],
             at_ms=self._clock.wall_ms(),
             action=action,
-            path="/".join(steps),
+            path="/".join(segments),
         )
         changes = (*loaded.document.changes, change)[-self._history_limit :]
         document = TeamDocument(
             subtree=subtree,
-            is_deleted=action == "delete" and not steps,
+            is_deleted=action == "delete" and not segments,
             changes=changes,
         )
         try:
@@ -288,19 +290,19 @@
                 document=document,
             )
         except ConflictError:
-            raise await self._describe_loss(team, steps) from None
+            raise await self._load_conflict(team, segments) from None
 
-    async def _describe_loss(
-        self, team: str, steps: Steps
+    async def _load_conflict(
+        self, team: str, segments: PathSegments
     ) -> ConfigurationConflictError:
-        loaded = await self._load(team, is_replaced=True)
-        return self._build_conflict(team, steps, loaded)
+        loaded = await self._load(team, accepts_invalid=True)
+        return self._build_conflict(team, segments, loaded)
 
     def _build_conflict(
-        self, team: str, steps: Steps, loaded: _Loaded
+        self, team: str, segments: PathSegments, loaded: _LoadedDocument
     ) -> ConfigurationConflictError:
         try:
-            value = get_value(loaded.document.subtree, steps)
+            value = get_value(loaded.document.subtree, segments)
         except RequestError:
             value = None
         standing = ConfigurationValue(revision=loaded.revision, value=value)
@@ -308,11 +310,11 @@
         return ConfigurationConflictError(message, standing=standing)
 
 
-def _check_kept(
-    before: dict[str, Any], after: dict[str, Any], kept: tuple[str, ...]
+def _check_protected(
+    before: dict[str, Any], after: dict[str, Any], protected: tuple[str, ...]
 ) -> None:
-    """Refuse a change of a part that its author may not change."""
-    for name in kept:
+    """Refuse changes of parts that the author may not change."""
+    for name in protected:
         if before.get(name) != after.get(name):
             message = f"only the cluster's token may change {name}"
             raise RequestError(message, code=ResultCode.FORBIDDEN)
--- a/trefoilhook/configuration/document.py
+++ b/trefoilhook/configuration/document.py
@@ -1,4 +1,4 @@
-"""The value that the store holds for a team: its subtree and the latest changes."""
+"""The document stored for a team: its subtree and the latest changes."""
 
 import json
 from typing import Any, Literal
@@ -20,36 +20,36 @@
 
 Action = Literal["set", "delete"]
 
-#: Half of what the store holds in a value, so that other writers have room.
+#: Half of the store's maximum value size, which leaves room for other writers.
 MAX_DOCUMENT_BYTES = 524_288
 
 
 @attrs.frozen(kw_only=True)
 class StoredChange:
-    """One change, as it is written with the change itself."""
+    """One change, stored in the document that the change produced."""
 
     previous_revision: int = declare(
-        description="Revision that the change was made at; 0 for the first one."
+        description="Revision that the change is based on; 0 for the first one."
     )
-    nonce: str = declare(description="Made for this change alone.")
-    author: str = declare(description="Whose token it was made with.")
+    nonce: str = declare(description="Unique identifier of the change.")
+    author: str = declare(description="Owner of the token that was used.")
     at_ms: float = declare(unit="ms", description="Wall time of the change.")
-    action: Action = declare(description="What was done.")
-    path: str = declare(description="Path of the change inside the subtree.")
+    action: Action = declare(description="Kind of change.")
+    path: str = declare(description="Path of the change in the subtree.")
 
 
 @attrs.frozen(kw_only=True)
 class TeamDocument:
-    """A team's subtree with its latest changes, the newest last."""
+    """A team's subtree with its latest changes, newest last."""
 
     subtree: dict[str, Any] = declare(
-        default=attrs.Factory(dict), description="The subtree as operators wrote it."
+        default=attrs.Factory(dict), description="The subtree as written by operators."
     )
     is_deleted: bool = declare(
-        default=False, description="Whether the team has no configuration any more."
+        default=False, description="Whether the team's configuration was deleted."
     )
     changes: tuple[StoredChange, ...] = declare(
-        default=(), description="Latest changes, bounded in number."
+        default=(), description="Latest changes, limited in number."
     )
 
 
@@ -60,15 +60,15 @@
     Parameters
     ----------
     revision : int
-        Revision that the change made.
+        Revision that the change produced.
     author : str
-        Whose token it was made with.
+        Owner of the token that was used.
     at_ms : float
         Wall time of the change, in ms since the Unix epoch.
     action : str
         ``set`` or ``delete``.
     path : str
-        Path of the change inside the subtree; empty for the whole.
+        Path of the change in the subtree; empty for the whole subtree.
     """
 
     revision: int
@@ -79,43 +79,45 @@
 
 
 def encode_document(document: TeamDocument) -> bytes:
-    """Return the value for the store.
+    """Encode a document as a value of the store.
 
     Raises
     ------
     RequestError
-        With code TOO_LARGE, if the value would not fit.
+        With code TOO_LARGE, if the value exceeds the size limit.
     """
     value = json.dumps(dump_json(document), separators=(",", ":")).encode()
     if len(value) > MAX_DOCUMENT_BYTES:
-        message = f"the configuration is over {MAX_DOCUMENT_BYTES} bytes"
+        message = (
+            f"the configuration exceeds {MAX_DOCUMENT_BYTES} bytes: {len(value)} bytes"
+        )
         raise RequestError(message, code=ResultCode.TOO_LARGE)
     return value
 
 
 def decode_document(value: bytes) -> TeamDocument:
-    """Return the document in a value of the store.
+    """Decode a document from a value of the store.
 
     Raises
     ------
     InvalidSettingsError
-        If the value is not such a document.
+        If the value is not a valid document.
     """
     return read_settings(TeamDocument, parse_json(value))
 
 
 def list_changes(document: TeamDocument, *, revision: int) -> tuple[ChangeRecord, ...]:
-    """Return the latest changes, the newest first.
+    """Return the latest changes, newest first.
 
-    A change can't hold its own revision, which the store gives only after the write;
-    it stands as the previous revision of the next change.
+    A change can't contain its own revision, which the store assigns on the write; it is
+    the previous revision of the next change.
 
     Parameters
     ----------
     document : TeamDocument
         The document.
     revision : int
-        The store's revision of the document.
+        Revision of the document in the store.
     """
     records: list[ChangeRecord] = []
     for change in reversed(document.changes):
--- a/trefoilhook/configuration/schema.py
+++ b/trefoilhook/configuration/schema.py
@@ -1,4 +1,4 @@
-"""What a team's subtree may hold."""
+"""Schema of a team's configuration subtree."""
 
 from typing import Any, Literal
 
@@ -42,40 +42,40 @@
 
 @attrs.frozen(kw_only=True)
 class Quota:
-    """What the team's tasks and callers may use at once; null is no limit."""
+    """Limits on what a team's tasks and callers use at once; null is unlimited."""
 
     cores: float | None = declare(
         default=None,
         unit="cores",
-        description="Processor of all the team's tasks together.",
+        description="Total cores of the team's tasks.",
         check=is_within(0, _MAX_CORES),
     )
     memory_bytes: int | None = declare(
         default=None,
         unit="bytes",
-        description="Memory of all the team's tasks together.",
+        description="Total memory of the team's tasks.",
         check=is_within(0, _MAX_BYTES),
     )
     accelerators: int | None = declare(
         default=None,
-        description="Accelerators of all the team's tasks together.",
+        description="Total accelerators of the team's tasks.",
         check=is_within(0, _MAX_CORES),
     )
     requests_per_s: float | None = declare(
         default=None,
         unit="1/s",
-        description="Requests of the team's callers, over all services.",
+        description="Request rate of the team's callers, over all services.",
         check=is_within(0, _MAX_CORES),
     )
 
 
 @attrs.frozen(kw_only=True)
 class Tokens:
-    """SHA-256 digests of the team's tokens; several at once let them rotate."""
+    """SHA-256 digests of the team's tokens; several at once allow rotation."""
 
     operators: tuple[str, ...] = declare(
         default=(),
-        description="Digests of tokens that may change and see this subtree.",
+        description="Digests of tokens that may read and change this subtree.",
         check=is_digest,
         is_secret=True,
     )
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Objective:
-    """Service-level objective: which share of requests is answered how fast."""
+    """Service-level objective: share of requests answered within a latency."""
 
     latency_ms: float = declare(
         default=250.0,
@@ -114,7 +114,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceConfiguration:
-    """One service of the team."""
+    """Configuration of one service of the team."""
 
     is_idempotent: bool = declare(
         default=False,
@@ -124,12 +124,12 @@
     timeout_ms: float = declare(
         default=2_000.0,
         unit="ms",
-        description="Longest time for a whole request.",
+        description="Time-out of a request.",
         check=is_within(1, _DAY_MS),
     )
     max_queue: int = declare(
         default=64,
-        description="Requests that may wait for a slot of one executor.",
+        description="Number of requests that may wait for a slot of one executor.",
         check=is_within(0, 100_000),
     )
     run_ms: float = declare(
@@ -154,7 +154,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementWeights:
-    """What a placement decision counts, relative to each other."""
+    """Relative weights of the terms of a placement decision."""
 
     tail_latency: float = declare(
         description="Weight of the services' tail latency.",
@@ -164,29 +164,29 @@
         description="Weight of the batch throughput.", check=is_within(0, _MAX_WEIGHT)
     )
     evictions: float = declare(
-        description="Weight of evictions and the work they lose.",
+        description="Weight of evictions and the work lost by them.",
         check=is_within(0, _MAX_WEIGHT),
     )
 
 
 @attrs.frozen(kw_only=True)
 class PlacementChoice:
-    """What placement decisions for this team's tasks aim at."""
+    """Goals of placement decisions for the team's tasks."""
 
     preset: Literal["latency-first", "throughput-first"] = declare(
         default="latency-first", description="Named set of weights."
     )
     weights: PlacementWeights | None = declare(
-        default=None, description="Own weights instead of the preset's."
+        default=None, description="Custom weights instead of those of the preset."
     )
 
 
 @attrs.frozen(kw_only=True)
 class TeamConfiguration:
-    """A team's whole subtree."""
+    """Configuration subtree of a team."""
 
     quota: Quota = declare_section(
-        Quota, description="Limits on the team as a whole; null is no limit."
+        Quota, description="Limits on the team as a whole; null is unlimited."
     )
     tokens: Tokens = declare_section(
         Tokens, description="Digests of the team's tokens."
@@ -197,5 +197,5 @@
         check=_are_names,
     )
     placement: PlacementChoice = declare_section(
-        PlacementChoice, description="What placement aims at."
+        PlacementChoice, description="Goals of placement decisions."
     )
--- a/trefoilhook/configuration/tests/__init__.py
+++ b/trefoilhook/configuration/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the configuration."""
+"""Tests of the configuration package."""
--- a/trefoilhook/configuration/tests/test_editor.py
+++ b/trefoilhook/configuration/tests/test_editor.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: races, lost answers and refused values."""
+"""Tests of configuration changes: races, lost responses and refused values."""
 
 import json
 import unittest
@@ -32,7 +32,7 @@
 
 
 class _FakeStore:
-    """A store whose next swaps can fail as told."""
+    """A store with faults injected into its next swaps."""
 
     def __init__(self):
         self.entries = {}
@@ -92,7 +92,7 @@
 
 
 class EditorTest(unittest.TestCase):
-    """Contract of the editor with the store."""
+    """The editor against a fake store."""
 
     def setUp(self):
         self.store = _FakeStore()
@@ -147,9 +147,8 @@
         self.assertEqual(self.read(), before)
 
     def test_operators_racing_have_one_winner(self):
-        # Two operators change the same setting; both see "accepted" and one change is
-        # gone. Both read revision 0, then both write. The cause would be a write
-        # without the revision it was made at.
+        # Guards against a lost update: two operators read revision 0, then both write.
+        # A write without its expected revision would overwrite the other.
         outcomes = []
 
         async def change(value):
@@ -180,9 +179,9 @@
             self.assertEqual(caught.exception.standing, second)
 
     def test_a_lost_answer_is_resolved_also_below_another_change(self):
-        # An operator is told of a conflict though the change is in force. The store
-        # makes the change, the answer is lost, another operator changes something on
-        # top, then the first write is read back and shows a foreign value.
+        # Guards against reporting a conflict for a change that took effect: its
+        # response is lost, and another operator changes the value before it is read
+        # back.
         async def change_on_top():
             await _build_editor(self.store).put("a", "quota/cores", 4, author="other")
 
@@ -198,9 +197,8 @@
         self.assertEqual(self.read(_TIMEOUT).value, 900)
 
     def test_outcomes_of_a_failing_store(self):
-        # An operator is told "accepted", "conflict" or "unknown" and acts on it. The
-        # store loses the answer, or the request, which may still arrive later, or
-        # another operator comes first; what is told must be true.
+        # The reported outcome must be true if the store loses the response, or the
+        # request, which may still arrive later, or if another change comes first.
         def change_by_another(apply):
             current = self.store.entries.get(_KEY)
             revision = current.revision if current else 0
@@ -213,9 +211,9 @@
             self.store.write(_KEY, _build_foreign_value(9_999), revision)
             raise StoreUnavailableError("the request was lost")
 
-        def spoil(apply):
+        def corrupt(apply):
             current = self.store.entries.get(_KEY)
-            self.store.write(_KEY, b"spoilt", current.revision if current else 0)
+            self.store.write(_KEY, b"corrupt", current.revision if current else 0)
             raise StoreUnavailableError("the request was lost")
 
         cases = (
@@ -224,7 +222,7 @@
             (_refuse_rate, ResultCode.STORE_UNAVAILABLE),
             (change_by_another, ResultCode.CONFLICT),
             (cut_history, ResultCode.COMMIT_UNKNOWN),
-            (spoil, ResultCode.COMMIT_UNKNOWN),
+            (corrupt, ResultCode.COMMIT_UNKNOWN),
         )
         for fault, code in cases:
             for earlier in (0, 1):
@@ -252,10 +250,10 @@
         self.assertEqual([r.revision for r in records], revisions[:1:-1])
         self.assertEqual({r.path for r in records}, {"quota/cores"})
 
-    def test_a_spoilt_value_can_be_replaced_whole(self):
-        # A team is locked out of its configuration for good after another program
-        # wrote over it: each change would first have to read the spoilt value.
-        self.store.write(_KEY, b"spoilt", 0)
+    def test_a_corrupt_value_can_be_replaced_whole(self):
+        # Guards against a team being locked out of its configuration after another
+        # program corrupted it: a change normally reads the current value first.
+        self.store.write(_KEY, b"corrupt", 0)
         with self.assertRaises(SettingsError):
             self.put(_TIMEOUT, 900)
         self.put("", {"quota": {"cores": 1}})
--- a/trefoilhook/configuration/tests/test_store.py
+++ b/trefoilhook/configuration/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The editor over the store's adapter and a store at fault."""
+"""Tests of the editor on the store's adapter, with a faulty store."""
 
 import functools
 import unittest
@@ -26,11 +26,11 @@
 
 
 class StoreTest(unittest.TestCase):
-    """What an operator is told is what the store holds."""
+    """The outcome reported to an operator agrees with the store."""
 
     def test_a_lost_answer_is_an_accepted_change(self):
-        # An operator is told of a conflict with nobody. The store makes the change,
-        # its answer is lost, and the swap, sent again, meets its own effect.
+        # Guards against a false conflict: the store applies the change, its response is
+        # lost, and the retried swap finds its own value.
         async def scenario(bench):
             editor = _build_editor(bench)
             lost = FaultSettings(lost_answers=1, lost_kind="swap")
@@ -41,8 +41,8 @@
         run_with_store(scenario)
 
     def test_a_lost_answer_below_another_change_is_an_accepted_change(self):
-        # As above, but another operator's change is made on top before the first one
-        # is read back; the value that is met is a foreign one.
+        # As above, but another operator changes the document before the first change is
+        # read back, so that the retried swap finds a foreign value.
         async def scenario(bench):
             editor, other = _build_editor(bench), _build_editor(bench)
             lost = FaultSettings(lost_answers=1, lost_kind="swap")
@@ -63,8 +63,8 @@
 
         run_with_store(scenario)
 
-    def test_a_store_that_is_down_gives_no_false_word(self):
-        # What the operator is told decides whether the change is made again.
+    def test_outcomes_while_the_store_is_down(self):
+        # The reported outcome decides whether the operator repeats the change.
         for availability, code in (
             (Availability.REFUSING, ResultCode.STORE_UNAVAILABLE),
             (Availability.HANGING, ResultCode.COMMIT_UNKNOWN),
@@ -90,8 +90,8 @@
             run_with_store(scenario)
 
     def test_twenty_operators_racing_lose_no_change(self):
-        # Twenty operators add a service each; some services are missing afterwards
-        # though all were told "accepted". Each retries on a conflict.
+        # Guards against lost updates: twenty operators add a service each and retry on
+        # conflicts; every accepted service must be present afterwards.
         async def scenario(bench):
             editor = _build_editor(bench)
 
--- a/trefoilhook/configuration/tests/test_view.py
+++ b/trefoilhook/configuration/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What is in force on an instance, whatever order entries come in."""
+"""Tests of the view: the configuration in force for any order of entries."""
 
 import unittest
 
@@ -36,13 +36,12 @@
 
 
 class ViewTest(unittest.TestCase):
-    """Revisions never go back and invalid values never get in."""
+    """Revisions never decrease and invalid values are never applied."""
 
     def test_older_entries_never_replace_newer_ones(self):
-        # An operator's accepted change is in force, then callers see the old timeout
-        # again. First the change comes by the watch; then an older value comes from
-        # a watch that had been silent, from a peer that lags, or after a restart of
-        # the store. The cause would be taking entries in the order they come.
+        # Guards against a setting that reverts because entries are applied in order of
+        # arrival: a stalled watch, a lagging peer or a restarted store may supply an
+        # older value after a newer one.
         new, old = _build_entry(9, timeout_ms=900), _build_entry(5, timeout_ms=500)
         for order in ((new, old), (old, new), (new, old, new, old)):
             with self.subTest(order=[entry.revision for entry in order]):
@@ -53,8 +52,8 @@
                 self.assertEqual(view.revision, 9)
 
     def test_deleted_teams_stay_deleted(self):
-        # A team that was removed gets its requests served again: a snapshot taken
-        # before the removal comes from a peer after it.
+        # Guards against a removed team being served again: a snapshot taken before the
+        # removal arrives from a peer after it.
         for remove in (
             lambda view: view.forget(build_team_key(_ROOT, "bookings"), revision=7),
             lambda view: view.apply([_build_entry(7, is_deleted=True)]),
@@ -69,8 +68,8 @@
             self.assertEqual(view.list_teams(), ("bookings",))
 
     def test_invalid_values_never_replace_valid_ones(self):
-        # All of a team's requests are refused at once: a program other than this one
-        # wrote a value that can't be read, and it was taken for an empty one.
+        # Guards against an undecodable value of another program being applied as an
+        # empty configuration, by which all requests of the team would be refused.
         invalid = (b"", b"{}x", b'{"subtree":{"services":1}}', b"[]", b'{"subtre":{}}')
         for value in invalid:
             with self.subTest(value=value):
@@ -81,7 +80,7 @@
                 self.assertEqual(_read_timeout(view), 500)
                 self.assertEqual(view.find_revision("bookings"), 5)
 
-    def test_entries_of_other_kinds_are_passed_over(self):
+    def test_entries_of_other_kinds_are_ignored(self):
         view = ConfigurationView(root=_ROOT)
         for key in ("root/members/a", "root/config/teams/A b", "root/config/teams/a/b"):
             self.assertEqual(view.apply([_Entry(key=key, value=b"", revision=3)]), ())
@@ -89,7 +88,7 @@
 
 
 class TokensTest(unittest.TestCase):
-    """Tokens at rest."""
+    """Token digests."""
 
     def test_any_of_several_tokens_is_covered(self):
         digests = (digest_token("old"), digest_token("new"))
--- a/trefoilhook/configuration/tokens.py
+++ b/trefoilhook/configuration/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens, kept as digests and compared in constant time."""
+"""Tokens, stored as digests and compared in constant time."""
 
 import hashlib
 import hmac
@@ -17,9 +17,8 @@
 
     Notes
     -----
-    Guards against a guess by timing: an answer that came sooner for a nearer guess
-    would show up as a token found digit by digit. Each digest is compared in constant
-    time and all of them are, whichever matches.
+    Resists timing attacks, by which a token could be guessed digit by digit: each
+    comparison takes constant time, and all digests are compared even after a match.
     """
     digest = digest_token(token)
     matches = [hmac.compare_digest(digest, known) for known in digests]
--- a/trefoilhook/configuration/view.py
+++ b/trefoilhook/configuration/view.py
@@ -13,11 +13,11 @@
 
 __all__ = ["ConfigurationView", "RawEntry", "build_team_key"]
 
-_TEAMS = "config/teams/"
+_TEAMS_PREFIX = "config/teams/"
 
 
 class RawEntry(Protocol):
-    """An entry of the store, as its adapter gives it."""
+    """An entry of the store, as returned by its adapter."""
 
     @property
     def key(self) -> str:
@@ -40,12 +40,12 @@
 
 
 def build_team_key(root: str, team: str) -> str:
-    """Return the store's key of a team's configuration."""
-    return f"{root}/{_TEAMS}{team}"
+    """Return the key of a team's configuration in the store."""
+    return f"{root}/{_TEAMS_PREFIX}{team}"
 
 
 class ConfigurationView:
-    """Typed configuration of every team; the revision of a team never goes back.
+    """Decoded configuration of all teams; the revision of a team never decreases.
 
     Parameters
     ----------
@@ -54,16 +54,15 @@
 
     Notes
     -----
-    Entries come from a watch, from a listing and from peers, in any order and more
-    than once. What counts is the revision alone. Failure guarded against: a watch that
-    was silent and is replaced, a peer that lags or a listing served by a store that
-    just restarted hand in an older entry; callers would see a setting revert. The
-    guard holds since the store never gives a revision twice and an entry is taken only
-    above the revision in force, deletions included.
+    Entries arrive from a watch, a listing and peers, in any order and repeatedly. A
+    stalled watch that was replaced, a lagging peer or a store that has just restarted
+    may supply an older entry, by which a setting would revert. An entry or deletion is
+    therefore applied only if its revision is above the one in force; this suffices, as
+    the store never reuses a revision.
     """
 
     def __init__(self, *, root: str) -> None:
-        self._prefix = f"{root}/{_TEAMS}"
+        self._prefix = f"{root}/{_TEAMS_PREFIX}"
         self._states: dict[str, _TeamState] = {}
         self._revision = 0
 
@@ -93,7 +92,7 @@
         return state.value if state is not None and state.value else None
 
     def apply(self, entries: Iterable[RawEntry]) -> tuple[str, ...]:
-        """Take in entries of the store; those of other kinds are passed over.
+        """Apply entries of the store; entries of other kinds are ignored.
 
         Returns
         -------
@@ -103,11 +102,13 @@
         return tuple(team for entry in entries for team in self._apply_entry(entry))
 
     def forget(self, key: str, *, revision: int) -> bool:
-        """Take in that a key was deleted; tells whether that changed anything."""
+        """Apply the deletion of a key; return whether that changed anything."""
         team = self._find_team(key)
         if team is None or not self._is_newer(team, revision):
             return False
-        self._put(team, _TeamState(revision=revision, configuration=None, value=b""))
+        self._set_state(
+            team, _TeamState(revision=revision, configuration=None, value=b"")
+        )
         return True
 
     def _find_team(self, key: str) -> str | None:
@@ -129,8 +130,8 @@
         try:
             state = self._read_state(entry)
         except SettingsError as error:
-            # A value that another version or another program wrote: were it taken,
-            # the team would lose its services at once. The valid one stays in force.
+            # The value was written by another version or program. Applying it would
+            # remove all services of the team, so the last valid one stays in force.
             log_event(
                 Event.CONFIG_INVALID,
                 team=team,
@@ -138,7 +139,7 @@
                 reason=str(error),
             )
             return ()
-        self._put(team, state)
+        self._set_state(team, state)
         return (team,)
 
     def _read_state(self, entry: RawEntry) -> _TeamState:
@@ -150,7 +151,7 @@
             value=entry.value,
         )
 
-    def _put(self, team: str, state: _TeamState) -> None:
+    def _set_state(self, team: str, state: _TeamState) -> None:
         self._states[team] = state
         self._revision = max(self._revision, state.revision)
         log_event(Event.CONFIG_IN_FORCE, team=team, revision=state.revision)
--- a/trefoilhook/settings/__init__.py
+++ b/trefoilhook/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings that are declared once and checked whole before they are used."""
+"""Declaration, validation and documentation of settings."""
 
 from trefoilhook.settings.checks import (
     is_digest,
--- a/trefoilhook/settings/checks.py
+++ b/trefoilhook/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values, for `declare`."""
+"""Validators of single values, for `declare`."""
 
 import ipaddress
 import re
@@ -14,7 +14,7 @@
 
 
 def is_within(low: float, high: float) -> Check:
-    """Build a check that a number lies between two bounds, both allowed."""
+    """Build a check that a number lies between two bounds, both inclusive."""
 
     def check(value: Any) -> str | None:
         if low <= value <= high:
@@ -25,7 +25,7 @@
 
 
 def is_one_of(choices: Sequence[str]) -> Check:
-    """Build a check that a text is one of ``choices``."""
+    """Build a check that a string is one of ``choices``."""
 
     def check(value: Any) -> str | None:
         return None if value in choices else f"must be one of {', '.join(choices)}"
@@ -34,23 +34,23 @@
 
 
 def is_name(value: Any) -> str | None:
-    """Check that a text can be a step of a path: lower case, digits and hyphens."""
+    """Check that a string is a valid path segment: lower case, digits and hyphens."""
     if _NAME.fullmatch(value):
         return None
     return "must be 1 to 63 lower-case letters, digits or inner hyphens"
 
 
 def is_host(value: Any) -> str | None:
-    """Check that a text is an IP number; names are not looked up."""
+    """Check that a string is an IP address; host names are not resolved."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
-        return "must be an IP number"
+        return "must be an IP address"
     return None
 
 
 def is_digest(value: Any) -> str | None:
-    """Check that a text, or each of several, is a SHA-256 digest in hexadecimal."""
+    """Check that a string, or each of several, is a SHA-256 digest in hexadecimal."""
     digests = (value,) if isinstance(value, str) else value
     if all(_DIGEST.fullmatch(digest) for digest in digests):
         return None
--- a/trefoilhook/settings/core.py
+++ b/trefoilhook/settings/core.py
@@ -1,7 +1,7 @@
-"""Declaration of a setting: default, unit and description in one place.
+"""Declaration of settings: default, unit, check and description in one place.
 
-A section is an attrs class whose fields are made by `declare`. The declaration is all
-there is: the reader, the check of the daemon's file and the reference page use it.
+A section is an attrs class whose fields are made by `declare`. The reader, the check of
+the daemon's settings file and the reference page are all derived from it.
 """
 
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 __all__ = ["Check", "Declaration", "FieldError", "declare", "declare_section"]
 
-#: Returns why a value can't be accepted, or None when it can.
+#: Returns the reason why a value is refused, or None if it is accepted.
 Check = Callable[[Any], str | None]
 
 _METADATA_KEY = "trefoilhook.setting"
@@ -19,16 +19,16 @@
 
 @attrs.frozen(kw_only=True)
 class Declaration:
-    """What is known of a setting besides its name, type and default.
+    """Metadata of a setting besides its name, type and default.
 
     Parameters
     ----------
     description : str
         One or two sentences for operators.
     unit : str, optional
-        Unit of the value; empty for values without one.
+        Unit of the value; empty for dimensionless values.
     is_secret : bool, optional
-        Whether the value must never be shown.
+        Whether the value must never be displayed.
     """
 
     description: str
@@ -37,12 +37,12 @@
 
 
 class FieldError(ValueError):
-    """A value, or a combination of values, is refused by its own class.
+    """A settings class refused a value or a combination of values.
 
     Parameters
     ----------
     name : str
-        Field that would have to change.
+        Name of the field at fault.
     value : object
         The refused value.
     reason : str
@@ -86,14 +86,14 @@
     unit : str, optional
         Unit of the value.
     check : callable, optional
-        Returns why a value is refused, or None. Not asked about None.
+        Returns the reason why a value is refused, or None. Not called for None.
     is_secret : bool, optional
-        Whether the value must never be shown, also not when it is refused.
+        Whether the value must never be displayed, not even in an error message.
 
     Returns
     -------
     object
-        A field for the body of an attrs class.
+        A field specifier for the body of an attrs class.
     """
     declaration = Declaration(description=description, unit=unit, is_secret=is_secret)
     return attrs.field(
@@ -104,7 +104,7 @@
 
 
 def declare_section(section: type[Any], *, description: str) -> Any:
-    """Declare a section all of whose settings have defaults.
+    """Declare a nested section whose settings all have defaults.
 
     Parameters
     ----------
@@ -118,6 +118,6 @@
 
 
 def find_declaration(field: "attrs.Attribute[Any]") -> Declaration:
-    """Return what was declared of a field, or an empty declaration."""
+    """Return the declaration of a field, or an empty declaration."""
     found = field.metadata.get(_METADATA_KEY)
     return found if isinstance(found, Declaration) else Declaration(description="")
--- a/trefoilhook/settings/page.py
+++ b/trefoilhook/settings/page.py
@@ -1,4 +1,4 @@
-"""The reference page of all settings, made from their declarations."""
+"""The reference page of all settings, generated from their declarations."""
 
 import json
 from collections.abc import Iterator
@@ -11,9 +11,11 @@
 
 __all__ = ["render_page"]
 
-_TABLE_HEAD = "| setting | type | default | unit | description |\n|---|---|---|---|---|"
+_TABLE_HEADER = (
+    "| setting | type | default | unit | description |\n|---|---|---|---|---|"
+)
 
-_PLAIN_NAMES = {bool: "boolean", float: "number", int: "integer", str: "string"}
+_SCALAR_TYPE_NAMES = {bool: "boolean", float: "number", int: "integer", str: "string"}
 
 
 def _strip_none(kind: Any) -> Any:
@@ -23,7 +25,7 @@
 
 
 def _find_section(kind: Any) -> type[Any] | None:
-    """Return the attrs class behind a type, also in a list, a mapping or an option."""
+    """Return the attrs class in a type, also in a list, mapping or optional type."""
     kind = _strip_none(kind)
     is_many = get_origin(kind) in (tuple, dict)
     for candidate in get_args(kind) if is_many else (kind,):
@@ -42,10 +44,10 @@
         return f"list of {_name_type(get_args(bare)[0])}"
     if get_origin(bare) is dict:
         return f"object of {_name_type(get_args(bare)[1])}"
-    return _PLAIN_NAMES.get(bare, "object")
+    return _SCALAR_TYPE_NAMES.get(bare, "object")
 
 
-def _show_default(field: "attrs.Attribute[Any]", declaration: Declaration) -> str:
+def _format_default(field: "attrs.Attribute[Any]", declaration: Declaration) -> str:
     if field.default is attrs.NOTHING:
         return "required"
     default = field.default
@@ -63,7 +65,7 @@
         declaration = find_declaration(field)
         if _is_nested(field) and not isinstance(field.default, (tuple, type(None))):
             continue
-        default = _show_default(field, declaration)
+        default = _format_default(field, declaration)
         cells = (
             f"`{field.name}`",
             _name_type(field.type),
@@ -79,19 +81,19 @@
     if path:
         yield f"\n## `{path}`\n\n{description}"
     if rows:
-        yield f"\n{_TABLE_HEAD}"
+        yield f"\n{_TABLE_HEADER}"
         yield from rows
     for field in attrs.fields(cls):
         section = _find_section(field.type)
         if section is None:
             continue
         declaration = find_declaration(field)
-        step = _build_step(field)
-        inner_path = f"{path}/{step}" if path else step
+        segment = _build_path_segment(field)
+        inner_path = f"{path}/{segment}" if path else segment
         yield from _render_section(section, inner_path, declaration.description)
 
 
-def _build_step(field: "attrs.Attribute[Any]") -> str:
+def _build_path_segment(field: "attrs.Attribute[Any]") -> str:
     origin = get_origin(_strip_none(field.type))
     if origin is tuple:
         return f"{field.name}/N"
@@ -106,8 +108,8 @@
     Parameters
     ----------
     cls : type
-        The attrs class that holds every section.
+        The attrs class that holds all sections.
     head : str
-        Title and introduction.
+        Title and introduction of the page.
     """
     return "\n".join((head.rstrip("\n"), *_render_section(cls, "", ""))) + "\n"
--- a/trefoilhook/settings/problems.py
+++ b/trefoilhook/settings/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a set of values, one problem a line."""
+"""Errors found in settings, one problem per line."""
 
 import json
 from collections.abc import Iterable
@@ -19,18 +19,18 @@
 
 @attrs.frozen(kw_only=True)
 class SettingProblem:
-    """One reason why values are refused.
+    """One reason why settings are refused.
 
     Parameters
     ----------
     path : str
-        Steps to the value, joined by ``/``.
+        Path of the value, its segments joined by ``/``.
     value : str
-        The value as JSON, shortened; empty when it is missing.
+        The value as truncated JSON; empty if it is missing.
     reason : str
-        Why it is refused.
+        Why the value is refused.
     nearest : str, optional
-        The right name or choice that is nearest to what was given.
+        The valid name or choice most similar to the given one.
     """
 
     path: str
@@ -45,12 +45,12 @@
 
 
 class InvalidSettingsError(SettingsError):
-    """Values are refused; nothing of them is used.
+    """Settings are refused; none of them is applied.
 
     Parameters
     ----------
     problems : sequence of SettingProblem
-        Everything found to be wrong.
+        All problems found; at most 50 are kept.
     """
 
     def __init__(self, *, problems: Iterable[SettingProblem]) -> None:
@@ -59,9 +59,9 @@
 
 
 def show_value(value: object) -> str:
-    """Return a value as short JSON, for people.
+    """Return a value as truncated JSON, for display.
 
-    What a list or an object holds stays hidden: under a misspelt name it may be secret.
+    The contents of lists and objects are hidden: a misspelt name may hold a secret.
     """
     if isinstance(value, dict):
         return "{...}" if value else "{}"
@@ -74,6 +74,6 @@
 
 
 def find_nearest(name: str, choices: Iterable[str]) -> str:
-    """Return the choice that is most like ``name``, or an empty text."""
+    """Return the choice that is most similar to ``name``, or an empty string."""
     found = get_close_matches(name, sorted(choices), n=1, cutoff=_NEAREST_CUTOFF)
     return found[0] if found else ""
--- a/trefoilhook/settings/reader.py
+++ b/trefoilhook/settings/reader.py
@@ -1,7 +1,7 @@
-"""Reading of JSON into declared classes; everything doubtful is refused.
+"""Strict reading of JSON into classes of declared settings.
 
-cattrs does the structuring. Its own conversions would turn ``"5"`` into 5 and a text
-into a tuple of letters; the hooks below refuse a value of another type instead.
+The structuring is done by cattrs. Its default conversions would turn ``"5"`` into 5 and
+a string into a tuple of characters; the hooks below refuse values of the wrong type.
 """
 
 import json
@@ -42,20 +42,20 @@
 ]
 
 T = TypeVar("T")
-_Hook = Callable[[Any, Any], Any]
+_StructureHook = Callable[[Any, Any], Any]
 _Path = tuple[str, ...]
 
 _TYPE_NAMES = {
-    bool: "true or false",
+    bool: "a boolean",
     dict: "an object",
     float: "a number",
-    int: "a whole number",
+    int: "an integer",
     list: "a list",
-    str: "a text",
+    str: "a string",
 }
 
 
-class _ValueError(Exception):
+class _InvalidValueError(Exception):
     """A value can't be structured."""
 
     def __init__(self, value: object, reason: str, nearest: str = "") -> None:
@@ -65,28 +65,28 @@
         self.nearest = nearest
 
 
-def _require(value: object, wanted: type, *accepted: type) -> None:
+def _require_type(value: object, wanted: type, *accepted: type) -> None:
     is_misread_bool = isinstance(value, bool) and wanted is not bool
     if is_misread_bool or not isinstance(value, (wanted, *accepted)):
-        raise _ValueError(value, f"must be {_TYPE_NAMES[wanted]}")
+        raise _InvalidValueError(value, f"must be {_TYPE_NAMES[wanted]}")
 
 
-def _read_plain(wanted: type) -> _Hook:
+def _build_scalar_hook(wanted: type) -> _StructureHook:
     def read(value: Any, _: Any) -> Any:
-        _require(value, wanted)
+        _require_type(value, wanted)
         return value
 
     return read
 
 
 def _read_float(value: Any, _: Any) -> float:
-    _require(value, float, int)
+    _require_type(value, float, int)
     try:
         number = float(value)
     except OverflowError as error:
-        raise _ValueError(value, "is too large") from error
+        raise _InvalidValueError(value, "is too large") from error
     if not math.isfinite(number):
-        raise _ValueError(value, "must be finite")
+        raise _InvalidValueError(value, "must be finite")
     return number
 
 
@@ -95,12 +95,12 @@
     if isinstance(value, str) and value in choices:
         return value
     nearest = find_nearest(value, choices) if isinstance(value, str) else ""
-    raise _ValueError(value, f"must be one of {', '.join(choices)}", nearest)
+    raise _InvalidValueError(value, f"must be one of {', '.join(choices)}", nearest)
 
 
-def _guard(wanted: type, read: Any) -> _Hook:
+def _with_type_check(wanted: type, read: Any) -> _StructureHook:
     def check(value: Any, target: Any) -> Any:
-        _require(value, wanted)
+        _require_type(value, wanted)
         return read(value, target)
 
     return check
@@ -111,29 +111,31 @@
 
 
 def _build_converter(*, is_strict: bool) -> cattrs.Converter:
-    """Build a converter; one that is not strict passes unknown names over."""
+    """Build a converter; one that is not strict ignores unknown names."""
     converter = cattrs.Converter(detailed_validation=True)
 
     @converter.register_structure_hook_factory(attrs.has)
-    def build_class_hook(target: Any) -> _Hook:
+    def build_class_hook(target: Any) -> _StructureHook:
         read = make_dict_structure_fn(
             target, converter, _cattrs_forbid_extra_keys=is_strict
         )
-        return _guard(dict, read)
+        return _with_type_check(dict, read)
 
     @converter.register_structure_hook_factory(lambda kind: _is_generic(kind, tuple))
-    def build_tuple_hook(target: Any) -> _Hook:
-        return _guard(list, homogenous_tuple_structure_factory(target, converter))
+    def build_tuple_hook(target: Any) -> _StructureHook:
+        return _with_type_check(
+            list, homogenous_tuple_structure_factory(target, converter)
+        )
 
     @converter.register_structure_hook_factory(lambda kind: _is_generic(kind, dict))
-    def build_mapping_hook(target: Any) -> _Hook:
-        return _guard(dict, mapping_structure_factory(target, converter))
+    def build_mapping_hook(target: Any) -> _StructureHook:
+        return _with_type_check(dict, mapping_structure_factory(target, converter))
 
     converter.register_structure_hook_func(
         lambda kind: _is_generic(kind, Literal), _read_literal
     )
     for wanted in (bool, int, str):
-        converter.register_structure_hook(wanted, _read_plain(wanted))
+        converter.register_structure_hook(wanted, _build_scalar_hook(wanted))
     converter.register_structure_hook(float, _read_float)
     return converter
 
@@ -143,8 +145,8 @@
 
 
 def _find_value(data: Any, path: _Path) -> Any:
-    for step in path:
-        data = data[int(step)] if isinstance(data, list) else data[step]
+    for segment in path:
+        data = data[int(segment)] if isinstance(data, list) else data[segment]
     return data
 
 
@@ -158,28 +160,28 @@
 ) -> Iterator[SettingProblem]:
     names = attrs.fields_dict(error.cl)
     for name in sorted(error.extra_fields, key=str):
-        steps = (*path, str(name))
-        value = _find_value(data, steps)
+        segments = (*path, str(name))
+        value = _find_value(data, segments)
         nearest = find_nearest(str(name), names)
-        hidden = bool(nearest) and _is_secret(error.cl, nearest)
+        is_hidden = bool(nearest) and _is_secret(error.cl, nearest)
         yield SettingProblem(
-            path="/".join(steps),
-            value=HIDDEN if hidden else show_value(value),
+            path="/".join(segments),
+            value=HIDDEN if is_hidden else show_value(value),
             reason="is not a known setting",
             nearest=nearest,
         )
 
 
-def _describe(error: Exception, path: _Path, hidden: bool) -> SettingProblem:
+def _build_problem(error: Exception, path: _Path, is_hidden: bool) -> SettingProblem:
     if isinstance(error, FieldError):
         path = (*path, error.name)
     where = "/".join(path)
     if isinstance(error, KeyError):
         return SettingProblem(path=where, value="", reason="is required")
-    if isinstance(error, (FieldError, _ValueError)):
+    if isinstance(error, (FieldError, _InvalidValueError)):
         return SettingProblem(
             path=where,
-            value=HIDDEN if hidden else show_value(error.value),
+            value=HIDDEN if is_hidden else show_value(error.value),
             reason=error.reason,
             nearest=getattr(error, "nearest", ""),
         )
@@ -187,28 +189,28 @@
 
 
 def _list_problems(
-    error: Exception, path: _Path, data: Any, hidden: bool
+    error: Exception, path: _Path, data: Any, is_hidden: bool
 ) -> Iterator[SettingProblem]:
     if isinstance(error, ForbiddenExtraKeysError):
         yield from _list_unknown(error, path, data)
         return
     if not isinstance(error, (ClassValidationError, IterableValidationError)):
-        yield _describe(error, path, hidden)
+        yield _build_problem(error, path, is_hidden)
         return
     noted, others = error.group_exceptions()
     for cause, note in noted:
-        covered = hidden
+        is_secret = is_hidden
         if isinstance(note, AttributeValidationNote):
-            step = note.name
-            covered |= _is_secret(error.cl, step)
+            segment = note.name
+            is_secret |= _is_secret(error.cl, segment)
         else:
-            step = str(note.index)
-        yield from _list_problems(cause, (*path, step), data, covered)
+            segment = str(note.index)
+        yield from _list_problems(cause, (*path, segment), data, is_secret)
     for cause in others:
-        covered = hidden
+        is_secret = is_hidden
         if isinstance(cause, FieldError):
-            covered |= _is_secret(error.cl, cause.name)
-        yield from _list_problems(cause, path, data, covered)
+            is_secret |= _is_secret(error.cl, cause.name)
+        yield from _list_problems(cause, path, data, is_secret)
 
 
 def read_settings(cls: type[T], data: Any) -> T:
@@ -225,7 +227,7 @@
     ------
     InvalidSettingsError
         If a name is unknown, a type wrong, a value out of bounds or a combination
-        impossible; lists the problems with path, value, reason and nearest name.
+        invalid; lists all problems with path, value, reason and nearest name.
     """
     return _read(_CONVERTER, cls, data)
 
@@ -233,7 +235,7 @@
 def read_message(cls: type[T], data: Any) -> T:
     """Read parsed JSON from another version of the system; see `read_settings`.
 
-    Unknown names are passed over, since a newer version may have added some.
+    Unknown names are ignored, as a newer version may have added them.
     """
     return _read(_LENIENT_CONVERTER, cls, data)
 
@@ -253,22 +255,22 @@
     result: dict[str, Any] = {}
     for name, value in pairs:
         if name in result:
-            raise _ValueError(name, f"{name!r} is given twice")
+            raise _InvalidValueError(name, f"{name!r} is a duplicate name")
         result[name] = value
     return result
 
 
 def _refuse_constant(name: str) -> float:
-    raise _ValueError(name, f"{name} is not JSON")
+    raise _InvalidValueError(name, f"{name} is not JSON")
 
 
 def parse_json(text: str | bytes) -> Any:
-    """Parse strict JSON: no doubled names, no infinities.
+    """Parse strict JSON: duplicate names, ``NaN`` and infinities are refused.
 
     Raises
     ------
     InvalidSettingsError
-        If the text is not JSON.
+        If the text is not strict JSON.
     """
     try:
         return json.loads(
@@ -276,7 +278,7 @@
             object_pairs_hook=_refuse_duplicates,
             parse_constant=_refuse_constant,
         )
-    except _ValueError as error:
+    except _InvalidValueError as error:
         reason = error.reason
     except RecursionError:
         reason = "is nested too deeply"
@@ -292,7 +294,7 @@
     Raises
     ------
     InvalidSettingsError
-        If the file can't be read, is not JSON or holds refused values.
+        If the file can't be read, is not JSON or holds invalid values.
     """
     try:
         text = path.read_bytes()
@@ -304,5 +306,5 @@
 
 
 def dump_json(value: object) -> Any:
-    """Return a declared object as plain JSON values."""
+    """Return an object of a declared class as plain JSON values."""
     return _CONVERTER.unstructure(value)
--- a/trefoilhook/settings/sections.py
+++ b/trefoilhook/settings/sections.py
@@ -1,4 +1,4 @@
-"""The sections that don't belong to one mechanism: addresses, listeners and peers."""
+"""Settings sections shared by several packages: addresses, listeners and peers."""
 
 import attrs
 
@@ -26,11 +26,11 @@
 
 @attrs.frozen(kw_only=True)
 class InstanceSettings:
-    """Who this instance is and where it stands."""
+    """Identity and location of this instance."""
 
     instance_id: str | None = declare(
         default=None,
-        description="Name of the instance, never used twice; random when not given.",
+        description="Name of the instance, never reused; random when not given.",
         check=is_name,
     )
     failure_domain: str = declare(
@@ -43,26 +43,27 @@
 
 @attrs.frozen(kw_only=True)
 class TlsSettings:
-    """Files for TLS; all three are PEM."""
+    """TLS files, all in PEM format."""
 
     certificate_file: str = declare(description="Certificate chain of this instance.")
     key_file: str = declare(description="Private key of this instance.")
     authority_file: str | None = declare(
         default=None,
-        description="Authorities whose certificates the other end must show. Required "
-        "between instances; on other listeners it asks clients for a certificate.",
+        description="Certificate authorities trusted for the peer's certificate. "
+        "Required between instances; on other listeners it requires client "
+        "certificates.",
     )
 
 
 @attrs.frozen(kw_only=True)
 class ListenerSettings:
-    """One listener."""
+    """Address and TLS files of one listener."""
 
     host: str = declare(
-        default="127.0.0.1", description="IP number to listen on.", check=is_host
+        default="127.0.0.1", description="IP address to listen on.", check=is_host
     )
     port: int = declare(
-        default=0, description="Port to listen on; 0 takes a free one.", check=_PORT
+        default=0, description="Port to listen on; 0 selects a free port.", check=_PORT
     )
     tls: TlsSettings | None = declare(
         default=None, description="TLS files; null is plain TCP."
@@ -88,9 +89,9 @@
         if inner_tls is not None and inner_tls.authority_file is None:
             reason = "needs authority_file: TLS between instances is mutual"
             raise FieldError(name="inner", value=None, reason=reason)
-        self._refuse_shared_ports()
+        self._refuse_duplicate_addresses()
 
-    def _refuse_shared_ports(self) -> None:
+    def _refuse_duplicate_addresses(self) -> None:
         seen: set[tuple[str, int]] = set()
         for name in ("entry", "admin", "inner"):
             listener: ListenerSettings = getattr(self, name)
@@ -107,18 +108,20 @@
     """The platform's configuration store."""
 
     host: str = declare(
-        default="127.0.0.1", description="IP number of the store.", check=is_host
+        default="127.0.0.1", description="IP address of the store.", check=is_host
     )
     port: int = declare(
         default=2400, description="Port of the store.", check=_REMOTE_PORT
     )
     token: str | None = declare(
-        default=None, description="Token shown to the store.", is_secret=True
+        default=None,
+        description="Token sent to the store for authentication.",
+        is_secret=True,
     )
     timeout_ms: int = declare(
         default=1_000,
         unit="ms",
-        description="Longest wait for an answer of the store.",
+        description="Longest wait for a response of the store.",
         check=is_within(10, 60_000),
     )
 
@@ -128,7 +131,7 @@
     """The platform's list of live and leaving instances."""
 
     host: str = declare(
-        default="127.0.0.1", description="IP number of the list.", check=is_host
+        default="127.0.0.1", description="IP address of the list.", check=is_host
     )
     port: int = declare(
         default=2401, description="Port of the list.", check=_REMOTE_PORT
@@ -136,28 +139,28 @@
     timeout_ms: int = declare(
         default=1_000,
         unit="ms",
-        description="Longest wait for an answer of the list.",
+        description="Longest wait for a response of the list.",
         check=is_within(10, 60_000),
     )
     interval_ms: int = declare(
         default=1_000,
         unit="ms",
-        description="Time between two readings of the list.",
+        description="Interval between two reads of the list.",
         check=is_within(100, 60_000),
     )
 
 
 @attrs.frozen(kw_only=True)
 class PeerSettings:
-    """Inner address of another instance, for a start while the store is down."""
+    """Inner address of another instance, used at start-up while the store is down."""
 
-    host: str = declare(description="IP number of the peer.", check=is_host)
+    host: str = declare(description="IP address of the peer.", check=is_host)
     port: int = declare(description="Inner port of the peer.", check=_REMOTE_PORT)
 
 
 @attrs.frozen(kw_only=True)
 class ShardSettings:
-    """How resources and jobs are split; must be the same on all instances."""
+    """Number of shards; must be the same on all instances."""
 
     request_shards: int = declare(
         default=64,
@@ -178,7 +181,7 @@
     cluster_tokens: tuple[str, ...] = declare(
         default=(),
         description="SHA-256 digests of the tokens that cover all teams. Several at "
-        "once let a token be replaced without a gap.",
+        "once allow a token to be rotated without downtime.",
         check=is_digest,
         is_secret=True,
     )
@@ -197,13 +200,13 @@
 
 @attrs.frozen(kw_only=True)
 class BaseSettings:
-    """The sections declared here; the daemon adds those of its other packages."""
+    """The shared sections; the daemon adds those of its other packages."""
 
     instance: InstanceSettings = declare_section(
-        InstanceSettings, description="Who this instance is and where it stands."
+        InstanceSettings, description="Identity and location of this instance."
     )
     listeners: ListenersSettings = declare_section(
-        ListenersSettings, description="Where the instance listens."
+        ListenersSettings, description="Listeners of the instance."
     )
     store: StoreSettings = declare_section(
         StoreSettings, description="The platform's configuration store."
@@ -213,10 +216,10 @@
     )
     peers: tuple[PeerSettings, ...] = declare(
         default=(),
-        description="Inner addresses of other instances, asked for the configuration "
-        "when the store is down at the start.",
+        description="Inner addresses of other instances, which supply the "
+        "configuration if the store is down at start-up.",
     )
     shards: ShardSettings = declare_section(
-        ShardSettings, description="How resources and jobs are split."
+        ShardSettings, description="How resources and jobs are divided into shards."
     )
     admin: AdminSettings = declare_section(AdminSettings, description="The admin API.")
--- a/trefoilhook/settings/tests/__init__.py
+++ b/trefoilhook/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the settings."""
+"""Tests of the settings package."""
--- a/trefoilhook/settings/tests/test_reader.py
+++ b/trefoilhook/settings/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Contract of the settings reader: what it takes, what it refuses and how."""
+"""Tests of the settings reader: accepted and refused input, and its errors."""
 
 import json
 import tempfile
@@ -20,21 +20,33 @@
     render_page,
 )
 
-#: Data, then path, shown value, part of the reason and nearest name of the problem.
+#: Data; then path, displayed value, part of the reason and nearest name of its problem.
 _REFUSED = (
     ({"shard": {}}, "shard", "{}", "not a known", "shards"),
     ({"shards": {"request_shard": 4}}, "shards/request_shard", "4", "not a known", ...),
-    ({"shards": {"request_shards": "4"}}, "shards/request_shards", '"4"', "whole", ""),
-    ({"shards": {"request_shards": 4.5}}, "shards/request_shards", "4.5", "whole", ""),
-    ({"shards": {"request_shards": True}}, "shards/request_shards", "true", "who", ""),
+    (
+        {"shards": {"request_shards": "4"}},
+        "shards/request_shards",
+        '"4"',
+        "integer",
+        "",
+    ),
+    (
+        {"shards": {"request_shards": 4.5}},
+        "shards/request_shards",
+        "4.5",
+        "integer",
+        "",
+    ),
+    ({"shards": {"request_shards": True}}, "shards/request_shards", "true", "int", ""),
     ({"shards": {"request_shards": 0}}, "shards/request_shards", "0", "between", ""),
     ({"shards": []}, "shards", "[]", "must be an object", ""),
     ({"shards": None}, "shards", "null", "must be an object", ""),
     ([], "", "[]", "must be an object", ""),
     ({"peers": "10.0.0.1"}, "peers", '"10.0.0.1"', "must be a list", ""),
     ({"peers": [{"host": "10.0.0.1"}]}, "peers/0/port", "", "is required", ""),
-    ({"store": {"host": "store.example"}}, "store/host", ..., "IP number", ""),
-    ({"store": {"token": 5}}, "store/token", "(hidden)", "must be a text", ""),
+    ({"store": {"host": "store.example"}}, "store/host", ..., "IP address", ""),
+    ({"store": {"token": 5}}, "store/token", "(hidden)", "must be a string", ""),
     ({"store": {"tokn": "s3cret"}}, "store/tokn", "(hidden)", "known", "token"),
     (
         {"admin": {"cluster_tokens": ["s3cret"]}},
@@ -75,7 +87,7 @@
 
 
 class ReaderTest(unittest.TestCase):
-    """What is read and what is refused."""
+    """Accepted and refused input."""
 
     def test_refused_with_path_value_reason_and_nearest_name(self):
         for data, path, value, reason, nearest in _REFUSED:
@@ -99,7 +111,7 @@
         wanted = {"store/port", "peers/0/host", "peers/0/port", "zzz"}
         self.assertEqual(paths, wanted)
 
-    def test_file_is_loaded_and_defaults_fill_it_up(self):
+    def test_file_is_loaded_and_missing_settings_have_defaults(self):
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "settings.json"
             path.write_text(json.dumps({"store": {"port": 9}}))
@@ -147,7 +159,7 @@
 
 
 class PageTest(unittest.TestCase):
-    """The reference page; that of the daemon is checked with the other pages."""
+    """The reference page; the daemon's page is tested in `trefoilhook.command`."""
 
     def test_every_declaration_is_on_the_page(self):
         page = render_page(_Outer, head="# Title\n")
