--- a/trefoilhook/logs/dependencies.py
+++ b/trefoilhook/logs/dependencies.py
@@ -1,4 +1,4 @@
-"""One line when a dependency is lost and one when it is back, not one a failed call."""
+"""Logging of outages: a line at the start and the end, not one per failed call."""
 
 import enum
 import math
@@ -13,69 +13,70 @@
 
 __all__ = ["CallFailure", "DependencyLog"]
 
-_LEAST_PAUSE_MS = 1000.0
-"""Least time between two lines on a loss, in ms. A dependency that loses every other
-answer is lost and back with every call; with this it takes two lines a second, so that
-the last 200 lines of a process still reach 100 s back."""
+_MIN_LOSS_INTERVAL_MS = 1000.0
+"""Minimum interval between two logged outages. A dependency that fails every other call
+starts and ends an outage with each pair; the interval limits this to two lines per
+second, so that the last 200 lines of a process still cover 100 s."""
 
 
 class CallFailure(enum.Enum):
-    """Why a call to a service wasn't answered with what was asked."""
+    """Why a call to a service failed."""
 
     NOT_SENT = "not sent"
-    """No connection: nothing was done."""
+    """No connection: the call had no effect."""
 
     NO_ANSWER = "no answer"
-    """Silence, or a connection that ended early: the effect is unknown."""
+    """Time-out, or a connection that was closed early: the effect is unknown."""
 
     RATE_LIMITED = "rate limited"
-    """Turned away, as too many calls came: nothing was done."""
+    """Rejected because of a rate limit: the call had no effect."""
 
     TURNED_AWAY = "turned away"
-    """Turned away by a service that can't serve now: nothing was done."""
+    """Rejected by a service that is unavailable: the call had no effect."""
 
     INTERNAL = "internal error"
-    """The service failed while at it: the effect is unknown."""
+    """The service failed during the call: the effect is unknown."""
 
     UNREADABLE = "unreadable"
-    """The answer can't be decoded: the effect is unknown."""
+    """The response can't be decoded: the effect is unknown."""
 
     REFUSED = "refused"
-    """The service took the call for a wrong one."""
+    """The service rejected the call as invalid."""
 
 
 @attrs.define(kw_only=True)
 class _Outage:
-    began_ms: float
-    answered_ms: float
+    started_ms: float
+    last_answer_ms: float
     reasons: Counter[str] = attrs.Factory(Counter)
     calls: Counter[str] = attrs.Factory(Counter)
-    is_told: bool = False
+    is_logged: bool = False
 
 
 class DependencyLog:
-    """Tells of the outages of one dependency, as this process sees them.
+    """Logs the outages of one dependency, as observed by this process.
 
-    It is lost with the first call that fails and back with the next that is answered.
-    What fails in between is only counted, whoever of the process made the call.
+    An outage starts with the first call that fails and ends with the next that is
+    answered. Failures in between are only counted, for all callers in the process.
 
     Parameters
     ----------
     clock : Clock
-        Where time comes from.
+        Source of time.
     lost, regained : Event
-        What is logged.
+        Events logged at the start and at the end of an outage.
     subject : dict of str to str, optional
-        Fields that name the dependency, where there are several of its kind.
+        Fields that identify the dependency among several of its kind.
     write : callable, optional
         Writes an event with its fields.
 
     Notes
     -----
-    Calls overlap, so what comes back may speak of an earlier time. A call that was sent
-    during an outage may time out after its end: it is counted as late with the next
-    loss, and is none. A call that was sent before an outage may be answered during it,
-    such as a watch that waits at a store which turns new calls away: it ends none.
+    Calls overlap, so a result may describe an earlier state. A call that was sent
+    during an outage may time out after its end: it starts no new outage, and is logged
+    as a late failure with the next one. A call that was sent before an outage may be
+    answered during it, such as a watch that is pending at a store which rejects new
+    calls: it does not end the outage.
     """
 
     def __init__(
@@ -93,11 +94,11 @@
         self._subject = subject or {}
         self._write = write
         self._outage: _Outage | None = None
-        self._answered_ms = clock.monotonic_ms()
-        self._ended_ms = -math.inf
-        self._told_ms = -math.inf
-        self._untold = 0
-        self._late = 0
+        self._last_answer_ms = clock.monotonic_ms()
+        self._last_end_ms = -math.inf
+        self._last_logged_ms = -math.inf
+        self._unlogged_losses = 0
+        self._late_failures = 0
 
     def record_answer(self, *, sent_ms: float) -> None:
         """Record that a call was answered.
@@ -109,9 +110,9 @@
         """
         now_ms = self._clock.monotonic_ms()
         outage = self._outage
-        if outage is not None and sent_ms >= outage.began_ms:
-            self._end(outage, now_ms)
-        self._answered_ms = now_ms
+        if outage is not None and sent_ms >= outage.started_ms:
+            self._end_outage(outage, now_ms)
+        self._last_answer_ms = now_ms
 
     def record_failure(
         self, call: str, why: enum.Enum, *, sent_ms: float, detail: str = ""
@@ -121,54 +122,59 @@
         Parameters
         ----------
         call : str
-            Which call.
+            Name of the call.
         why : enum.Enum
-            How it failed; its value is logged.
+            Reason of the failure; its value is logged.
         sent_ms : float
             When it was sent, in ms on the monotonic clock.
         detail : str, optional
-            What is known beyond that, for people.
+            Further description of the failure.
         """
-        if sent_ms < self._ended_ms:
-            self._late += 1
+        if sent_ms < self._last_end_ms:
+            self._late_failures += 1
             return
         now_ms = self._clock.monotonic_ms()
         if self._outage is None:
-            self._outage = _Outage(began_ms=now_ms, answered_ms=self._answered_ms)
+            self._outage = _Outage(
+                started_ms=now_ms, last_answer_ms=self._last_answer_ms
+            )
         outage = self._outage
         outage.reasons[str(why.value)] += 1
         outage.calls[call] += 1
-        if outage.is_told or now_ms - self._told_ms < _LEAST_PAUSE_MS:
+        if outage.is_logged or now_ms - self._last_logged_ms < _MIN_LOSS_INTERVAL_MS:
             return
-        outage.is_told = True
-        self._told_ms = now_ms
+        outage.is_logged = True
+        self._last_logged_ms = now_ms
         self._write(
             self._lost,
             **self._subject,
             call=call,
             why=why.value,
             **({"detail": detail} if detail else {}),
-            silent_ms=round(now_ms - outage.answered_ms),
-            **self._take_untold(),
+            silent_ms=round(now_ms - outage.last_answer_ms),
+            **self._take_unlogged_counts(),
         )
 
-    def _take_untold(self) -> dict[str, int]:
-        """Return, and forget, what had no line of its own since the last loss."""
-        found = {"short_losses": self._untold, "late_failures": self._late}
-        self._untold = self._late = 0
+    def _take_unlogged_counts(self) -> dict[str, int]:
+        """Return and reset the counts of what was not logged since the last outage."""
+        found = {
+            "short_losses": self._unlogged_losses,
+            "late_failures": self._late_failures,
+        }
+        self._unlogged_losses = self._late_failures = 0
         return {name: count for name, count in found.items() if count}
 
-    def _end(self, outage: _Outage, now_ms: float) -> None:
+    def _end_outage(self, outage: _Outage, now_ms: float) -> None:
         self._outage = None
-        self._ended_ms = now_ms
-        if not outage.is_told:
-            self._untold += 1
+        self._last_end_ms = now_ms
+        if not outage.is_logged:
+            self._unlogged_losses += 1
             return
         self._write(
             self._regained,
             **self._subject,
-            lost_ms=round(now_ms - outage.began_ms),
-            silent_ms=round(now_ms - outage.answered_ms),
+            lost_ms=round(now_ms - outage.started_ms),
+            silent_ms=round(now_ms - outage.last_answer_ms),
             failed=outage.reasons.total(),
             why=dict(outage.reasons),
             calls=dict(outage.calls),
--- a/trefoilhook/logs/events.py
+++ b/trefoilhook/logs/events.py
@@ -9,7 +9,7 @@
 
 
 class Level(enum.Enum):
-    """How urgent an event is for an operator."""
+    """Severity of an event, in ascending order."""
 
     DEBUG = "DEBUG"
     INFO = "INFO"
@@ -27,22 +27,34 @@
     TASK_FAILED = (1003, Level.ERROR, "A background task failed and is restarted.")
     HANDLER_FAILED = (1004, Level.ERROR, "The handler of a request failed.")
 
-    LINES_DROPPED = (1005, Level.WARNING, "Lines were lost: nobody read the output.")
-    LINES_SUMMED = (1006, Level.INFO, "Lines over an event's budget, as a count.")
+    LINES_DROPPED = (
+        1005,
+        Level.WARNING,
+        "Lines were dropped: the output was not read.",
+    )
+    LINES_SUMMED = (1006, Level.INFO, "Count of lines over an event's rate limit.")
     RELOADED = (1007, Level.INFO, "Changed settings are in force.")
-    SETTINGS_INVALID = (1008, Level.ERROR, "Changed settings can't be read.")
+    SETTINGS_INVALID = (
+        1008,
+        Level.ERROR,
+        "Changed settings are invalid or can't be read.",
+    )
 
     # 1100: store
-    STORE_DOWN = (1100, Level.WARNING, "The store is lost: a call to it failed.")
+    STORE_DOWN = (1100, Level.WARNING, "A call to the store failed: an outage began.")
     STORE_BACK = (1101, Level.INFO, "The store answers again.")
     WATCH_SILENT = (1102, Level.WARNING, "A watch went silent and is replaced.")
-    LIST_DOWN = (1104, Level.WARNING, "The instance list was not read.")
-    HISTORY_LOST = (1105, Level.WARNING, "A watch's history is gone; it is read anew.")
-    ENTRY_INVALID = (1106, Level.ERROR, "A key of the system's own can't be read.")
+    LIST_DOWN = (1104, Level.WARNING, "The instance list could not be read.")
+    HISTORY_LOST = (
+        1105,
+        Level.WARNING,
+        "A watch's history was lost; keys are listed again.",
+    )
+    ENTRY_INVALID = (1106, Level.ERROR, "An entry of the system itself is invalid.")
 
     # 1200: membership and shards
     LEASE_GRANTED = (1200, Level.INFO, "The instance holds its store lease.")
-    LEASE_LOST = (1201, Level.WARNING, "The instance's store lease has lapsed.")
+    LEASE_LOST = (1201, Level.WARNING, "The instance's store lease has expired.")
     SHARD_CLAIMED = (1202, Level.INFO, "A shard was claimed at a new epoch.")
     SHARD_RELEASED = (1203, Level.INFO, "A shard was handed over.")
     SHARD_FENCED = (1204, Level.WARNING, "A shard was lost to a newer epoch.")
@@ -66,14 +78,18 @@
     CONFIG_STALE = (1501, Level.WARNING, "A stale configuration was ignored.")
     CONFIG_INVALID = (1502, Level.ERROR, "An invalid configuration was ignored.")
     CONFIG_CHANGED = (1503, Level.INFO, "An operator's change was accepted.")
-    ADMIN_FAILED = (1504, Level.ERROR, "A call of the admin API failed inside.")
-    BURN_UNREADABLE = (1505, Level.WARNING, "A peer's latencies can't be read.")
-    EVACUATION_BEGUN = (1506, Level.INFO, "Nothing is started in a failure domain.")
+    ADMIN_FAILED = (1504, Level.ERROR, "A call of the admin API hit an internal error.")
+    BURN_UNREADABLE = (1505, Level.WARNING, "A peer's latencies can't be decoded.")
+    EVACUATION_BEGUN = (
+        1506,
+        Level.INFO,
+        "A failure domain is evacuated; nothing starts there.",
+    )
     EVACUATION_ENDED = (1507, Level.INFO, "A failure domain is in use again.")
     EVACUATION_INVALID = (
         1508,
         Level.WARNING,
-        "An evacuation entry is invalid; it holds.",
+        "An evacuation entry is invalid; it stays in force.",
     )
 
     # 1600: jobs and workers
@@ -83,21 +99,37 @@
     JOB_EVICTED = (1603, Level.WARNING, "A task was checkpointed and evicted.")
     WORKER_LOST = (1604, Level.WARNING, "A worker can't be reached.")
     WORKER_FENCED = (1605, Level.INFO, "A worker accepted a new epoch.")
-    WORKER_QUARANTINED = (1606, Level.WARNING, "A worker fails what it starts.")
+    WORKER_QUARANTINED = (
+        1606,
+        Level.WARNING,
+        "A worker was quarantined: its tasks fail.",
+    )
     JOB_CANCELLED = (1607, Level.INFO, "A client cancelled a job.")
     ORDER_FAILED = (1608, Level.WARNING, "An order to a worker was not carried out.")
-    REPORT_INVALID = (1609, Level.ERROR, "A worker's entry names none to use.")
+    REPORT_INVALID = (
+        1609,
+        Level.ERROR,
+        "A worker's entry is invalid; it gets no new tasks.",
+    )
     TASK_STARTED = (1610, Level.INFO, "A worker confirmed the start of a task.")
-    TASK_ENDED = (1611, Level.INFO, "A worker listed the end of a task.")
-    TASK_STOPPED = (1612, Level.INFO, "A worker took an order to stop a task.")
+    TASK_ENDED = (1611, Level.INFO, "A worker reported the end of a task.")
+    TASK_STOPPED = (1612, Level.INFO, "A worker accepted an order to stop a task.")
     ADVICE_TAKEN = (1613, Level.INFO, "The advice service was asked about a step.")
-    WORKER_BACK = (1614, Level.INFO, "A worker answers looks again.")
-    TASK_GIVEN_UP = (1615, Level.WARNING, "A run was given up without its end.")
+    WORKER_BACK = (1614, Level.INFO, "A worker is reachable again.")
+    TASK_GIVEN_UP = (1615, Level.WARNING, "A run was given up; its end is unknown.")
     QUEUE_WAITS = (1616, Level.INFO, "Tasks have waited two seconds for a worker.")
-    ANSWER_INVALID = (1617, Level.ERROR, "An answer, or a row of it, can't be read.")
-    LOSS_ATTRIBUTED = (1618, Level.WARNING, "What ended a worker, and its suspects.")
+    ANSWER_INVALID = (
+        1617,
+        Level.ERROR,
+        "A response, or a row of it, can't be decoded.",
+    )
+    LOSS_ATTRIBUTED = (
+        1618,
+        Level.WARNING,
+        "Cause of a worker's loss, and suspected tasks.",
+    )
     CRASH_LOOP_FOUND = (1619, Level.WARNING, "A task that crashes workers is given up.")
-    SERVICE_SHORT = (1620, Level.INFO, "Tasks of a service were away or too late.")
+    SERVICE_SHORT = (1620, Level.INFO, "Tasks of a service were absent or too late.")
     EVACUATION_LEFT = (
         1621,
         Level.INFO,
@@ -131,5 +163,6 @@
         Event.CRASH_LOOP_FOUND,
     }
 )
-"""Events that tell what was decided, or what proved it, about one job, task, worker or
-shard. Nothing tells it again, so that a count of them explains no failed request."""
+"""Events that record a decision about one job, task, worker or shard, or its evidence.
+No later line repeats them, and a count of suppressed ones would not explain a failed
+request, so that they have a higher rate limit."""
--- a/trefoilhook/logs/lines.py
+++ b/trefoilhook/logs/lines.py
@@ -1,8 +1,8 @@
-"""Compact JSON lines on standard output that never block the process.
+"""Non-blocking output of compact JSON lines to standard output.
 
-A reader that stops reading fills the pipe; a plain write would then stop the process
-and with it every decision. Here lines that the pipe doesn't take wait in a bounded
-buffer, and past that they are counted, and the count is written once there is room.
+If the reader of a pipe stalls, the pipe fills up and a blocking write would stall the
+whole process. Lines that the pipe doesn't accept are kept in a bounded buffer instead;
+lines beyond it are dropped and counted, and the count is written once there is room.
 """
 
 import json
@@ -20,92 +20,91 @@
 __all__ = ["LineWriter", "configure_line_logs"]
 
 _BUFFER_BYTES = 262_144
-"""Most bytes of lines that wait for the reader: some 1,200 lines, a second of a burst,
-and a thousandth of an instance's memory."""
+"""Buffer size: about 1,200 lines, a second of a burst, and a thousandth of the memory
+of an instance."""
 
 _encode = json.JSONEncoder(separators=(",", ":"), default=str).encode
-"""Built once: building an encoder for each line takes as long as encoding it."""
+"""Shared, as building an encoder for each line takes as long as encoding the line."""
 
 _LEVELS = tuple(Level)
-"""From the least urgent on."""
+"""Levels in ascending order."""
 
 
 @attrs.define(kw_only=True)
 class LineWriter:
-    """Writes lines to a descriptor without ever waiting for it.
+    """Writes lines to a non-blocking file descriptor.
 
     Parameters
     ----------
     write : callable
-        Writes bytes and returns how many were taken; raises ``BlockingIOError`` when
-        there is no room.
+        Writes bytes and returns how many were accepted; raises ``BlockingIOError`` if
+        the descriptor is not writable.
     limit_bytes : int
-        Most bytes that wait.
+        Maximum size of the buffer, in bytes.
 
     Attributes
     ----------
     dropped : int
-        Lines lost since the last one that told so.
+        Lines dropped since the count was last written.
     """
 
     write: Callable[[bytes], int]
     limit_bytes: int = _BUFFER_BYTES
     dropped: int = 0
-    _waiting: bytearray = attrs.Factory(bytearray)
+    _pending: bytearray = attrs.Factory(bytearray)
 
     def add(self, line: str) -> None:
-        """Write a line, or keep it, or count it as lost."""
+        """Write a line, or buffer it, or drop it if the buffer is full."""
         self._flush()
-        if len(self._waiting) + len(line) > self.limit_bytes:
+        if len(self._pending) + len(line) > self.limit_bytes:
             self.dropped += 1
             return
         if self.dropped:
-            self._waiting += f'{{"event":1005,"dropped":{self.dropped}}}\n'.encode()
+            self._pending += f'{{"event":1005,"dropped":{self.dropped}}}\n'.encode()
             self.dropped = 0
-        self._waiting += line.encode() + b"\n"
+        self._pending += line.encode() + b"\n"
         self._flush()
 
     def _flush(self) -> None:
-        while self._waiting:
+        while self._pending:
             try:
-                taken = self.write(bytes(self._waiting))
+                written = self.write(bytes(self._pending))
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more: the lines are lost, the process goes on.
-                self._waiting.clear()
+                # The reader closed the pipe: the lines are lost, the process continues.
+                self._pending.clear()
                 return
-            del self._waiting[:taken]
+            del self._pending[:written]
 
 
 def configure_line_logs(*, instance: str, level: Level = Level.INFO) -> None:
     """Send events to standard output, one compact JSON object a line.
 
-    The library that writes the other formats is passed by: it takes 40 us more for each
-    line, and an owner that starts and ends a thousand tasks a second spends 4 % of a
-    core on that.
+    Bypasses loguru, which takes 40 us more per line: 4 % of a core for an owner that
+    starts and ends a thousand tasks per second.
 
     Parameters
     ----------
     instance : str
-        Name of this instance, put into every line.
+        Name of this instance, included in every line.
     level : Level, optional
-        Least level that is written.
+        Lowest level that is written.
     """
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     writer = LineWriter(write=lambda data: os.write(descriptor, data))
-    written = frozenset(_LEVELS[_LEVELS.index(level) :])
+    enabled_levels = frozenset(_LEVELS[_LEVELS.index(level) :])
 
     def write(event: Event, fields: dict[str, Any]) -> None:
-        if event.level in written:
+        if event.level in enabled_levels:
             writer.add(format_line(event, fields, instance=instance))
 
     set_writer(write)
 
 
 def format_line(event: Event, fields: dict[str, Any], *, instance: str) -> str:
-    """Return an event as a JSON object."""
+    """Return an event as a line of JSON."""
     return _encode(
         {
             "t": round(time.time(), 3),
--- a/trefoilhook/logs/tests/lines.py
+++ b/trefoilhook/logs/tests/lines.py
@@ -1,4 +1,4 @@
-"""Capturing of log lines in tests."""
+"""Helpers that capture log lines in tests."""
 
 from collections import Counter
 from collections.abc import Iterator
--- a/trefoilhook/logs/tests/test_dependencies.py
+++ b/trefoilhook/logs/tests/test_dependencies.py
@@ -1,16 +1,16 @@
-"""A dependency that is lost takes a line, and one when it is back."""
+"""Tests of the lines logged at the start and at the end of an outage."""
 
 import unittest
 
 from trefoilhook.clock import ManualTime, build_manual_clock
 from trefoilhook.logs import CallFailure, DependencyLog, Event
 
-SILENT = CallFailure.NO_ANSWER
-AWAY = CallFailure.TURNED_AWAY
+NO_ANSWER = CallFailure.NO_ANSWER
+TURNED_AWAY = CallFailure.TURNED_AWAY
 
 
 class _Log:
-    """A dependency's log on a time set by hand, with the lines that it wrote."""
+    """A dependency log on manual time, and the lines that it wrote."""
 
     def __init__(self, **fields) -> None:
         self.time = ManualTime()
@@ -19,12 +19,12 @@
             clock=build_manual_clock(self.time),
             lost=Event.STORE_DOWN,
             regained=Event.STORE_BACK,
-            write=lambda event, **told: self.lines.append((event.name, told)),
+            write=lambda event, **fields: self.lines.append((event.name, fields)),
             **fields,
         )
 
     def play(self, *steps) -> None:
-        """Advance to each step's time; None is an answer, the rest are failures."""
+        """Record the result of each step at its time; a reason of None is an answer."""
         for at_ms, call, why, sent_ms in steps:
             self.time.now_ms = at_ms
             if why is None:
@@ -38,41 +38,57 @@
 
 
 class DependencyLogTest(unittest.TestCase):
-    """Which calls make a line."""
+    """Lines written for sequences of answers and failures."""
 
     def test_lines_table(self):
         down, back = "STORE_DOWN", "STORE_BACK"
         table = (
             ("answers only", [(0, "get", None, 0), (9, "get", None, 9)], []),
-            ("one failure", [(5, "get", SILENT, 0)], [down]),
+            ("one failure", [(5, "get", NO_ANSWER, 0)], [down]),
             (
                 "many failures of several callers",
-                [(n, f"c{n % 7}", SILENT, n) for n in range(5000)],
+                [(n, f"c{n % 7}", NO_ANSWER, n) for n in range(5000)],
                 [down],
             ),
             (
                 "lost and back",
-                [(5, "get", SILENT, 0), (6, "watch", SILENT, 0), (9, "get", None, 8)],
+                [
+                    (5, "get", NO_ANSWER, 0),
+                    (6, "watch", NO_ANSWER, 0),
+                    (9, "get", None, 8),
+                ],
                 [down, back],
             ),
             (
                 "turned away, then silent: one outage",
-                [(5, "get", AWAY, 4), (900, "get", SILENT, 6), (990, "get", None, 9)],
+                [
+                    (5, "get", TURNED_AWAY, 4),
+                    (900, "get", NO_ANSWER, 6),
+                    (990, "get", None, 9),
+                ],
                 [down, back],
             ),
             (
                 "sent while it was away, and timed out after it was back",
-                [(5, "a", SILENT, 4), (9, "b", None, 8), (2000, "c", SILENT, 6)],
+                [(5, "a", NO_ANSWER, 4), (9, "b", None, 8), (2000, "c", NO_ANSWER, 6)],
                 [down, back],
             ),
             (
                 "a watch from before it was away is answered meanwhile",
-                [(5, "a", AWAY, 4), (9, "watch", None, 1), (2000, "c", AWAY, 1900)],
+                [
+                    (5, "a", TURNED_AWAY, 4),
+                    (9, "watch", None, 1),
+                    (2000, "c", TURNED_AWAY, 1900),
+                ],
                 [down],
             ),
             (
                 "lost once more later",
-                [(5, "a", SILENT, 4), (9, "b", None, 8), (2000, "c", SILENT, 1000)],
+                [
+                    (5, "a", NO_ANSWER, 4),
+                    (9, "b", None, 8),
+                    (2000, "c", NO_ANSWER, 1000),
+                ],
                 [down, back, down],
             ),
         )
@@ -82,13 +98,13 @@
                 log.play(*steps)
                 self.assertEqual(log.names, expected)
 
-    def test_what_is_told(self):
+    def test_logged_fields(self):
         log = _Log(subject={"worker": "w1"})
         log.play(
             (1000, "get", None, 990),
-            (3000, "watch", SILENT, 2000),
-            (3100, "commit", AWAY, 3050),
-            (3200, "watch", SILENT, 3000),
+            (3000, "watch", NO_ANSWER, 2000),
+            (3100, "commit", TURNED_AWAY, 3050),
+            (3200, "watch", NO_ANSWER, 3000),
             (7000, "get", None, 6990),
         )
         (_, lost), (_, back) = log.lines
@@ -109,27 +125,29 @@
         )
 
     def test_every_other_call_fails_for_ten_seconds(self):
-        # The store loses every other answer, a hundred times a second. A pair of lines
-        # each time would push whatever decides out of the lines that are kept.
+        # The store fails every other call, a hundred times a second. Two lines for each
+        # failure would displace the decisions from the log lines that are retained.
         log = _Log()
         for at_ms in range(0, 10_000, 10):
-            log.play((at_ms, "get", SILENT, at_ms), (at_ms + 5, "get", None, at_ms + 5))
+            log.play(
+                (at_ms, "get", NO_ANSWER, at_ms), (at_ms + 5, "get", None, at_ms + 5)
+            )
         self.assertLessEqual(len(log.lines), 20)
-        lost = [told for name, told in log.lines if name == "STORE_DOWN"]
-        told = len(lost) + sum(told.get("short_losses", 0) for told in lost)
-        self.assertEqual(told, 901)
+        lost = [fields for name, fields in log.lines if name == "STORE_DOWN"]
+        count = len(lost) + sum(fields.get("short_losses", 0) for fields in lost)
+        self.assertEqual(count, 901)
 
-    def test_loss_that_lasts_is_told_though_a_short_one_was_just_told(self):
-        # Back for a moment, then away for good: the second loss is told with the first
-        # call that fails a second after the first line.
+    def test_lasting_outage_is_logged_soon_after_a_short_one(self):
+        # The dependency is back briefly, then lost for long: the second outage is
+        # logged with the first call that fails at least a second after the first line.
         log = _Log()
-        log.play((0, "get", SILENT, 0), (100, "get", None, 90))
-        log.play(*((at, "get", SILENT, at) for at in range(200, 3000, 200)))
+        log.play((0, "get", NO_ANSWER, 0), (100, "get", None, 90))
+        log.play(*((at, "get", NO_ANSWER, at) for at in range(200, 3000, 200)))
         self.assertEqual(log.names, ["STORE_DOWN", "STORE_BACK", "STORE_DOWN"])
         self.assertEqual(log.lines[-1][1]["silent_ms"], 900)
 
-    def test_late_failures_are_told_with_the_next_loss(self):
+    def test_late_failures_are_logged_with_the_next_outage(self):
         log = _Log()
-        log.play((5, "a", SILENT, 4), (9, "b", None, 8), (99, "c", SILENT, 6))
-        log.play((5000, "a", SILENT, 4000))
+        log.play((5, "a", NO_ANSWER, 4), (9, "b", None, 8), (99, "c", NO_ANSWER, 6))
+        log.play((5000, "a", NO_ANSWER, 4000))
         self.assertEqual(log.lines[-1][1]["late_failures"], 1)
--- a/trefoilhook/logs/tests/test_lines.py
+++ b/trefoilhook/logs/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines never block the process, and none is lost without a count."""
+"""Tests of the line writer: it never blocks, and counts the lines that it drops."""
 
 import json
 import unittest
@@ -7,7 +7,7 @@
 
 
 class _Pipe:
-    """A pipe that a test fills and empties."""
+    """A pipe of limited capacity."""
 
     def __init__(self, room: int) -> None:
         self.room = room
@@ -23,7 +23,7 @@
 
 
 class LineWriterTest(unittest.TestCase):
-    """Writing to a reader that is slow, stuck or gone."""
+    """Readers that are slow, stalled or gone."""
 
     def test_line_cut_by_a_full_pipe_is_completed_later(self):
         pipe = _Pipe(room=3)
@@ -34,8 +34,8 @@
         self.assertEqual(pipe.data, b'{"a":1}\n{"b":2}\n')
 
     def test_lines_past_the_buffer_are_counted(self):
-        # The reader of the output is stuck. A plain write would stop the process; here
-        # lines are dropped, and once it reads again it is told how many.
+        # Guards against a stalled reader blocking the process: excess lines are
+        # dropped, and their count is written once the reader continues.
         pipe = _Pipe(room=0)
         writer = LineWriter(write=pipe.write, limit_bytes=20)
         for _ in range(5):
--- a/trefoilhook/metrics/__init__.py
+++ b/trefoilhook/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, with few series."""
+"""OpenTelemetry metrics of bounded cardinality."""
 
 from trefoilhook.metrics.core import MAX_SERIES, Metrics, ReadGauge
 from trefoilhook.metrics.instruments import Instrument, Kind
--- a/trefoilhook/metrics/core.py
+++ b/trefoilhook/metrics/core.py
@@ -1,4 +1,4 @@
-"""Metrics of one instance, by OpenTelemetry, read in the Prometheus text format."""
+"""OpenTelemetry metrics of one instance, exposed in the Prometheus text format."""
 
 from collections.abc import Callable, Iterable
 
@@ -14,14 +14,16 @@
 
 __all__ = ["MAX_SERIES", "Metrics", "ReadGauge"]
 
-#: Returns the values of a gauge now, by the values of its attributes in order.
+#: Returns the current values of an instrument, keyed by its attribute values in order.
 ReadGauge = Callable[[], dict[tuple[str, ...], float]]
 
-#: Most series of one instrument; what is above is counted together.
+#: Maximum number of series of one instrument; further ones share an overflow series.
 MAX_SERIES = 200
 
-_BOUNDED = View(instrument_type=Histogram, aggregation_cardinality_limit=MAX_SERIES)
-_OVERFLOW = "other"
+_CARDINALITY_VIEW = View(
+    instrument_type=Histogram, aggregation_cardinality_limit=MAX_SERIES
+)
+_OVERFLOW_VALUE = "other"
 _MS_PER_S = 1000.0
 
 _DURATION_BOUNDS_S = (
@@ -47,14 +49,14 @@
     Parameters
     ----------
     instance_id, failure_domain, region : str
-        Which instance; shown once, not on each series.
+        Identity of the instance; exposed as resource attributes, not on each series.
 
     Notes
     -----
-    Counters are summed up here and read when the metrics are collected: that costs a
-    dictionary's update a request, a counter of the library about twenty times as much.
-    Failure guarded against: an id that got into an attribute makes one series each
-    and takes the instance's memory; above a bound they share one series.
+    Counters are kept in dictionaries and read when the metrics are collected: one
+    dictionary update per request is about twenty times cheaper than a synchronous
+    counter of the library. The number of series of an instrument is bounded, as an id
+    that is used as an attribute by mistake would otherwise exhaust the memory.
     """
 
     def __init__(self, *, instance_id: str, failure_domain: str, region: str) -> None:
@@ -74,14 +76,14 @@
         self._provider = MeterProvider(
             metric_readers=[self._reader],
             resource=resource,
-            views=[_BOUNDED],
+            views=[_CARDINALITY_VIEW],
             exemplar_filter=AlwaysOffExemplarFilter(),
             shutdown_on_exit=False,
         )
         self._meter = self._provider.get_meter("trefoilhook", __version__)
         self._totals: dict[Instrument, dict[tuple[str, ...], float]] = {}
         self._histograms: dict[Instrument, Histogram] = {}
-        self._sources: dict[Instrument, ReadGauge] = {}
+        self._counter_sources: dict[Instrument, ReadGauge] = {}
         self._build_instruments()
 
     def add(self, instrument: Instrument, amount: int = 1, *values: str) -> None:
@@ -90,15 +92,15 @@
         Parameters
         ----------
         instrument : Instrument
-            Which counter.
+            The counter.
         amount : int, optional
-            How much.
+            The increment.
         *values : str
             Values of the instrument's attributes, in their order.
         """
         totals = self._totals[instrument]
         if values not in totals:
-            values = _admit(instrument, values, len(totals))
+            values = _bound_series(instrument, values, len(totals))
         totals[values] = totals.get(values, 0) + amount
 
     def record(self, instrument: Instrument, duration_ms: float, *values: str) -> None:
@@ -107,7 +109,7 @@
         Parameters
         ----------
         instrument : Instrument
-            Which histogram.
+            The histogram.
         duration_ms : float
             The duration, in ms.
         *values : str
@@ -117,21 +119,21 @@
         self._histograms[instrument].record(duration_ms / _MS_PER_S, attributes)
 
     def watch(self, instrument: Instrument, read: ReadGauge) -> None:
-        """Read a gauge by ``read`` whenever the metrics are collected; once a gauge."""
-        row = instrument.value
+        """Register the callback of a gauge, at most once for each gauge."""
+        spec = instrument.value
         self._meter.create_observable_gauge(
-            row.name,
+            spec.name,
             callbacks=[_build_callback(instrument, read)],
-            unit=row.unit,
-            description=row.description,
+            unit=spec.unit,
+            description=spec.description,
         )
 
     def follow(self, instrument: Instrument, read: ReadGauge) -> None:
-        """Read a counter's totals by ``read`` instead of adding to it here."""
-        self._sources[instrument] = read
+        """Read the totals of a counter from ``read`` instead of those kept by `add`."""
+        self._counter_sources[instrument] = read
 
     def observe_http(self, route: str, status: int, duration_ms: float) -> None:
-        """Record an HTTP answer; fits the admin handler's ``observe``."""
+        """Record an HTTP response; usable as the admin handler's ``observe``."""
         self.record(Instrument.HTTP_DURATION, duration_ms, route, str(status))
 
     def render(self) -> bytes:
@@ -139,33 +141,35 @@
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release what the instruments hold."""
+        """Shut down the meter provider."""
         self._provider.shutdown()
 
     def _build_instruments(self) -> None:
         for instrument in Instrument:
-            row = instrument.value
-            if row.kind is Kind.COUNTER:
+            spec = instrument.value
+            if spec.kind is Kind.COUNTER:
                 self._totals[instrument] = {}
                 self._meter.create_observable_counter(
-                    row.name,
+                    spec.name,
                     callbacks=[
-                        _build_callback(instrument, self._build_read(instrument))
+                        _build_callback(
+                            instrument, self._build_counter_reader(instrument)
+                        )
                     ],
-                    unit=row.unit,
-                    description=row.description,
+                    unit=spec.unit,
+                    description=spec.description,
                 )
-            if row.kind is Kind.HISTOGRAM:
+            if spec.kind is Kind.HISTOGRAM:
                 self._histograms[instrument] = self._meter.create_histogram(
-                    row.name,
-                    unit=row.unit,
-                    description=row.description,
+                    spec.name,
+                    unit=spec.unit,
+                    description=spec.description,
                     explicit_bucket_boundaries_advisory=_DURATION_BOUNDS_S,
                 )
 
-    def _build_read(self, instrument: Instrument) -> ReadGauge:
+    def _build_counter_reader(self, instrument: Instrument) -> ReadGauge:
         def read() -> dict[tuple[str, ...], float]:
-            source = self._sources.get(instrument)
+            source = self._counter_sources.get(instrument)
             return dict(self._totals[instrument]) if source is None else source()
 
         return read
@@ -181,14 +185,16 @@
     return observe
 
 
-def _admit(
+def _bound_series(
     instrument: Instrument, values: tuple[str, ...], series: int
 ) -> tuple[str, ...]:
-    """Return the values to count under, for values not seen before."""
+    """Return new attribute values, or the overflow values if there are too many."""
     wanted = len(instrument.value.attributes)
     if len(values) != wanted:
-        raise ValueError(f"{instrument.value.name} has {wanted} attributes")
-    return values if series < MAX_SERIES else (_OVERFLOW,) * wanted
+        raise ValueError(
+            f"{instrument.value.name} has {wanted} attributes, got {len(values)} values"
+        )
+    return values if series < MAX_SERIES else (_OVERFLOW_VALUE,) * wanted
 
 
 def _build_attributes(
--- a/trefoilhook/metrics/instruments.py
+++ b/trefoilhook/metrics/instruments.py
@@ -1,17 +1,17 @@
-"""The table of instruments; ``docs/operating/metrics.md`` is made from it.
+"""The table of instruments, from which ``docs/METRICS.md`` is generated.
 
-Attributes take few values each: never an id of a request, job, worker or key.
+Attributes must have low cardinality: never the id of a request, job, worker or key.
 """
 
 import enum
 
 import attrs
 
-__all__ = ["Instrument", "Kind", "Row"]
+__all__ = ["Instrument", "Kind", "InstrumentSpec"]
 
 
 class Kind(enum.Enum):
-    """How an instrument is fed."""
+    """Type of an instrument."""
 
     COUNTER = "counter"
     HISTOGRAM = "histogram"
@@ -19,21 +19,21 @@
 
 
 @attrs.frozen(kw_only=True)
-class Row:
-    """One instrument.
+class InstrumentSpec:
+    """Definition of one instrument.
 
     Parameters
     ----------
     name : str
-        Name by OpenTelemetry's conventions.
+        Name, by the OpenTelemetry naming conventions.
     kind : Kind
-        How it is fed.
+        Type of the instrument.
     unit : str
-        Unit in UCUM, ``1`` for none.
+        Unit in UCUM notation; ``1`` if dimensionless.
     attributes : tuple of str
-        Names of the attributes that every measurement carries.
+        Names of the attributes of every measurement.
     description : str
-        For operators.
+        Description for operators.
     """
 
     name: str
@@ -43,8 +43,10 @@
     description: str
 
 
-def _count(name: str, unit: str, description: str, *attributes: str) -> Row:
-    return Row(
+def _build_counter(
+    name: str, unit: str, description: str, *attributes: str
+) -> InstrumentSpec:
+    return InstrumentSpec(
         name=name,
         kind=Kind.COUNTER,
         unit=unit,
@@ -53,8 +55,8 @@
     )
 
 
-def _time(name: str, description: str, *attributes: str) -> Row:
-    return Row(
+def _build_histogram(name: str, description: str, *attributes: str) -> InstrumentSpec:
+    return InstrumentSpec(
         name=name,
         kind=Kind.HISTOGRAM,
         unit="s",
@@ -63,8 +65,10 @@
     )
 
 
-def _gauge(name: str, unit: str, description: str, *attributes: str) -> Row:
-    return Row(
+def _build_gauge(
+    name: str, unit: str, description: str, *attributes: str
+) -> InstrumentSpec:
+    return InstrumentSpec(
         name=name,
         kind=Kind.GAUGE,
         unit=unit,
@@ -76,44 +80,49 @@
 class Instrument(enum.Enum):
     """Every instrument of an instance."""
 
-    HTTP_DURATION = _time(
+    HTTP_DURATION = _build_histogram(
         "http.server.request.duration",
-        "Time from a whole HTTP request to its answer.",
+        "Time from receipt of an HTTP request to its response.",
         "http.route",
         "http.response.status_code",
     )
-    REQUESTS = _count(
+    REQUESTS = _build_counter(
         "trefoilhook.requests",
         "{request}",
         "Callers' requests answered, by result code.",
         "result",
     )
-    STORE_CALLS = _count(
+    STORE_CALLS = _build_counter(
         "trefoilhook.store.calls",
         "{call}",
         "Calls to the store, by outcome.",
         "operation",
         "outcome",
     )
-    INNER_BYTES = _count(
-        "trefoilhook.inner.io", "By", "Bytes between instances.", "direction"
+    INNER_BYTES = _build_counter(
+        "trefoilhook.inner.io",
+        "By",
+        "Bytes sent and received between instances.",
+        "direction",
     )
-    TASK_STARTS = _count(
-        "trefoilhook.task.starts", "{task}", "Start commands of shards now owned."
+    TASK_STARTS = _build_counter(
+        "trefoilhook.task.starts", "{task}", "Start commands of shards owned now."
     )
-    EVICTIONS = _count(
-        "trefoilhook.evictions", "{task}", "Evictions ordered in shards now owned."
+    EVICTIONS = _build_counter(
+        "trefoilhook.evictions", "{task}", "Evict commands of shards owned now."
     )
-    JOBS = _gauge("trefoilhook.jobs", "{job}", "Jobs of owned shards.", "state")
-    QUEUE_LENGTH = _gauge(
-        "trefoilhook.queue.length", "{request}", "Requests that wait for a slot."
+    JOBS = _build_gauge("trefoilhook.jobs", "{job}", "Jobs of owned shards.", "state")
+    QUEUE_LENGTH = _build_gauge(
+        "trefoilhook.queue.length", "{request}", "Requests waiting for a slot."
     )
-    SLOTS = _gauge("trefoilhook.slots", "{slot}", "Slots of owned executors.", "state")
-    SHARDS = _gauge("trefoilhook.shards", "{shard}", "Shards owned.", "kind")
-    PEERS = _gauge("trefoilhook.peers", "{instance}", "Known instances.", "state")
-    STORE_REACHABLE = _gauge(
-        "trefoilhook.store.reachable", "1", "1 while the store answers, else 0."
+    SLOTS = _build_gauge(
+        "trefoilhook.slots", "{slot}", "Slots of owned executors.", "state"
     )
-    CONFIG_REVISION = _gauge(
+    SHARDS = _build_gauge("trefoilhook.shards", "{shard}", "Shards owned.", "kind")
+    PEERS = _build_gauge("trefoilhook.peers", "{instance}", "Known instances.", "state")
+    STORE_REACHABLE = _build_gauge(
+        "trefoilhook.store.reachable", "1", "1 if the store is reachable, else 0."
+    )
+    CONFIG_REVISION = _build_gauge(
         "trefoilhook.config.revision", "1", "Revision of configuration in force here."
     )
--- a/trefoilhook/metrics/tests/__init__.py
+++ b/trefoilhook/metrics/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the metrics."""
+"""Tests of the metrics package."""
--- a/trefoilhook/metrics/tests/test_metrics.py
+++ b/trefoilhook/metrics/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a collector of metrics reads."""
+"""Tests of the exposed metrics."""
 
 import unittest
 
@@ -12,7 +12,7 @@
 
 
 def _read(metrics):
-    """Return values by sample's name and attributes."""
+    """Return the sample values by name and attribute values."""
     text = metrics.render().decode()
     return {
         (sample.name, *sorted(sample.labels.values())): sample.value
@@ -22,7 +22,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """Every instrument, the bound on series, and instances side by side."""
+    """Exposition, the bound on series, and several instances in one process."""
 
     def test_every_instrument_is_read_back(self):
         metrics = _build_metrics()
@@ -56,8 +56,8 @@
                 _build_metrics().add(Instrument.REQUESTS, 1, *values)
 
     def test_series_are_bounded(self):
-        # The memory of an instance grows without end: somebody put an id into an
-        # attribute. Beyond the bound all further values are counted together.
+        # Guards against unbounded memory when an id is used as an attribute by mistake:
+        # beyond the bound all further values are counted in one series.
         metrics = _build_metrics()
         for number in range(3 * MAX_SERIES):
             metrics.add(Instrument.REQUESTS, 1, f"id-{number}")
@@ -72,7 +72,7 @@
                 self.assertLessEqual(len(found), MAX_SERIES + 1)
                 self.assertEqual(sum(found), 3 * MAX_SERIES)
 
-    def test_instances_in_one_process_are_apart(self):
+    def test_instances_in_one_process_are_separate(self):
         first, second = _build_metrics(), _build_metrics()
         first.add(Instrument.REQUESTS, 1, "OK")
         self.assertNotIn(("trefoilhook_requests_total", "OK"), _read(second))
