--- a/trefoilhook/http/__init__.py
+++ b/trefoilhook/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on both sides: h11 for the protocol, trio for the sockets."""
+"""HTTP/1.1 client and server: h11 for the protocol, trio for the sockets."""
 
 from trefoilhook.http.client import HttpClient
 from trefoilhook.http.core import HttpLimits, HttpRequest, HttpResponse
--- a/trefoilhook/http/client.py
+++ b/trefoilhook/http/client.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client that tells what was sent from what was not.
+"""An HTTP/1.1 client that reports whether a failed request may have been sent.
 
-The difference decides whether a request may be sent again: a failure before the first
-byte left proves that the request was not run, any later one proves nothing.
+This decides whether a request may be retried: a failure before the first byte is sent
+proves that the request was not run; after a later failure the outcome is unknown.
 """
 
 import math
@@ -34,10 +34,10 @@
 
 
 def _is_stale(connection: _Connection) -> bool:
-    """Tell whether an idle connection has been closed by the other end.
+    """Tell whether an idle connection has been closed by the peer.
 
-    An idle connection has nothing to read unless it ended; peeking finds that without
-    sending, so that the request can still be proved not sent.
+    An idle connection is readable only once it is closed. Peeking detects that without
+    sending anything, so that the request is still known not to have been sent.
     """
     try:
         connection.socket._sock.recv(1, _PEEK)  # type: ignore[attr-defined]
@@ -48,10 +48,10 @@
     return True
 
 
-def _describe_failure(
+def _classify_failure(
     error: BaseException, protocol: h11.Connection | None = None
 ) -> TransportFailure:
-    """Tell how an exchange failed, by the error that ended it."""
+    """Map the error that ended an exchange to a kind of failure."""
     if isinstance(error, trio.TooSlowError):
         return TransportFailure.TIMED_OUT
     if isinstance(error, trio.BrokenResourceError):
@@ -59,7 +59,7 @@
     if isinstance(error, h11.RemoteProtocolError) and protocol is not None:
         _, has_ended = protocol.trailing_data
         return TransportFailure.CLOSED if has_ended else TransportFailure.OTHER
-    # An attempt to connect fails with a group of one error for each address.
+    # A failed connection attempt raises a group with one error for each address.
     causes = getattr(error.__cause__, "exceptions", (error,))
     if any(isinstance(cause, ConnectionRefusedError) for cause in causes):
         return TransportFailure.REFUSED
@@ -72,15 +72,15 @@
     Parameters
     ----------
     host : str
-        Address of the server, an IP number.
+        IP address of the server.
     port : int
         Port of the server.
     max_connections : int, optional
-        Most connections open at once; further requests wait.
+        Maximum number of open connections; further requests wait.
     max_response_bytes : int, optional
-        Largest response body, in bytes.
+        Maximum size of a response body, in bytes.
     tls : ssl.SSLContext, optional
-        Client context; without one the connections are plain TCP.
+        TLS client context; plain TCP if None.
     """
 
     def __init__(
@@ -102,24 +102,24 @@
     async def send(
         self, request: HttpRequest, *, timeout_ms: float = math.inf
     ) -> HttpResponse:
-        """Send a request and return its whole answer.
+        """Send a request and return the complete response.
 
         Parameters
         ----------
         request : HttpRequest
-            What to send.
+            The request.
         timeout_ms : float, optional
-            Longest time for the whole exchange, in ms.
+            Time-out of the whole exchange, in ms.
 
         Raises
         ------
         NotSentError
-            If it failed or timed out before a byte may have left.
+            If it failed or timed out before any byte may have been sent.
         AnswerLostError
             If it failed or timed out afterwards.
         """
         deadline = trio.current_time() + timeout_ms / _MS_PER_S
-        async with self._limit(deadline):
+        async with self._limit_connections(deadline):
             connection = await self._acquire(deadline)
             keep = False
             try:
@@ -135,7 +135,7 @@
         while self._idle:
             await trio.aclose_forcefully(self._idle.pop().stream)
 
-    def _limit(self, deadline: float) -> "_Turn":
+    def _limit_connections(self, deadline: float) -> "_Turn":
         return _Turn(limiter=self._limiter, deadline=deadline)
 
     async def _acquire(self, deadline: float) -> _Connection:
@@ -150,7 +150,7 @@
         except (OSError, trio.TooSlowError, trio.BrokenResourceError) as error:
             raise NotSentError(
                 f"no connection to {self._host}:{self._port}",
-                failure=_describe_failure(error),
+                failure=_classify_failure(error),
             ) from error
 
     async def _open(self) -> _Connection:
@@ -188,7 +188,7 @@
         ) as error:
             raise AnswerLostError(
                 f"no whole answer from {self._host}:{self._port}",
-                failure=_describe_failure(error, connection.protocol),
+                failure=_classify_failure(error, connection.protocol),
             ) from error
 
     def _encode(self, connection: _Connection, request: HttpRequest) -> bytes:
@@ -217,7 +217,9 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > self._max_response_bytes:
-                    raise AnswerLostError("the response is too large")
+                    raise AnswerLostError(
+                        f"response body over {self._max_response_bytes} bytes"
+                    )
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 return HttpResponse(
@@ -230,12 +232,13 @@
                 )
             elif isinstance(event, h11.ConnectionClosed):
                 raise AnswerLostError(
-                    "the connection ended early", failure=TransportFailure.CLOSED
+                    "connection closed before the end of the response",
+                    failure=TransportFailure.CLOSED,
                 )
 
 
 class _Turn:
-    """Holds one place among the client's connections."""
+    """Context manager that holds one of the client's connection slots."""
 
     def __init__(self, *, limiter: trio.CapacityLimiter, deadline: float) -> None:
         self._limiter = limiter
@@ -245,7 +248,8 @@
     async def __aenter__(self) -> None:
         if trio.current_time() >= self._deadline:
             raise NotSentError(
-                "its time was over before it began", failure=TransportFailure.TIMED_OUT
+                "deadline passed before the request was sent",
+                failure=TransportFailure.TIMED_OUT,
             )
         try:
             self._limiter.acquire_on_behalf_of_nowait(self._borrower)
@@ -257,7 +261,8 @@
                 await self._limiter.acquire_on_behalf_of(self._borrower)
         except trio.TooSlowError as error:
             raise NotSentError(
-                "every connection was busy", failure=TransportFailure.BUSY
+                "deadline passed while all connections were in use",
+                failure=TransportFailure.BUSY,
             ) from error
 
     async def __aexit__(self, *_: object) -> None:
--- a/trefoilhook/http/core.py
+++ b/trefoilhook/http/core.py
@@ -1,4 +1,4 @@
-"""Typed requests and responses, and the limits put on them."""
+"""HTTP requests and responses, and limits on them."""
 
 import json
 from typing import Any
@@ -13,20 +13,20 @@
 
 @attrs.frozen(kw_only=True)
 class HttpLimits:
-    """Bounds that keep one sender from using up the process.
+    """Limits that keep a single client from exhausting the process.
 
     Parameters
     ----------
     max_header_bytes : int
-        Largest request line with headers, in bytes.
+        Maximum size of request line and headers, in bytes.
     max_body_bytes : int
-        Largest body, in bytes.
+        Maximum size of the body, in bytes.
     max_connections : int
-        Most open connections; further ones wait in the listen queue.
+        Maximum number of open connections; further ones wait in the listen queue.
     idle_timeout_ms : float
-        Longest wait for the next request on an open connection, in ms.
+        Time-out for the next request on an open connection, in ms.
     receive_timeout_ms : float
-        Longest time for a whole request to arrive once begun, in ms.
+        Time-out for the receipt of a request once it has begun, in ms.
     """
 
     max_header_bytes: int = 16_384
@@ -46,18 +46,18 @@
 
 @attrs.frozen(kw_only=True)
 class HttpRequest:
-    """One whole request.
+    """A complete HTTP request.
 
     Parameters
     ----------
     method : str
-        Method, in capitals.
+        Method, in upper case.
     target : str
-        Request target, with its query.
+        Request target, including the query.
     headers : tuple of (str, str), optional
         Header names and values.
     body : bytes, optional
-        The whole body.
+        The body.
     """
 
     method: str
@@ -67,20 +67,20 @@
 
     @property
     def path(self) -> str:
-        """Decoded path of the target."""
+        """Percent-decoded path of the target."""
         return unquote(urlsplit(self.target).path)
 
     @property
     def query(self) -> dict[str, str]:
-        """Query parameters; the last of a repeated name counts."""
+        """Query parameters; of a repeated name the last value is used."""
         return dict(parse_qsl(urlsplit(self.target).query))
 
     def get_header(self, name: str) -> str | None:
-        """Return the first header called ``name``, whatever its case."""
+        """Return the first header named ``name``, case-insensitively."""
         return _find_header(self.headers, name)
 
     def parse_json(self) -> Any:
-        """Return the body read as JSON.
+        """Return the body, decoded as JSON.
 
         Raises
         ------
@@ -92,16 +92,16 @@
 
 @attrs.frozen(kw_only=True)
 class HttpResponse:
-    """One whole response.
+    """A complete HTTP response.
 
     Parameters
     ----------
     status : int
         Status code.
     headers : tuple of (str, str), optional
-        Header names and values, without content-length.
+        Header names and values, without ``content-length``.
     body : bytes, optional
-        The whole body.
+        The body.
     """
 
     status: int
@@ -118,9 +118,9 @@
         return cls(status=status, headers=content_type + headers, body=body)
 
     def get_header(self, name: str) -> str | None:
-        """Return the first header called ``name``, whatever its case."""
+        """Return the first header named ``name``, case-insensitively."""
         return _find_header(self.headers, name)
 
     def parse_json(self) -> Any:
-        """Return the body read as JSON."""
+        """Return the body, decoded as JSON."""
         return json.loads(self.body)
--- a/trefoilhook/http/exchange.py
+++ b/trefoilhook/http/exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of JSON with one service over a pool of connections."""
+"""A JSON client for one service, over a connection pool."""
 
 import json
 from collections.abc import Mapping
@@ -15,14 +15,14 @@
 
 
 class JsonClient:
-    """Sends JSON to one service.
+    """Exchanges JSON with one service.
 
     Parameters
     ----------
     address : (str, int)
-        IP number and port of the service.
+        IP address and port of the service.
     max_connections : int
-        Most connections open at once; further calls wait.
+        Maximum number of open connections; further calls wait.
     """
 
     def __init__(self, *, address: tuple[str, int], max_connections: int) -> None:
@@ -40,29 +40,29 @@
         body: Any = None,
         headers: Headers = (),
     ) -> HttpResponse:
-        """Send one call and return its answer, whatever its status.
+        """Send one call and return the response, whatever its status.
 
         Parameters
         ----------
         method : str
-            Method, in capitals.
+            Method, in upper case.
         path : str
-            Path, without its query.
+            Path, without the query.
         timeout_ms : float
-            Longest time for the whole exchange, in ms.
+            Time-out of the whole exchange, in ms.
         query : mapping, optional
             Query parameters.
         body : object, optional
-            Sent as JSON; None sends no body.
+            Request body, sent as JSON; None sends no body.
         headers : tuple of (str, str), optional
-            Further headers.
+            Additional headers.
 
         Raises
         ------
         NotSentError
-            If no byte of the call left.
+            If no byte of the call was sent.
         AnswerLostError
-            If the call left and no whole answer came back.
+            If the call may have been sent and no complete response was received.
         """
         target = path if not query else f"{path}?{urlencode(query)}"
         data = b""
@@ -73,9 +73,9 @@
         try:
             return await self._http.send(request, timeout_ms=timeout_ms)
         except AnswerLostError:
-            # Guards against open connections that went silent together, because
-            # something between the ends forgot them: one call after another would
-            # time out on them. With the idle ones closed, the next call opens anew.
+            # All pooled connections may be dead at once, for example after a middlebox
+            # dropped their state, and each would time out one call. Closing the idle
+            # ones makes the next call open a new connection.
             await self._http.close()
             raise
 
--- a/trefoilhook/http/server.py
+++ b/trefoilhook/http/server.py
@@ -18,25 +18,26 @@
 
 
 class _TooLargeError(Exception):
-    """The body is over its limit."""
+    """The request body exceeds its size limit."""
 
 
 class HttpServer:
-    """A server that answers each request by calling a handler.
+    """A server that passes each request to a handler.
 
     Parameters
     ----------
     handler : callable
-        Awaited once a request; its failure is answered with status 500, but for
-        ``trio.BrokenResourceError``, which closes the connection without an answer.
+        Coroutine function called for each request. An exception is answered with
+        status 500, except that ``trio.BrokenResourceError`` and
+        ``trio.ClosedResourceError`` close the connection without a response.
     host : str
-        Address to listen on, an IP number.
+        IP address to listen on.
     port : int
-        Port to listen on; 0 takes a free one.
+        Port to listen on; 0 selects a free port.
     limits : HttpLimits, optional
-        Bounds on what a client may send.
+        Limits on connections and requests.
     tls : ssl.SSLContext, optional
-        Server context; without one the listener speaks plain TCP.
+        TLS server context; plain TCP if None.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
         self._port = port
         self._limits = limits or HttpLimits()
         self._tls = tls
-        self._slots = trio.CapacityLimiter(self._limits.max_connections)
+        self._connection_limiter = trio.CapacityLimiter(self._limits.max_connections)
         self._idle_scopes: set[trio.CancelScope] = set()
         self._draining = False
         self._busy = 0
@@ -69,7 +70,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled or drained; reports the port once it listens."""
+        """Serve until cancelled or drained; reports the port once it is listening."""
         listeners = await trio.open_tcp_listeners(self._port, host=self._host)
         self.port = listeners[0].socket.getsockname()[1]
         try:
@@ -85,14 +86,14 @@
             self._closed.set()
 
     async def drain(self, *, grace_ms: float) -> None:
-        """Stop accepting, answer what is in progress, then return.
+        """Stop accepting connections, complete the requests in progress, then return.
 
         Parameters
         ----------
         grace_ms : float
-            How long idle connections stay open, in ms. A request that a client sent
-            on one while it was being closed would be cut off; within the grace it is
-            still answered, with ``Connection: close``.
+            How long idle connections stay open, in ms. A request that a client sends
+            on one during this time is answered with ``Connection: close``, instead of
+            being cut off by a connection that is closed at the same moment.
         """
         self._draining = True
         self._listen_scope.cancel()
@@ -104,8 +105,8 @@
         await self._closed.wait()
 
     async def serve_connection(self, raw: trio.SocketStream) -> None:
-        """Serve one connection until it ends; called once for each accepted one."""
-        async with self._slots:
+        """Serve one accepted connection until it is closed."""
+        async with self._connection_limiter:
             stream: trio.abc.Stream = raw
             if self._tls is not None:
                 stream = trio.SSLStream(raw, self._tls, server_side=True)
@@ -156,21 +157,21 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             raise
         except Exception as error:
-            # A fault in one request's handler would otherwise end the listener and
-            # with it every other request of the process.
+            # An exception in one handler must not end the listener and with it all
+            # other requests of the process.
             log_event(Event.HANDLER_FAILED, path=request.path, error=repr(error))
             return HttpResponse(status=500)
 
     async def _receive_request(
         self, stream: trio.abc.Stream, connection: h11.Connection
     ) -> HttpRequest | None:
-        """Read one request; None when the client is gone or idle too long.
+        """Read one request; None if the client has disconnected or timed out idle.
 
         Raises
         ------
         trio.TooSlowError
-            If a request that began does not arrive whole in time: a slow sender
-            would otherwise hold its connection for good.
+            If a request is not received completely in time: a slow sender would
+            otherwise hold its connection indefinitely.
         """
         event: object = connection.next_event()
         if event is h11.NEED_DATA and not connection.trailing_data[0]:
@@ -221,17 +222,17 @@
         self, stream: trio.abc.Stream, connection: h11.Connection, *, timeout_s: float
     ) -> bytes:
         if connection.they_are_waiting_for_100_continue:
-            go_ahead = h11.InformationalResponse(status_code=100, headers=[])
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
             with trio.fail_after(timeout_s) as scope:
-                await stream.send_all(connection.send(go_ahead))
+                await stream.send_all(connection.send(continue_response))
             timeout_s = max(0.0, scope.deadline - trio.current_time())
         chunks: list[bytes] = []
         size = 0
         while True:
             event: object = connection.next_event()
             if event is h11.NEED_DATA:
-                # Most bodies have come with their heads: only one that has not takes
-                # the cost of a deadline.
+                # Most bodies arrive together with the head; only the others incur the
+                # cost of a cancel scope.
                 with trio.fail_after(timeout_s) as scope:
                     event = await self._receive_event(stream, connection)
                 timeout_s = max(0.0, scope.deadline - trio.current_time())
@@ -273,7 +274,7 @@
 
 
 class _PortStatus:
-    """Passes the port on when the listeners report that they have started."""
+    """Task status that reports the port once the listeners have started."""
 
     def __init__(self, outer: trio.TaskStatus[int], port: int) -> None:
         self._outer = outer
--- a/trefoilhook/http/tests/test_exchange.py
+++ b/trefoilhook/http/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Contract of the HTTP client and server with each other."""
+"""Tests of the HTTP client against the HTTP server."""
 
 import unittest
 from functools import partial
@@ -58,7 +58,7 @@
         trio.run(scenario)
 
     def test_closed_connection_is_told_from_silence(self):
-        # Guards against a process that ended being taken for one that is cut off.
+        # Guards against confusing a process that has exited with a network partition.
         async def close(request: HttpRequest) -> HttpResponse:
             raise trio.BrokenResourceError
 
@@ -86,8 +86,8 @@
                 trio.run(scenario, handler, failure)
 
     def test_request_whose_time_is_over_is_proved_not_sent(self):
-        # A request waited until its deadline before its turn came. Nothing may leave,
-        # and its caller may be told "not run" in place of "unknown".
+        # A request whose deadline passed while it was queued must not be sent, so that
+        # its outcome is "not run" and not "unknown".
         async def scenario():
             server = HttpServer(handler=_echo, host=_HOST, port=0)
             async with trio.open_nursery() as nursery:
@@ -103,8 +103,8 @@
         trio.run(scenario)
 
     def test_silence_after_send_is_an_unknown_outcome(self):
-        # The caller's answer never comes. The request did leave, so the client must
-        # not claim that it was not sent.
+        # No response arrives. The request was sent, so the client must not report it
+        # as not sent.
         async def scenario():
             async def hang(request: HttpRequest) -> HttpResponse:
                 await trio.sleep_forever()
@@ -136,8 +136,8 @@
         trio.run(scenario)
 
     def test_failing_handler_ends_only_its_own_request(self):
-        # One request meets a fault in its handler. Its caller gets status 500; every
-        # other caller of the process is still served.
+        # Guards against an exception in one handler ending the server: its caller gets
+        # status 500, and other requests are still served.
         async def scenario():
             async def fail_once(request: HttpRequest) -> HttpResponse:
                 if request.path == "/bad":
@@ -157,8 +157,8 @@
         trio.run(scenario)
 
     def test_drain_answers_the_request_in_progress(self):
-        # An instance is told to stop while a request runs. The caller still gets its
-        # whole answer, because the server closes only connections that are idle.
+        # A shutdown during a request must not cut off its response: the server closes
+        # idle connections only.
         async def scenario():
             entered = trio.Event()
             order: list[str] = []
@@ -181,7 +181,7 @@
                 nursery.start_soon(call, port)
                 await entered.wait()
                 await server.drain(grace_ms=10)
-                # Whoever drains ends the process next, and what still runs with it.
+                # The process exits after the drain and ends whatever still runs.
                 order.append("drained")
             self.assertEqual(order, ["answered", "drained"])
             self.assertEqual(answers[0].body, b"whole")
@@ -190,8 +190,8 @@
         trio.run(scenario)
 
     def test_drain_answers_a_request_that_was_on_its_way(self):
-        # A caller sends on a connection that it keeps, just as the instance begins to
-        # drain. Were idle connections closed at once, its request would be cut off.
+        # A client sends on a kept-alive connection just as the server begins to drain.
+        # If idle connections were closed at once, the request would be cut off.
         async def scenario():
             server = HttpServer(handler=_echo, host=_HOST, port=0)
             async with trio.open_nursery() as nursery:
@@ -210,8 +210,8 @@
         trio.run(scenario)
 
     def test_connection_that_the_server_closed_is_not_used(self):
-        # The server closed a kept connection. A request written to it would have an
-        # unknown outcome for nothing, so the client takes a new connection.
+        # A request sent on a kept-alive connection that the server closed would have an
+        # unknown outcome needlessly, so the client opens a new connection.
         async def scenario():
             limits = HttpLimits(idle_timeout_ms=1)
             server = HttpServer(handler=_echo, host=_HOST, port=0, limits=limits)
