--- a/trefoilhook/configuration/core.py
+++ b/trefoilhook/configuration/core.py
@@ -191,7 +191,7 @@
         Raises
         ------
         RequestError
-            If a part that the author may not change differs; nothing changed.
+            If a part that the author may not change would change; nothing changed.
         InvalidSettingsError
             If the resulting subtree would be invalid; nothing changed.
         ConfigurationConflictError
--- a/trefoilhook/configuration/tests/test_editor.py
+++ b/trefoilhook/configuration/tests/test_editor.py
@@ -125,7 +125,7 @@
             self.read(_TIMEOUT)
         self.assertIs(caught.exception.code, ResultCode.NOT_FOUND)
 
-    def test_the_whole_is_checked_before_it_is_accepted(self):
+    def test_resulting_subtree_is_validated_before_it_is_accepted(self):
         self.put(_TIMEOUT, 900)
         before = self.read()
         cases = (
--- a/trefoilhook/http/tests/test_exchange.py
+++ b/trefoilhook/http/tests/test_exchange.py
@@ -57,7 +57,7 @@
 
         trio.run(scenario)
 
-    def test_closed_connection_is_told_from_silence(self):
+    def test_closed_connection_is_distinguished_from_silence(self):
         # Guards against confusing a process that has exited with a network partition.
         async def close(request: HttpRequest) -> HttpResponse:
             raise trio.BrokenResourceError
@@ -85,7 +85,7 @@
             with self.subTest(failure):
                 trio.run(scenario, handler, failure)
 
-    def test_request_whose_time_is_over_is_proved_not_sent(self):
+    def test_expired_request_is_proved_not_sent(self):
         # A request whose deadline passed while it was queued must not be sent, so that
         # its outcome is "not run" and not "unknown".
         async def scenario():
@@ -189,7 +189,7 @@
 
         trio.run(scenario)
 
-    def test_drain_answers_a_request_that_was_on_its_way(self):
+    def test_drain_answers_a_request_in_flight(self):
         # A client sends on a kept-alive connection just as the server begins to drain.
         # If idle connections were closed at once, the request would be cut off.
         async def scenario():
--- a/trefoilhook/logs/tests/test_lines.py
+++ b/trefoilhook/logs/tests/test_lines.py
@@ -46,7 +46,7 @@
         self.assertEqual(lines[-2], {"event": 1005, "dropped": 3})
         self.assertEqual(lines[-1], {})
 
-    def test_reader_that_is_gone_does_no_harm(self):
+    def test_closed_pipe_is_ignored(self):
         def write(data: bytes) -> int:
             raise BrokenPipeError
 
