--- a/trefoilhook/configuration/document.py
+++ b/trefoilhook/configuration/document.py
@@ -88,9 +88,7 @@
     """
     value = json.dumps(dump_json(document), separators=(",", ":")).encode()
     if len(value) > MAX_DOCUMENT_BYTES:
-        message = (
-            f"the configuration exceeds {MAX_DOCUMENT_BYTES} bytes: {len(value)} bytes"
-        )
+        message = f"the configuration exceeds {MAX_DOCUMENT_BYTES} bytes"
         raise RequestError(message, code=ResultCode.TOO_LARGE)
     return value
 
--- a/trefoilhook/logs/tests/test_dependencies.py
+++ b/trefoilhook/logs/tests/test_dependencies.py
@@ -19,7 +19,7 @@
             clock=build_manual_clock(self.time),
             lost=Event.STORE_DOWN,
             regained=Event.STORE_BACK,
-            write=lambda event, **fields: self.lines.append((event.name, fields)),
+            write=lambda event, **logged: self.lines.append((event.name, logged)),
             **fields,
         )
 
