--- a/trefoilhook/command/tests/test_burn.py
+++ b/trefoilhook/command/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""``burn`` on log files of several processes."""
+"""Tests of ``burn`` on log files of several processes."""
 
 import json
 import tempfile
@@ -7,7 +7,7 @@
 
 from cleo.testers.application_tester import ApplicationTester
 
-from trefoilhook.command import USAGE_EXIT, build_application
+from trefoilhook.command import USAGE_EXIT_CODE, build_application
 
 
 def _line(instance: str, event: str, **fields) -> str:
@@ -20,7 +20,7 @@
 
 
 class BurnCommandTest(unittest.TestCase):
-    """What it prints, and its exit codes."""
+    """Output and exit codes of the command."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -56,14 +56,14 @@
         self.assertEqual(code, 0)
         self.assertIn("jobs/seats", page.read_text(encoding="utf-8"))
 
-    def test_exits_table(self):
+    def test_exit_codes(self):
         empty = self.directory / "empty"
         empty.touch()
         table = (
             (f"--log {empty}", 1),
-            (f"--log {self.directory / 'none'}", USAGE_EXIT),
-            (f"{self.logs} --target 1", USAGE_EXIT),
-            (f"{self.logs} --target much", USAGE_EXIT),
+            (f"--log {self.directory / 'none'}", USAGE_EXIT_CODE),
+            (f"{self.logs} --target 1", USAGE_EXIT_CODE),
+            (f"{self.logs} --target much", USAGE_EXIT_CODE),
         )
         for arguments, expected in table:
             with self.subTest(arguments):
--- a/trefoilhook/scheduling/tests/test_evacuations.py
+++ b/trefoilhook/scheduling/tests/test_evacuations.py
@@ -153,8 +153,8 @@
         evacuate(shard, EAST)
         shard.submit(build_job())
         task = next(iter(shard.scheduler.waiting))
-        suspicion = shard.scheduler.suspects.suspect(task)
-        suspicion.take_loss(1, "w", 5000.0, proved=True)
+        suspicion = shard.scheduler.suspects.get_or_add(task)
+        suspicion.record_loss(1, "w", 5000.0, proved=True)
         self.assertEqual(len(shard.plan()), 0)
         shard.save()
         self.assertEqual(step_and_list_workers(shard), ["w1"])
@@ -303,7 +303,7 @@
         report = shard.scheduler.workers[order.worker_id].report
         shard.scheduler.update_worker(attrs.evolve(report, draining=True))
         (stop,) = shard.step()
-        self.assertIs(stop.reason, StopReason.WORKER_LEAVES)
+        self.assertIs(stop.reason, StopReason.WORKER_DRAINING)
         self.assertEqual(step_and_list_workers(shard), [])
         shard.add_worker("w2", failure_domain=WEST)
         self.assertEqual(step_and_list_workers(shard), ["w2"])
@@ -371,7 +371,7 @@
         for _ in range(4):
             shard.step()
         task = next(iter(shard.scheduler.jobs["j"].tasks.values()))
-        reason = shard.scheduler.waits.find_main(name_step(task.task))
+        reason = shard.scheduler.waits.get_main_reason(name_step(task.task))
         self.assertIs(reason, WaitReason.EVACUATED)
 
     def test_backlog_counts_open_workers(self):
