--- a/trefoilhook/daemon/__init__.py
+++ b/trefoilhook/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: puts the parts of an instance together and runs them."""
+"""The daemon: wires the components of an instance together and runs them."""
 
 from trefoilhook.daemon.core import Addresses, Instance
 from trefoilhook.daemon.settings import DaemonSettings, LogSettings
--- a/trefoilhook/daemon/__main__.py
+++ b/trefoilhook/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""``trefoilhookd``: one instance as a process of its own."""
+"""``trefoilhookd``: command line entry point that runs one instance."""
 
 import json
 import signal
@@ -21,11 +21,11 @@
 
 __all__ = ["main"]
 
-_BAD_SETTINGS_EXIT = 2
+_INVALID_SETTINGS_EXIT_CODE = 2
 
 
 class _DaemonCommand(Command):
-    """Runs one instance until it is told to stop."""
+    """Runs one instance until it receives a termination signal."""
 
     name = "run"
     description = "Run one instance of trefoilhook."
@@ -36,16 +36,16 @@
     ]
 
     def handle(self) -> int:
-        """Check the settings, then run."""
+        """Validate the settings, then run the instance."""
         path = self.option("settings")
         try:
             settings = load_settings(DaemonSettings, Path(path)) if path else None
         except SettingsError as error:
             self.line_error(str(error))
-            return _BAD_SETTINGS_EXIT
+            return _INVALID_SETTINGS_EXIT_CODE
         if settings is None:
             self.line_error("--settings FILE is required")
-            return _BAD_SETTINGS_EXIT
+            return _INVALID_SETTINGS_EXIT_CODE
         if self.option("check-settings"):
             self.line("The settings are valid.")
             return 0
@@ -67,17 +67,17 @@
 
 
 async def _wait_for_signal(instance: Instance, scope: trio.CancelScope) -> None:
-    """Leave gracefully on the first signal, at once on the second."""
+    """Shut down gracefully on the first signal, immediately on the second."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             if instance.is_leaving:
                 scope.cancel()
                 return
-            instance.begin_leaving()
+            instance.begin_shutdown()
 
 
 def main() -> None:
-    """Run the daemon and exit with its code."""
+    """Run the command line application and exit with its exit code."""
     application = Application("trefoilhookd", __version__)
     application.add(_DaemonCommand())
     program, *arguments = sys.argv
--- a/trefoilhook/daemon/backend.py
+++ b/trefoilhook/daemon/backend.py
@@ -1,4 +1,4 @@
-"""What an instance does for the admin API."""
+"""Implementation of the admin API's backend on the components of an instance."""
 
 from collections.abc import Callable
 
@@ -45,37 +45,37 @@
 __all__ = ["InstanceBackend"]
 
 _STATUS_TIMEOUT_MS = 1_000.0
-_POLL_MS = 50.0
+_IN_FORCE_POLL_INTERVAL_MS = 50.0
 
 
 @attrs.define(kw_only=True)
 class InstanceBackend:
-    """The admin API's way into the parts of an instance.
+    """Serves the admin API from the components of an instance.
 
     Parameters
     ----------
     identity : InstanceSettings
-        Where the instance stands.
+        Failure domain and region of the instance.
     membership : Membership
-        Members and mirror.
+        Members and mirror of the store.
     ownership : Ownership
-        Shards.
+        Shards and their owners.
     inner : InnerNode
         Links to the peers.
     jobs : JobService
-        Jobs.
+        Service that records, reads and cancels jobs.
     view : ConfigurationView
         Configuration in force.
     ledger : BurnLedger
         Counts for the report on service-level burn.
     metrics : Metrics
-        Instruments.
+        Instruments to render.
     clock : Clock
-        Time.
-    begin_leaving : callable
+        Source of wall and monotonic time.
+    begin_shutdown : callable
         Starts the graceful shutdown.
-    has_backends : callable
-        Whether the instance list has been read.
+    is_instance_list_loaded : callable
+        Returns whether the instance list has been read.
     """
 
     identity: InstanceSettings
@@ -87,17 +87,17 @@
     ledger: BurnLedger
     metrics: Metrics
     clock: Clock
-    begin_leaving: Callable[[], None]
-    has_backends: Callable[[], bool]
+    begin_shutdown: Callable[[], None]
+    is_instance_list_loaded: Callable[[], bool]
     is_leaving: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self.inner.handle(StatusRequest, self._answer_status)
-        self.inner.handle(DrainRequest, self._answer_drain)
+        self.inner.handle(StatusRequest, self._handle_status)
+        self.inner.handle(DrainRequest, self._handle_drain)
 
     async def read_status(self) -> ClusterStatus:
-        """Return instances, shards, revision and store health."""
-        instances = await self._ask_all(StatusRequest())
+        """Return instances, shards, revision in force and health of the store."""
+        instances = await self._query_members(StatusRequest())
         revisions = [i.applied_revision for i in instances if i.state != "unreachable"]
         shards = tuple(
             ShardStatus(
@@ -118,22 +118,22 @@
         )
 
     async def drain_instance(self, instance_id: str) -> None:
-        """Make an instance hand over its shards and leave."""
+        """Ask an instance to hand over its shards and shut down."""
         if instance_id not in self.membership.members:
-            message = f"no instance {instance_id}"
+            message = f"unknown instance {instance_id}"
             raise RequestError(message, code=ResultCode.NOT_FOUND)
         await self.inner.call(
             instance_id, DrainRequest(), timeout_ms=_STATUS_TIMEOUT_MS
         )
 
     async def declare_gone(self, instance_id: str) -> None:
-        """Record that an instance is gone for good."""
+        """Record that an instance has stopped permanently."""
         if instance_id == self.membership.instance_id:
-            raise RequestError("it is this instance that answers")
+            raise RequestError("an instance cannot declare itself gone")
         await self.membership.declare_gone(instance_id)
 
     async def submit_job(self, submission: JobSubmission) -> JobRecord:
-        """Record a job durably; the same id again returns the job recorded first."""
+        """Record a job durably; a repeated id returns the job recorded first."""
         body = submission.body
         message = JobSubmit(
             job_id=submission.job_id,
@@ -151,7 +151,7 @@
             payload=body.payload,
             task_class=body.task_class,
         )
-        return _read_view(await self.jobs.submit(message))
+        return _build_job_record(await self.jobs.submit(message))
 
     async def list_jobs(self, query: JobQuery) -> JobListing:
         """Return a page of a team's jobs."""
@@ -162,7 +162,7 @@
             limit=query.limit,
         )
         return JobListing(
-            jobs=tuple(_read_view(view) for view in page.jobs),
+            jobs=tuple(_build_job_record(view) for view in page.jobs),
             next_after=page.next_after_job_id,
         )
 
@@ -170,12 +170,12 @@
         self, *, team: str, job_id: str, is_explained: bool
     ) -> JobRecord:
         """Return one job."""
-        return _read_view(
+        return _build_job_record(
             await self.jobs.read(team=team, job_id=job_id, is_explained=is_explained)
         )
 
     async def cancel_jobs(self, *, team: str, job_ids: tuple[str, ...]) -> CancelReport:
-        """Cancel jobs and tell what became of each."""
+        """Cancel jobs and report the result for each."""
         found = await self.jobs.cancel(team=team, job_ids=job_ids)
         refused = tuple(
             CancelRefusal(
@@ -189,21 +189,21 @@
         return CancelReport(cancelled=tuple(found), refused=refused)
 
     async def wait_in_force(self, *, revision: int, timeout_ms: float) -> InForceReport:
-        """Wait until a revision is in force on every live instance, or for a time."""
+        """Wait until a revision is in force on every live instance or time is up."""
         deadline_ms = self.clock.monotonic_ms() + timeout_ms
         while True:
             rows = tuple(
                 InstanceRevision(
                     instance_id=status.instance_id, revision=status.applied_revision
                 )
-                for status in await self._ask_all(StatusRequest())
+                for status in await self._query_members(StatusRequest())
             )
             is_in_force = all(row.revision >= revision for row in rows)
             if is_in_force or self.clock.monotonic_ms() >= deadline_ms:
                 return InForceReport(
                     revision=revision, is_in_force=is_in_force, instances=rows
                 )
-            await self.clock.sleep_ms(_POLL_MS)
+            await self.clock.sleep_ms(_IN_FORCE_POLL_INTERVAL_MS)
 
     async def read_burn(self, *, team: str | None) -> BurnReport:
         """Return the report on service-level burn, merged over the instances."""
@@ -216,12 +216,12 @@
         )
 
     def check_ready(self) -> ReadyReport:
-        """Tell whether a balancer should send to this instance."""
+        """Return whether a load balancer should send requests to this instance."""
         if self.is_leaving:
             return ReadyReport(is_ready=False, reason="leaving")
         if not self.membership.follower.is_filled:
             return ReadyReport(is_ready=False, reason="no configuration yet")
-        if not self.has_backends():
+        if not self.is_instance_list_loaded():
             return ReadyReport(is_ready=False, reason="no instance list yet")
         return ReadyReport(is_ready=True)
 
@@ -230,17 +230,19 @@
         return self.metrics.render()
 
     async def gather_burn(self) -> None:
-        """Take in what the instances have counted, so that a lost one's is kept."""
-        await self._ask_all(StatusRequest(is_burn_wanted=True))
+        """Merge the burn counts of all instances, so that a lost one's are kept."""
+        await self._query_members(StatusRequest(is_burn_wanted=True))
 
-    async def _ask_all(self, request: StatusRequest) -> tuple[InstanceStatus, ...]:
+    async def _query_members(
+        self, request: StatusRequest
+    ) -> tuple[InstanceStatus, ...]:
         found: dict[str, InstanceStatus] = {}
         async with trio.open_nursery() as nursery:
             for member in self.membership.members:
-                nursery.start_soon(self._ask, member, request, found)
+                nursery.start_soon(self._query_member, member, request, found)
         return tuple(found[instance_id] for instance_id in sorted(found))
 
-    async def _ask(
+    async def _query_member(
         self,
         member: Member,
         request: StatusRequest,
@@ -270,7 +272,7 @@
             shard_count=len(answer.shard_ids),
         )
 
-    async def _answer_status(self, call: Call) -> StatusAnswer:
+    async def _handle_status(self, call: Call) -> StatusAnswer:
         is_burn_wanted = getattr(call.message, "is_burn_wanted", False)
         return StatusAnswer(
             instance_id=self.membership.instance_id,
@@ -283,12 +285,12 @@
             burn=self.ledger.encode_part() if is_burn_wanted else "",
         )
 
-    async def _answer_drain(self, call: Call) -> Empty:
-        self.begin_leaving()
+    async def _handle_drain(self, call: Call) -> Empty:
+        self.begin_shutdown()
         return Empty()
 
 
-def _read_view(view: JobView) -> JobRecord:
+def _build_job_record(view: JobView) -> JobRecord:
     return JobRecord(
         job_id=view.job_id,
         team=view.team,
--- a/trefoilhook/daemon/backends.py
+++ b/trefoilhook/daemon/backends.py
@@ -1,4 +1,4 @@
-"""The instance list as last read, for executors and workers."""
+"""Periodically refreshed copy of the instance list of executors and workers."""
 
 import attrs
 import trio
@@ -20,16 +20,16 @@
 
 @attrs.define(kw_only=True)
 class BackendList:
-    """Follows the instance list; the last one read stays while it is away.
+    """Polls the instance list, and keeps the last copy while it is unavailable.
 
     Parameters
     ----------
     client : InstanceListClient
-        Adapter to the list.
+        Client of the instance list.
     clock : Clock
-        Time.
+        Source of the time between polls.
     interval_ms : float
-        Time between two readings, in ms.
+        Time between two polls, in ms.
     """
 
     client: InstanceListClient
@@ -39,32 +39,33 @@
         factory=lambda: BackendPage(executors=(), workers=(), age_ms=0.0)
     )
     _targets: tuple[ExecutorTarget, ...] = ()
-    is_read: bool = False
+    is_loaded: bool = False
 
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Read the list again and again until cancelled; reports after the first try.
+        """Poll the list until cancelled; reports as started after the first attempt.
 
-        An instance that served before would refuse its callers for want of executors.
+        An instance that served requests earlier than that would refuse them, because it
+        knows no executors.
         """
         while True:
             try:
                 self._page = await self.client.list_backends()
                 self._targets = tuple(map(_describe, self._page.executors))
-                self.is_read = True
+                self.is_loaded = True
             except TrefoilhookError as error:
                 log_event(Event.LIST_DOWN, reason=str(error))
             task_status.started()
             task_status = trio.TASK_STATUS_IGNORED
             await self.clock.sleep_ms(self.interval_ms)
 
-    def list_targets(self) -> tuple[ExecutorTarget, ...]:
-        """Return the executors."""
+    def list_executors(self) -> tuple[ExecutorTarget, ...]:
+        """Return the executors of the last copy."""
         return self._targets
 
     def list_workers(self) -> tuple[WorkerRecord, ...]:
-        """Return the workers."""
+        """Return the workers of the last copy."""
         return self._page.workers
 
 
--- a/trefoilhook/daemon/builders.py
+++ b/trefoilhook/daemon/builders.py
@@ -1,4 +1,4 @@
-"""Building of an instance's parts from its settings."""
+"""Factories for the components of an instance, configured from its settings."""
 
 from collections.abc import Awaitable, Callable
 
@@ -28,7 +28,7 @@
 
 
 def build_store(settings: DaemonSettings, clock: Clock) -> StoreClient:
-    """Build the adapter to the platform's store."""
+    """Build the client of the platform's store."""
     return StoreClient(
         host=settings.store.host,
         port=settings.store.port,
@@ -39,7 +39,7 @@
 
 
 def build_backends(settings: DaemonSettings, clock: Clock) -> BackendList:
-    """Build the follower of the platform's instance list."""
+    """Build the poller of the platform's instance list."""
     client = InstanceListClient(
         host=settings.instances.host,
         port=settings.instances.port,
@@ -52,7 +52,7 @@
 
 
 def build_inner(settings: DaemonSettings, clock: Clock, instance_id: str) -> InnerNode:
-    """Build the links to the peers."""
+    """Build the node that holds the links to the peers."""
     listener = settings.listeners.inner
     return InnerNode(
         instance_id=instance_id,
@@ -68,7 +68,10 @@
 def build_membership(
     settings: DaemonSettings, clock: Clock, *, store: StoreClient, inner: InnerNode
 ) -> Membership:
-    """Build the membership of an instance whose inner listener has its port."""
+    """Build the membership of an instance.
+
+    The inner listener must be bound already, because its port is published.
+    """
     member = Member(
         instance_id=inner.instance_id,
         incarnation="",
@@ -99,7 +102,7 @@
     listener: ListenerSettings,
     handler: Callable[[HttpRequest], Awaitable[HttpResponse]],
 ) -> HttpServer:
-    """Build the server of a listener."""
+    """Build the HTTP server of a listener."""
     return HttpServer(
         handler=handler,
         host=listener.host,
@@ -109,7 +112,7 @@
 
 
 def build_worker(address: WorkerAddress, clock: Clock) -> WorkerClient:
-    """Build the adapter to a worker."""
+    """Build the client of a worker."""
     return WorkerClient(
         worker_id=address.worker_id,
         host=address.host,
--- a/trefoilhook/daemon/core.py
+++ b/trefoilhook/daemon/core.py
@@ -1,4 +1,4 @@
-"""One instance: its parts, how they are started and how they leave."""
+"""One instance: wiring, start-up order and graceful shutdown of its components."""
 
 import uuid
 from collections.abc import Awaitable, Callable
@@ -20,10 +20,10 @@
     build_worker,
 )
 from trefoilhook.daemon.gauges import (
-    watch_configuration,
-    watch_jobs,
-    watch_membership,
-    watch_requests,
+    register_configuration_metrics,
+    register_job_metrics,
+    register_membership_metrics,
+    register_request_metrics,
 )
 from trefoilhook.daemon.settings import DaemonSettings
 from trefoilhook.daemon.teams import build_team_view, find_objective, find_quota
@@ -46,20 +46,20 @@
 
 _ROOT = "root"
 _SWAP_TIMEOUT_MS = 2_000.0
-_SHARE_INTERVAL_MS = 60_000.0
-_MET = frozenset({Rights.PROVED_DEAD, Rights.NO_PREVIOUS_OWNER})
+_BURN_GATHER_INTERVAL_MS = 60_000.0
+_PREDECESSOR_GONE_RIGHTS = frozenset({Rights.PROVED_DEAD, Rights.NO_PREVIOUS_OWNER})
 
 
 @attrs.frozen(kw_only=True)
 class Addresses:
-    """Ports that an instance listens on, once it does.
+    """Ports of a running instance.
 
     Parameters
     ----------
     instance_id : str
-        The instance.
+        Identifier of the instance.
     entry_port, admin_port, inner_port : int
-        Callers', operators' and peers' port.
+        Ports for callers, operators and peers.
     """
 
     instance_id: str
@@ -74,9 +74,9 @@
     Parameters
     ----------
     settings : DaemonSettings
-        Everything that it is told.
+        Settings of the daemon.
     clock : Clock
-        Time.
+        Source of wall and monotonic time.
     """
 
     def __init__(self, *, settings: DaemonSettings, clock: Clock) -> None:
@@ -96,8 +96,8 @@
         self._backends = build_backends(settings, clock)
         self._inner = build_inner(settings, clock, self.instance_id)
 
-    def begin_leaving(self) -> None:
-        """Start the graceful shutdown; ``run`` returns when it is done."""
+    def begin_shutdown(self) -> None:
+        """Start the graceful shutdown; ``run`` returns once it is complete."""
         self._leaving.set()
 
     @property
@@ -108,19 +108,22 @@
     async def run(
         self, *, task_status: trio.TaskStatus[Addresses] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Run until the graceful shutdown is done; reports the ports."""
+        """Run until the graceful shutdown is complete.
+
+        Reports the ports to the nursery once every listener accepts connections.
+        """
         async with trio.open_nursery() as nursery:
             inner_port: int = await nursery.start(self._inner.run)
-            self._build_parts()
+            self._build_components()
             await nursery.start(self.membership.run)
-            self._read_configuration()
+            self._apply_configuration()
             nursery.start_soon(self._follow_configuration)
             await nursery.start(self._backends.run)
             nursery.start_soon(self._follow_ownership)
             nursery.start_soon(self.ownership.run)
             nursery.start_soon(self.jobs.run)
             await nursery.start(self.requests.run)
-            nursery.start_soon(self._share_ledger)
+            nursery.start_soon(self._gather_burn_periodically)
             admin_port = await nursery.start(self._admin_server.run)
             entry_port = await nursery.start(self._entry_server.run)
             addresses = Addresses(
@@ -137,24 +140,24 @@
         self.metrics.close()
         log_event(Event.STOPPED, instance=self.instance_id)
 
-    def _build_parts(self) -> None:
+    def _build_components(self) -> None:
         self._build_membership()
         self._build_requests()
         self._build_jobs()
         self._build_admin()
-        self._watch_parts()
+        self._register_metrics()
 
-    def _watch_parts(self) -> None:
-        watch_membership(
+    def _register_metrics(self) -> None:
+        register_membership_metrics(
             self.metrics,
             membership=self.membership,
             ownership=self.ownership,
             inner=self._inner,
             store=self._store,
         )
-        watch_requests(self.metrics, self.requests)
-        watch_jobs(self.metrics, self.jobs)
-        watch_configuration(self.metrics, self.view)
+        register_request_metrics(self.metrics, self.requests)
+        register_job_metrics(self.metrics, self.jobs)
+        register_configuration_metrics(self.metrics, self.view)
 
     def _build_membership(self) -> None:
         settings = self._settings
@@ -181,12 +184,12 @@
             ownership=self.ownership,
             inner=self._inner,
             teams=teams,
-            list_executors=self._backends.list_targets,
+            list_executors=self._backends.list_executors,
             list_peers=self._list_peers,
         )
         self._inner.handle(ServiceRequest, self.requests.handle_inner)
         self._inner.handle(ExecutorLoads, self.requests.handle_loads)
-        self.ownership.add_releaser(self._release_requests)
+        self.ownership.add_releaser(self._export_handover)
         self.ownership.add_receiver(self.requests.take_handover)
         self._ownership_changes = self.ownership.subscribe()
         self._entry_server = build_server(
@@ -194,7 +197,7 @@
             build_entry_handler(
                 instance_id=self.instance_id,
                 teams=teams,
-                handle_caller=self._count_caller,
+                handle_caller=self._handle_caller,
             ),
         )
 
@@ -225,8 +228,8 @@
             ledger=self.ledger,
             metrics=self.metrics,
             clock=self._clock,
-            begin_leaving=self.begin_leaving,
-            has_backends=lambda: self._backends.is_read,
+            begin_shutdown=self.begin_shutdown,
+            is_instance_list_loaded=lambda: self._backends.is_loaded,
         )
         editor = ConfigurationEditor(
             get=self._store.get,
@@ -270,9 +273,9 @@
         )
 
     def _choose_policy(self) -> Policy:
-        """Choose the policy that most teams ask for.
+        """Return the placement policy that the majority of teams configured.
 
-        Workers are shared by all teams, so one objective decides on them.
+        All teams share the workers, so a single policy applies to all of them.
         """
         presets = [
             configuration.placement.preset
@@ -282,8 +285,8 @@
         wants_throughput = presets.count("throughput-first") * 2 > len(presets)
         return THROUGHPUT_FIRST if wants_throughput else LATENCY_FIRST
 
-    async def _count_caller(self, request: CallerRequest) -> CallerAnswer:
-        """Serve a request, and count its answer and how long it took."""
+    async def _handle_caller(self, request: CallerRequest) -> CallerAnswer:
+        """Handle a request and record its result code and latency."""
         started_ms = self._clock.monotonic_ms()
         answer = await self.requests.handle_caller(request)
         self.metrics.add(Instrument.REQUESTS, 1, str(answer.code.number))
@@ -298,17 +301,21 @@
             )
         return answer
 
-    async def _release_requests(self, shard_id: str, epoch: int) -> ShardHandover:
+    async def _export_handover(self, shard_id: str, epoch: int) -> ShardHandover:
         return self.requests.export_handover(shard_id, epoch)
 
     async def _follow_ownership(self) -> None:
-        """Pass on to the request path what is known of a shard's former owner."""
+        """Forward ownership changes to the request service.
+
+        The request service is told when the previous owner of a shard is known to
+        be gone, or when there was none.
+        """
         async for change in self._ownership_changes:
             self.requests.follow_ownership()
-            if change.is_owned and change.rights in _MET:
+            if change.is_owned and change.rights in _PREDECESSOR_GONE_RIGHTS:
                 self.requests.note_predecessor_gone(change.shard_id)
 
-    def _read_configuration(self) -> None:
+    def _apply_configuration(self) -> None:
         mirror = self.membership.follower.mirror
         self.view.apply(mirror.entries)
         present = {entry.key for entry in mirror.entries}
@@ -320,36 +327,37 @@
 
     async def _follow_configuration(self) -> None:
         async for _ in self.membership.follower.subscribe():
-            self._read_configuration()
+            self._apply_configuration()
 
-    async def _share_ledger(self) -> None:
-        """Ask the peers for their counts, so that those of a lost one are kept."""
+    async def _gather_burn_periodically(self) -> None:
+        """Collect the burn counts of the peers, so that they survive a peer's loss."""
         while True:
-            await self._clock.sleep_ms(_SHARE_INTERVAL_MS)
+            await self._clock.sleep_ms(_BURN_GATHER_INTERVAL_MS)
             await self.backend.gather_burn()
 
     async def _leave(self) -> None:
-        """Hand over, finish what is in progress, and go.
+        """Hand over the shards, finish requests in progress and leave the cluster.
 
-        The entry goes on serving until its shards are elsewhere and the balancer has
-        seen that the instance is not ready; the inner listener closes last, since a
-        refused connection tells the peers that this process acts for nothing.
+        The entry listener serves until the shards have moved to other instances and
+        the load balancer has seen that the instance is not ready. The inner listener
+        closes last, because peers take a refused connection as proof that this process
+        no longer acts as an owner.
         """
         log_event(Event.STOPPING, instance=self.instance_id)
         self.backend.is_leaving = True
         shutdown = self._settings.shutdown
         with trio.move_on_after(shutdown.handover_ms / 1000.0):
-            await self._try(self.membership.announce_leaving)
+            await self._run_store_step(self.membership.announce_leaving)
             await self.ownership.release_all()
         await self._entry_server.drain(grace_ms=shutdown.grace_ms)
         await self.requests.drain(grace_ms=shutdown.handover_ms)
         await self._admin_server.drain(grace_ms=0)
         await self._inner.drain()
-        await self._try(self.membership.leave)
+        await self._run_store_step(self.membership.leave)
 
-    async def _try(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Take a step of leaving that the store may be too far away for."""
+    async def _run_store_step(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Run a step of the shutdown that needs the store, and log its failure."""
         try:
             await step()
-        except Exception as error:  # leaving goes on, the lease lapses by itself
+        except Exception as error:  # shutdown continues; the lease expires by itself
             log_event(Event.STORE_DOWN, reason=str(error))
--- a/trefoilhook/daemon/gauges.py
+++ b/trefoilhook/daemon/gauges.py
@@ -1,4 +1,4 @@
-"""What the metrics read of an instance's parts whenever they are collected."""
+"""Callbacks that read metric values from an instance's components on collection."""
 
 from collections import Counter
 
@@ -11,12 +11,18 @@
 from trefoilhook.shards import Ownership
 from trefoilhook.store import StoreClient
 
-__all__ = ["watch_configuration", "watch_jobs", "watch_membership", "watch_requests"]
+__all__ = [
+    "register_configuration_metrics",
+    "register_job_metrics",
+    "register_membership_metrics",
+    "register_request_metrics",
+]
 
-Values = dict[tuple[str, ...], float]
+#: Values of an instrument by the values of its labels.
+LabelledValues = dict[tuple[str, ...], float]
 
 
-def watch_membership(
+def register_membership_metrics(
     metrics: Metrics,
     *,
     membership: Membership,
@@ -24,13 +30,13 @@
     inner: InnerNode,
     store: StoreClient,
 ) -> None:
-    """Show shards, peers and the store."""
+    """Register the metrics of shards, peers and the store."""
 
-    def count_shards() -> Values:
+    def count_shards() -> LabelledValues:
         kinds = Counter(shard_id[:3] for shard_id in ownership.list_owned())
         return {(kind,): count for kind, count in kinds.items()}
 
-    def count_peers() -> Values:
+    def count_peers() -> LabelledValues:
         own = membership.instance_id
         states = Counter(
             inner.peer_state(member.instance_id).value
@@ -50,13 +56,13 @@
     )
 
 
-def watch_requests(metrics: Metrics, requests: RequestService) -> None:
-    """Show slots and queues of the executors owned here."""
+def register_request_metrics(metrics: Metrics, requests: RequestService) -> None:
+    """Register the metrics of slots and queues of the executors owned here."""
 
-    def count_slots() -> Values:
-        owned = requests.pool.list_executors()
-        in_use = sum(each.slots.in_progress + each.slots.unproved for each in owned)
-        total = sum(each.target.slots for each in owned)
+    def count_slots() -> LabelledValues:
+        executors = requests.pool.list_executors()
+        in_use = sum(e.slots.in_progress + e.slots.unproved for e in executors)
+        total = sum(executor.target.slots for executor in executors)
         return {("in use",): in_use, ("free",): max(0, total - in_use)}
 
     metrics.watch(Instrument.SLOTS, count_slots)
@@ -65,10 +71,10 @@
     )
 
 
-def watch_jobs(metrics: Metrics, jobs: JobService) -> None:
-    """Show the jobs of the shards owned here."""
+def register_job_metrics(metrics: Metrics, jobs: JobService) -> None:
+    """Register the metrics of the jobs in the shards owned here."""
 
-    def count_jobs() -> Values:
+    def count_jobs() -> LabelledValues:
         states = Counter(
             job.state.value for book in jobs.list_books() for job in book.jobs.values()
         )
@@ -85,6 +91,6 @@
     )
 
 
-def watch_configuration(metrics: Metrics, view: ConfigurationView) -> None:
-    """Show the revision in force here."""
+def register_configuration_metrics(metrics: Metrics, view: ConfigurationView) -> None:
+    """Register the metric of the configuration revision in force."""
     metrics.watch(Instrument.CONFIG_REVISION, lambda: {(): float(view.revision)})
--- a/trefoilhook/daemon/settings.py
+++ b/trefoilhook/daemon/settings.py
@@ -1,4 +1,4 @@
-"""All settings of a daemon: the sections of its packages side by side."""
+"""All settings of a daemon, with one section for each package."""
 
 import attrs
 
@@ -21,39 +21,39 @@
 
 @attrs.frozen(kw_only=True)
 class LogSettings:
-    """What is logged, and how."""
+    """Level and format of the log."""
 
     level: str = declare(
         default="INFO",
-        description="Least level that is written.",
+        description="Minimum level that is written.",
         check=is_one_of(("DEBUG", "INFO", "WARNING", "ERROR")),
     )
     is_json: bool = declare(
-        default=True, description="One JSON object a line instead of text."
+        default=True, description="Write one JSON object per line instead of text."
     )
 
 
 @attrs.frozen(kw_only=True)
 class ShutdownSettings:
-    """How an instance leaves."""
+    """Time limits of the graceful shutdown."""
 
     handover_ms: float = declare(
         default=10_000.0,
         unit="ms",
-        description="Longest time for handing over the shards.",
+        description="Time limit for handing over the shards.",
         check=is_within(0, 600_000),
     )
     grace_ms: float = declare(
         default=2_000.0,
         unit="ms",
-        description="How long idle connections are kept for requests on their way.",
+        description="How long idle connections stay open for requests in transit.",
         check=is_within(0, 600_000),
     )
 
 
 @attrs.frozen(kw_only=True)
 class DaemonSettings(BaseSettings):
-    """Everything that an instance learns from its settings file."""
+    """All settings that an instance reads from its settings file."""
 
     membership: MembershipSettings = declare_section(
         MembershipSettings, description="Store lease, watch and promises."
--- a/trefoilhook/daemon/teams.py
+++ b/trefoilhook/daemon/teams.py
@@ -1,4 +1,4 @@
-"""What the request path reads of the configuration in force."""
+"""Lookups in the configuration in force, for the request path and the jobs."""
 
 import math
 
@@ -8,11 +8,11 @@
 
 __all__ = ["build_team_view", "find_objective", "find_quota"]
 
-_NO_LIMIT = 1 << 62
+_UNLIMITED = 1 << 62
 
 
 def build_team_view(view: ConfigurationView) -> TeamView:
-    """Build the request path's view of the teams."""
+    """Build the view of the teams that the request service uses."""
 
     def find_service(team: str, service: str) -> ServiceSettings | None:
         configuration = view.team(team)
@@ -49,7 +49,7 @@
 
 
 def find_quota(view: ConfigurationView, team: str) -> Resources | None:
-    """Return the most that a team's tasks may hold together, None for no limit."""
+    """Return the resource quota of all tasks of a team, or None for no limit."""
     configuration = view.team(team)
     if configuration is None:
         return None
@@ -58,15 +58,15 @@
         return None
     return Resources(
         cores=math.inf if quota.cores is None else quota.cores,
-        memory_bytes=_NO_LIMIT if quota.memory_bytes is None else quota.memory_bytes,
-        accelerators=_NO_LIMIT if quota.accelerators is None else quota.accelerators,
+        memory_bytes=_UNLIMITED if quota.memory_bytes is None else quota.memory_bytes,
+        accelerators=_UNLIMITED if quota.accelerators is None else quota.accelerators,
     )
 
 
 def find_objective(
     view: ConfigurationView, team: str, service: str
 ) -> Objective | None:
-    """Return the service-level objective of a service, None for an unknown one."""
+    """Return the service-level objective of a service, or None if it is unknown."""
     configuration = view.team(team)
     declared = configuration and configuration.services.get(service)
     return declared.objective if declared else None
--- a/trefoilhook/daemon/tests/processes.py
+++ b/trefoilhook/daemon/tests/processes.py
@@ -1,4 +1,7 @@
-"""Daemons as real processes, which can be killed and frozen, on a local platform."""
+"""Harness that runs daemons as child processes on a local platform of stand-ins.
+
+The processes can be killed, stopped and continued by signals.
+"""
 
 import json
 import os
@@ -32,12 +35,12 @@
 TEAM = "carrowmore"
 DEADLINE_S = 120.0
 _ROOT = Path(__file__).parents[3]
-_WAIT_STEP_S = 0.05
+_POLL_INTERVAL_S = 0.05
 
 
 @attrs.define(kw_only=True, eq=False)
 class Daemon:
-    """One daemon's process and where it listens."""
+    """Process of a daemon and its ports."""
 
     instance_id: str
     process: trio.Process
@@ -46,18 +49,18 @@
     inner_port: int
 
     def send_signal(self, number: int) -> None:
-        """Send the process a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
     @property
     def is_alive(self) -> bool:
-        """Whether the process still runs."""
+        """Whether the process is running."""
         return self.process.poll() is None
 
 
 @attrs.define(kw_only=True)
 class ProcessCluster:
-    """A local platform in this process, and daemons in processes of their own."""
+    """Daemons in child processes and a local platform in this process."""
 
     platform: LocalPlatform
     folder: Path
@@ -65,7 +68,7 @@
     started: int = 0
 
     async def add_daemon(self, *, peers: tuple[Daemon, ...] = ()) -> Daemon:
-        """Start a daemon, told of some peers, and wait until it listens."""
+        """Start a daemon with the given seed peers and wait until it listens."""
         number = self.started
         self.started += 1
         name = f"d-{number}"
@@ -107,7 +110,7 @@
         return daemon
 
     async def start(self, count: int) -> None:
-        """Start daemons, wait until all is owned and configure a team."""
+        """Start daemons, wait until every shard is owned and configure a team."""
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(self.add_daemon)
@@ -116,7 +119,7 @@
         await self.configure()
 
     async def configure(self) -> None:
-        """Declare a team with a service of each sort."""
+        """Configure a team with an idempotent and a non-idempotent service."""
         admin = self.open_admin(self.daemons[0])
         subtree = {
             "tokens": {
@@ -134,17 +137,17 @@
         await admin.close()
 
     def open_entry(self, daemon: Daemon) -> EntryClient:
-        """Open a caller's client."""
+        """Open a caller's client of a daemon."""
         return EntryClient(
             port=daemon.entry_port, token=CALLER, clock=self.platform.clock
         )
 
     def open_admin(self, daemon: Daemon, token: str = CLUSTER_TOKEN) -> AdminClient:
-        """Open an operator's client."""
+        """Open an operator's client of a daemon."""
         return AdminClient(port=daemon.admin_port, token=token)
 
     async def read_status(self, daemon: Daemon) -> dict:
-        """Return the status that a daemon gives."""
+        """Return the cluster status as a daemon reports it."""
         admin = self.open_admin(daemon)
         try:
             return await admin.send("GET", "/v1/status")
@@ -152,20 +155,20 @@
             await admin.close()
 
     async def find_owner(self, shard_id: str, *, via: Daemon) -> Daemon:
-        """Return the daemon that owns a shard."""
+        """Return the daemon that owns a shard, according to another daemon."""
         status = await self.read_status(via)
         owners = {s["shard_id"]: s["owner_instance_id"] for s in status["shards"]}
         return next(d for d in self.daemons if d.instance_id == owners[shard_id])
 
     async def wait_settled(self, *, without: tuple[Daemon, ...] = ()) -> None:
-        """Wait until the remaining daemons own everything between them."""
-        staying = [d for d in self.daemons if d.is_alive and d not in without]
+        """Wait until the remaining daemons own all shards."""
+        remaining = [d for d in self.daemons if d.is_alive and d not in without]
         shards = self.platform.settings.shards
         count = shards.request_shards + shards.worker_shards
-        names = {daemon.instance_id for daemon in staying}
+        names = {daemon.instance_id for daemon in remaining}
         while True:
             try:
-                status = await self.read_status(staying[0])
+                status = await self.read_status(remaining[0])
                 counts = {
                     i["instance_id"]: i["shard_count"] for i in status["instances"]
                 }
@@ -173,27 +176,27 @@
                     return
             except (TransportError, RuntimeError):
                 pass
-            await trio.sleep(_WAIT_STEP_S)
+            await trio.sleep(_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
-        """End every process that was started."""
+        """Kill all running daemons and wait for their exit."""
         for daemon in self.daemons:
             if daemon.is_alive:
                 daemon.send_signal(signal.SIGKILL)
             await daemon.process.wait()
 
     def list_repeated(self, service: str) -> list[str]:
-        """Return the requests of a service that were run twice."""
+        """Return the ids of a service's requests that ran more than once."""
         ids = [
             run.request_id
             for executor_id, standin in self.platform.executors.items()
             if executor_id.startswith(service)
             for run in standin.records.runs
         ]
-        return [each for each in set(ids) if ids.count(each) > 1]
+        return [request_id for request_id in set(ids) if ids.count(request_id) > 1]
 
     def list_run(self, service: str) -> set[str]:
-        """Return the ids of the requests of a service that were run."""
+        """Return the ids of a service's requests that ran."""
         return {
             run.request_id
             for executor_id, standin in self.platform.executors.items()
@@ -202,21 +205,21 @@
         }
 
     def count_overloads(self) -> int:
-        """Return how often an executor had more requests than slots."""
+        """Return how often an executor received more requests than it has slots."""
         return sum(s.records.overloads for s in self.platform.executors.values())
 
 
 @attrs.define(kw_only=True)
 class Load:
-    """Callers that send all the time, and what they were told."""
+    """Generates a continuous load on a service and records the answers."""
 
     cluster: ProcessCluster
     service: str
     answers: list[tuple[str, Answer]] = attrs.field(factory=list)
-    broken: list[str] = attrs.field(factory=list)
+    failed_keys: list[str] = attrs.field(factory=list)
 
     async def run(self, daemon: Daemon) -> None:
-        """Send through one daemon until cancelled; each request with a new key."""
+        """Send requests to a daemon until cancelled, each with a new key."""
         client = self.cluster.open_entry(daemon)
         while True:
             key = mint_key()
@@ -226,7 +229,7 @@
                 )
                 self.answers.append((key.hex(), answer))
             except TransportError:
-                self.broken.append(key.hex())
+                self.failed_keys.append(key.hex())
                 await trio.sleep(0.02)
             await trio.sleep(0.005)
 
@@ -237,7 +240,7 @@
     while not data.endswith(b"\n"):
         chunk = await process.stdout.receive_some()
         if not chunk:
-            raise RuntimeError("the daemon ended before it listened")
+            raise RuntimeError("the daemon exited before it printed its addresses")
         data += chunk
     return data.decode()
 
@@ -249,7 +252,7 @@
     settings: DaemonSettings | None = None,
     service_time_ms: float = 5.0,
 ) -> None:
-    """Run a scenario on daemons of their own, ended whatever happens."""
+    """Run a scenario on new daemons, which are killed afterwards in any case."""
 
     async def run() -> None:
         with trio.fail_after(DEADLINE_S), tempfile.TemporaryDirectory() as folder:
@@ -278,7 +281,7 @@
 
 
 def build_settings() -> DaemonSettings:
-    """Build settings with few shards, so that each daemon owns some of each kind."""
+    """Build settings with one worker shard and several request shards per daemon."""
     settings = DaemonSettings()
     return attrs.evolve(
         settings,
--- a/trefoilhook/daemon/tests/test_faults.py
+++ b/trefoilhook/daemon/tests/test_faults.py
@@ -1,4 +1,7 @@
-"""Daemons killed, frozen and stopped under load; judged by the stand-ins' records."""
+"""Fault tests with daemon processes that are killed, frozen or stopped under load.
+
+The answers that callers got are compared with the records of the stand-ins.
+"""
 
 import signal
 import unittest
@@ -21,10 +24,10 @@
 
 
 class ProcessFaultTest(unittest.TestCase):
-    """One fault at a time, callers on every daemon."""
+    """Each test injects one kind of fault under load."""
 
     def _check(self, cluster: ProcessCluster, *loads: Load) -> None:
-        """Compare what callers were told with what the executors ran."""
+        """Compare the answers that callers got with the records of the executors."""
         self.assertEqual(cluster.list_repeated("seat-sale"), [])
         self.assertEqual(cluster.count_overloads(), 0)
         for load in loads:
@@ -38,9 +41,9 @@
             self.assertGreater(len(executed), 20)
 
     def test_killed_owner(self):
-        # An owner dies with requests in progress. Some callers get no answer or
-        # "unknown"; no sale runs twice, none that was called "not run" was run, and
-        # its shards are served again when its lease has lapsed.
+        # An owner is killed with requests in progress. Callers may get no answer or an
+        # unknown outcome, but no sale may run twice and none reported as "not run" may
+        # have run. Once the owner's lease has expired, its shards are served again.
         async def scenario(cluster: ProcessCluster) -> None:
             sales = Load(cluster=cluster, service="seat-sale")
             checks = Load(cluster=cluster, service="seat-check")
@@ -63,9 +66,10 @@
         run_processes(scenario)
 
     def test_frozen_owner(self):
-        # An owner is frozen past its lease with requests in progress, others take its
-        # shards over, and it wakes up. What it still does must neither run a sale a
-        # second time nor fill slots that another counts as free.
+        # An owner is frozen with requests in progress until its lease has expired and
+        # other instances have taken over its shards, and is then resumed. It must
+        # neither run a sale a second time nor use slots that the new owner counts as
+        # free.
         async def scenario(cluster: ProcessCluster) -> None:
             sales = Load(cluster=cluster, service="seat-sale")
             async with trio.open_nursery() as nursery:
@@ -85,8 +89,8 @@
         run_processes(scenario, service_time_ms=30.0)
 
     def test_graceful_shutdown_cuts_off_no_request(self):
-        # Every daemon but one is replaced in turn under load. A caller that is being
-        # served gets its whole answer; only a new connection may be refused.
+        # All daemons but one are shut down in turn under load. A request in progress
+        # must get its complete answer; only new connections may be refused.
         async def scenario(cluster: ProcessCluster) -> None:
             sales = Load(cluster=cluster, service="seat-sale")
             async with trio.open_nursery() as nursery:
@@ -107,14 +111,16 @@
                 if answer.code.outcome is Outcome.UNKNOWN
             ]
             self.assertEqual(unknown, [])
-            self.assertEqual(set(sales.broken) & cluster.list_run("seat-sale"), set())
+            self.assertEqual(
+                set(sales.failed_keys) & cluster.list_run("seat-sale"), set()
+            )
             self._check(cluster, sales)
 
         run_processes(scenario, service_time_ms=30.0)
 
     def test_store_down_for_longer_than_a_lease(self):
-        # The store is down for three leases. Requests are served on by the same
-        # owners, and a new job gets a truthful "not run" at once.
+        # The store is down for three lease periods. The owners keep serving requests,
+        # and a new job is refused immediately as not run.
         async def scenario(cluster: ProcessCluster) -> None:
             sales = Load(cluster=cluster, service="seat-sale")
             async with trio.open_nursery() as nursery:
@@ -137,15 +143,15 @@
             self.assertEqual(status, 503, answer)
             codes = {a.code for _, a in sales.answers[before:]}
             self.assertEqual(codes, {ResultCode.OK})
-            self.assertEqual(sales.broken, [])
+            self.assertEqual(sales.failed_keys, [])
             self._check(cluster, sales)
 
         run_processes(scenario)
 
-    def test_retry_elsewhere_after_the_entry_died(self):
-        # A caller's entry dies while its sale runs, and it asks again under the same
-        # key at the next one. It gets the first run's answer, or is told that the
-        # outcome is unknown; the seat is sold once.
+    def test_retry_at_another_instance_after_kill(self):
+        # The instance that accepted a sale is killed while the sale runs, and the
+        # caller retries with the same key at another instance. It gets the answer of
+        # the first run or an unknown outcome; the sale must not run twice.
         async def scenario(cluster: ProcessCluster) -> None:
             entry = cluster.open_entry(cluster.daemons[0])
             other = cluster.open_entry(cluster.daemons[1])
@@ -170,8 +176,8 @@
         run_processes(scenario, service_time_ms=600.0)
 
     def test_job_survives_its_owner(self):
-        # The owner of the workers is killed while a job runs. The job ends with its
-        # result and was started once.
+        # The owner of the worker shard is killed while a job runs. The job must end
+        # with its result and must not be started a second time.
         async def scenario(cluster: ProcessCluster) -> None:
             owner = await cluster.find_owner("wrk-000", via=cluster.daemons[0])
             other = next(d for d in cluster.daemons if d is not owner)
@@ -200,10 +206,10 @@
         run_processes(scenario)
 
     def test_owner_killed_and_another_started_while_the_store_is_down(self):
-        # The store is down, an owner is killed, and an instance is started that has
-        # read nothing. It gets the configuration from the peer it was told of and
-        # serves callers; the survivors go on for their shards, and nobody takes the
-        # dead owner's before the store is back.
+        # While the store is down, an owner is killed and a new instance is started. The
+        # new instance must get the configuration from its seed peer and serve callers.
+        # The remaining instances keep serving their shards, and the shards of the
+        # killed owner are taken over only when the store is back.
         async def scenario(cluster: ProcessCluster) -> None:
             survivor, victim = cluster.daemons[0], cluster.daemons[2]
             sales = Load(cluster=cluster, service="seat-sale")
@@ -216,8 +222,8 @@
                 await trio.sleep(1)
                 victim.send_signal(signal.SIGKILL)
                 await victim.process.wait()
-                newcomer = await cluster.add_daemon(peers=(survivor,))
-                nursery.start_soon(late.run, newcomer)
+                added = await cluster.add_daemon(peers=(survivor,))
+                nursery.start_soon(late.run, added)
                 await trio.sleep(8)
                 codes = {answer.code for _, answer in late.answers}
                 self.assertIn(ResultCode.OK, codes)
@@ -230,9 +236,9 @@
 
         run_processes(scenario)
 
-    def test_leaving_executor_gets_nothing_new_though_the_list_lags(self):
-        # An executor leaves and the instance list tells it a second late. Three
-        # seconds after, no request reaches the executor any more.
+    def test_leaving_executor_gets_no_requests_despite_list_lag(self):
+        # An executor starts to leave, and the instance list reports it 1 s late. 3 s
+        # after the change, the executor must get no more requests.
         async def scenario(cluster: ProcessCluster) -> None:
             cluster.platform.instance_list.lag_ms = 1_000.0
             sales = Load(cluster=cluster, service="seat-sale")
@@ -256,9 +262,11 @@
         run_processes(scenario, service_time_ms=30.0)
 
     def test_operators_race_through_two_instances(self):
-        # Two operators read a team's settings and both change them, each through
-        # another instance. One wins; the other is told of the value in force, which
-        # every instance then shows. A third, who read it before as well, comes later.
+        # Two operators read the same revision of a team's configuration and change it
+        # concurrently through different instances. One change is accepted and the other
+        # is refused as a conflict. A third change, based on the same revision and sent
+        # after the first is in force, is refused too, and all instances show the
+        # accepted value.
         async def scenario(cluster: ProcessCluster) -> None:
             path = f"/v1/config/teams/{TEAM}"
             admins = [cluster.open_admin(each) for each in cluster.daemons]
@@ -292,10 +300,10 @@
 
         run_processes(scenario)
 
-    def test_connections_to_the_store_go_silent(self):
-        # Something between an instance and the store loses track of its connections:
-        # they stay open and nothing comes back, while new ones work. The instance
-        # takes new ones in time to keep its lease, and no shard moves.
+    def test_store_connections_stop_responding(self):
+        # A middlebox between an instance and the store drops the state of its
+        # connections: these stay open but carry no data, while new connections work.
+        # The instance must reconnect in time to keep its lease, and no shard may move.
         async def scenario(cluster: ProcessCluster) -> None:
             platform = cluster.platform
             cut = TcpCut(
--- a/trefoilhook/daemon/tests/test_system.py
+++ b/trefoilhook/daemon/tests/test_system.py
@@ -1,4 +1,4 @@
-"""A whole system in this process: TLS on every listener, metrics, the burn report."""
+"""Tests of a complete system in one process: TLS, metrics and the burn report."""
 
 import ssl
 import tempfile
@@ -21,7 +21,7 @@
 
 
 def _write_certificates(folder: Path) -> tuple[TlsSettings, ssl.SSLContext]:
-    """Write a certificate for the loopback address and return a client's context."""
+    """Write a certificate for the loopback address; also return a client context."""
     authority = trustme.CA()
     issued = authority.issue_cert(_HOST)
     issued.private_key_pem.write_to_path(folder / "key.pem")
@@ -40,7 +40,7 @@
 
 
 class SystemTest(unittest.TestCase):
-    """What an operator and a caller see of a running system."""
+    """Behaviour of a running system as callers and operators see it."""
 
     def _run(self, scenario, *, settings=None, instances: int = 2) -> None:
         async def run() -> None:
@@ -72,7 +72,7 @@
         revision = changed["revision"]
         await admin.send("GET", f"/v1/config/wait?revision={revision}&timeout_ms=9000")
 
-    def test_metrics_and_burn_tell_what_happened(self):
+    def test_metrics_and_burn_report_reflect_served_requests(self):
         async def scenario(cluster: LocalCluster) -> None:
             admin = cluster.open_admin(0)
             await self._configure(admin)
@@ -102,8 +102,8 @@
         return response.body.decode()
 
     def test_tls_on_every_listener(self):
-        # Callers and operators get TLS, instances show each other certificates of one
-        # authority; a client in plain text gets no answer.
+        # Callers and operators connect over TLS; instances authenticate each other by
+        # certificates of one authority.
         with tempfile.TemporaryDirectory() as folder:
             tls, context = _write_certificates(Path(folder))
             open_tls = attrs.evolve(tls, authority_file=None)
--- a/trefoilhook/daemon/tls.py
+++ b/trefoilhook/daemon/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from the settings of a listener."""
+"""TLS contexts built from the settings of a listener."""
 
 import ssl
 
@@ -8,9 +8,9 @@
 
 
 def build_server_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Build the context of a listener; None when it speaks plain TCP.
+    """Build the context of a listener; None for plain TCP.
 
-    With an authority the other end must show a certificate of it.
+    If an authority is set, clients must present a certificate that it issued.
     """
     if tls is None:
         return None
@@ -23,7 +23,7 @@
 
 
 def build_client_context(tls: TlsSettings | None) -> ssl.SSLContext | None:
-    """Build the context that connects to other instances; None for plain TCP."""
+    """Build the context for connections to other instances; None for plain TCP."""
     if tls is None:
         return None
     context = ssl.create_default_context(
--- a/trefoilhook/demo/__main__.py
+++ b/trefoilhook/demo/__main__.py
@@ -167,7 +167,7 @@
     started_ms = cluster.clock.monotonic_ms()
     leaver = cluster.instances.pop()
     address = cluster.addresses.pop()
-    leaver.begin_leaving()
+    leaver.begin_shutdown()
     await cluster.wait_settled()
     row = _Row(
         request="graceful shutdown, shards moved",
