--- a/trefoilhook/admin/__init__.py
+++ b/trefoilhook/admin/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' admin API: versioned HTTP with JSON, described as OpenAPI."""
+"""The admin API for operators: versioned JSON over HTTP, described by OpenAPI."""
 
 from trefoilhook.admin.backend import (
     AdminBackend,
@@ -18,7 +18,7 @@
     ShardStatus,
     StoreStatus,
 )
-from trefoilhook.admin.calls import AdminParts, Route, Scope
+from trefoilhook.admin.calls import AdminContext, Route, Scope
 from trefoilhook.admin.core import AdminHandler
 from trefoilhook.admin.errors import ErrorBody, ErrorDetail
 from trefoilhook.admin.openapi import build_openapi
@@ -28,7 +28,7 @@
     "ROUTES",
     "AdminBackend",
     "AdminHandler",
-    "AdminParts",
+    "AdminContext",
     "CancelRefusal",
     "CancelReport",
     "ClusterStatus",
--- a/trefoilhook/admin/__main__.py
+++ b/trefoilhook/admin/__main__.py
@@ -1,4 +1,4 @@
-"""Writes the description of the admin API to standard output."""
+"""Writes the OpenAPI description of the admin API to standard output."""
 
 import sys
 
--- a/trefoilhook/admin/calls.py
+++ b/trefoilhook/admin/calls.py
@@ -1,4 +1,4 @@
-"""A call of the admin API: its route, its caller and typed access to its parts."""
+"""Types of the admin API's routes and calls, and helpers to read and answer them."""
 
 import enum
 import json
@@ -22,14 +22,14 @@
 )
 
 __all__ = [
-    "AdminParts",
+    "AdminContext",
     "Call",
     "Operation",
     "Operator",
     "Parameter",
     "Route",
     "Scope",
-    "answer_json",
+    "build_json_response",
     "read_body",
     "read_integer",
 ]
@@ -38,7 +38,7 @@
 
 
 class Scope(enum.Enum):
-    """Whose token a route asks for."""
+    """Kind of token that a route requires."""
 
     PUBLIC = "none"
     ANY = "any operator's"
@@ -48,27 +48,27 @@
 
 @attrs.frozen(kw_only=True)
 class Operator:
-    """Who calls.
+    """The authenticated operator of a call.
 
     Parameters
     ----------
     name : str
-        For the history of changes: team and the beginning of the token's digest.
+        Author in the history of changes: team and a prefix of the token's digest.
     team : str or None
-        The only team that the token covers; None when it covers all.
+        The only team that the token covers; None if it covers all teams.
     """
 
     name: str
     team: str | None
 
     def covers(self, team: str) -> bool:
-        """Tell whether the token covers a team."""
+        """Return whether the token covers a team."""
         return self.team is None or self.team == team
 
 
 @attrs.frozen(kw_only=True)
-class AdminParts:
-    """What the operations work on."""
+class AdminContext:
+    """Dependencies of the operations."""
 
     backend: AdminBackend
     editor: ConfigurationEditor
@@ -79,18 +79,18 @@
 
 @attrs.frozen(kw_only=True)
 class Call:
-    """One authorised call.
+    """An authorised call.
 
     Parameters
     ----------
     request : HttpRequest
-        The request.
+        HTTP request of the call.
     parameters : dict
-        What stood in the places of the route's template.
+        Path parameters by name.
     query : dict
-        Query parameters.
+        Query parameters by name.
     operator : Operator
-        Who calls.
+        Operator that sent the call.
     """
 
     request: HttpRequest
@@ -99,8 +99,8 @@
     operator: Operator
 
 
-#: Carries a call out.
-Operation = Callable[[AdminParts, Call], Awaitable[HttpResponse]]
+#: Executes a call and returns its response.
+Operation = Callable[[AdminContext, Call], Awaitable[HttpResponse]]
 
 
 @attrs.frozen(kw_only=True)
@@ -112,9 +112,9 @@
     name : str
         Name in the query.
     schema_type : str
-        Type in the API's description, ``integer`` or ``string``.
+        JSON schema type, ``integer`` or ``string``.
     description : str
-        For operators.
+        Description in the OpenAPI document.
     """
 
     name: str
@@ -131,19 +131,19 @@
     method : str
         HTTP method.
     template : str
-        Path; ``{name}`` stands for one step and ``{name...}`` for all that follow.
+        Path; ``{name}`` matches one segment and ``{name...}`` all remaining segments.
     scope : Scope
-        Whose token is asked for.
+        Kind of token that is required.
     operation : callable
-        Carries the call out.
+        Executes the call.
     summary : str
-        For operators.
+        Summary in the OpenAPI document.
     query : tuple of Parameter, optional
         Query parameters.
     body : type or None, optional
         Class of the request's JSON body; ``object`` for any JSON.
-    answer : type or None, optional
-        Class of the answer's JSON body; None for an answer that is not JSON.
+    response : type or None, optional
+        Class of the response's JSON body; None if the response is not JSON.
     """
 
     method: str
@@ -153,27 +153,27 @@
     summary: str
     query: tuple[Parameter, ...] = ()
     body: type[Any] | None = None
-    answer: type[Any] | None = None
+    response: type[Any] | None = None
 
 
-def answer_json(
+def build_json_response(
     body: object,
     *,
     code: ResultCode = ResultCode.OK,
     headers: tuple[tuple[str, str], ...] = (),
 ) -> HttpResponse:
-    """Build the answer that carries a declared object."""
+    """Build the response whose JSON body is a declared object."""
     status = code.value.http_status
     return HttpResponse.from_json(dump_json(body), status=status, headers=headers)
 
 
 def read_body(cls: type[T], request: HttpRequest) -> T:
-    """Read the request's JSON body into a declared class.
+    """Parse the request's JSON body into a declared class.
 
     Raises
     ------
     InvalidSettingsError
-        With the code BAD_REQUEST, if the body is not such an object.
+        With the code BAD_REQUEST, if the body is not valid for the class.
     """
     try:
         return read_settings(cls, parse_json(request.body))
@@ -185,12 +185,12 @@
 def read_integer(
     query: dict[str, str], name: str, *, default: int, low: int, high: int
 ) -> int:
-    """Read a whole number from the query.
+    """Return an integer from the query, or the default if it is missing.
 
     Raises
     ------
     RequestError
-        If it is not a whole number within the bounds.
+        If the value is not an integer within the bounds.
     """
     text = query.get(name)
     if text is None:
@@ -199,5 +199,5 @@
     number = int(text) if is_plain else None
     if number is None or not low <= number <= high:
         shown = json.dumps(text[:32])
-        raise RequestError(f"{name} = {shown}: must be {low} to {high}")
+        raise RequestError(f"{name} = {shown}: must be an integer from {low} to {high}")
     return number
--- a/trefoilhook/admin/configuration.py
+++ b/trefoilhook/admin/configuration.py
@@ -1,11 +1,16 @@
-"""Operations on the teams' configuration."""
+"""Operations on the configuration of teams."""
 
 from typing import Any
 
 import attrs
 
 from trefoilhook.admin.backend import InForceReport
-from trefoilhook.admin.calls import AdminParts, Call, answer_json, read_integer
+from trefoilhook.admin.calls import (
+    AdminContext,
+    Call,
+    build_json_response,
+    read_integer,
+)
 from trefoilhook.configuration import (
     ChangeRecord,
     ConfigurationValue,
@@ -35,18 +40,19 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationAnswer:
-    """What stands at a path.
+    """Configuration value at a path.
 
     Parameters
     ----------
     team, path : str
-        Where.
+        Team and path of the value.
     revision : int
         Revision of the team's subtree.
     value : object
-        The value.
+        Value at the path.
     is_from_store : bool
-        False when the store did not answer and this is what is in force here.
+        False if the store did not answer and the value is the one in force on the
+        instance that answers.
     """
 
     team: str
@@ -64,14 +70,14 @@
     changes: tuple[ChangeRecord, ...]
 
 
-def _get_place(call: Call) -> tuple[str, str]:
+def _get_location(call: Call) -> tuple[str, str]:
     return call.parameters["team"], call.parameters.get("path", "")
 
 
-def _answer_value(
+def _build_value_response(
     call: Call, found: ConfigurationValue, *, is_from_store: bool = True
 ) -> HttpResponse:
-    team, path = _get_place(call)
+    team, path = _get_location(call)
     answer = ConfigurationAnswer(
         team=team,
         path="/".join(parse_path(path)),
@@ -79,11 +85,11 @@
         value=found.value,
         is_from_store=is_from_store,
     )
-    return answer_json(answer, headers=(("etag", f'"{found.revision}"'),))
+    return build_json_response(answer, headers=(("etag", f'"{found.revision}"'),))
 
 
 def _read_expected_revision(request: HttpRequest, call: Call) -> int | None:
-    """Read the revision that was edited, from the query or from ``If-Match``."""
+    """Return the revision that the change is based on, from ``If-Match`` or query."""
     header = request.get_header("if-match")
     if header is None or header.strip() == "*":
         found = read_integer(
@@ -94,92 +100,94 @@
     return read_integer(text, "if-match", default=-1, low=0, high=_MAX_REVISION)
 
 
-async def get_configuration(parts: AdminParts, call: Call) -> HttpResponse:
-    """Return what stands at a path.
+async def get_configuration(context: AdminContext, call: Call) -> HttpResponse:
+    """Return the value at a path.
 
-    While the store is down, what is in force on this instance is returned instead.
+    While the store is unavailable, the value in force on this instance is returned.
     """
-    team, path = _get_place(call)
+    team, path = _get_location(call)
     try:
-        return _answer_value(call, await parts.editor.read(team, path))
+        return _build_value_response(call, await context.editor.read(team, path))
     except StoreError:
-        in_force = parts.view.find_value(team)
+        in_force = context.view.find_value(team)
         if in_force is None:
             raise
     subtree = decode_document(in_force).subtree
     found = ConfigurationValue(
-        revision=parts.view.find_revision(team),
+        revision=context.view.find_revision(team),
         value=get_value(subtree, parse_path(path)),
     )
-    return _answer_value(call, found, is_from_store=False)
+    return _build_value_response(call, found, is_from_store=False)
 
 
-def _list_kept(call: Call) -> tuple[str, ...]:
-    """Return what the caller may not change.
+def _list_protected_sections(call: Call) -> tuple[str, ...]:
+    """Return the sections that the operator may not change.
 
-    A quota bounds its team, so the team's own operators don't set it.
+    A quota limits its team, so the team's own operators may not set it.
     """
     return () if call.operator.team is None else ("quota",)
 
 
-async def put_configuration(parts: AdminParts, call: Call) -> HttpResponse:
+async def put_configuration(context: AdminContext, call: Call) -> HttpResponse:
     """Set the value at a path."""
-    team, path = _get_place(call)
-    accepted = await parts.editor.put(
+    team, path = _get_location(call)
+    accepted = await context.editor.put(
         team,
         path,
         parse_json(call.request.body),
         author=call.operator.name,
         expected_revision=_read_expected_revision(call.request, call),
-        kept=_list_kept(call),
+        kept=_list_protected_sections(call),
     )
     log_event(Event.CONFIG_CHANGED, team=team, path=path, revision=accepted.revision)
-    return _answer_value(call, accepted)
+    return _build_value_response(call, accepted)
 
 
-async def delete_configuration(parts: AdminParts, call: Call) -> HttpResponse:
-    """Delete what stands at a path."""
-    team, path = _get_place(call)
-    accepted = await parts.editor.delete(
+async def delete_configuration(context: AdminContext, call: Call) -> HttpResponse:
+    """Delete the value at a path."""
+    team, path = _get_location(call)
+    accepted = await context.editor.delete(
         team,
         path,
         author=call.operator.name,
         expected_revision=_read_expected_revision(call.request, call),
-        kept=_list_kept(call),
+        kept=_list_protected_sections(call),
     )
     log_event(Event.CONFIG_CHANGED, team=team, path=path, revision=accepted.revision)
-    return _answer_value(call, accepted)
+    return _build_value_response(call, accepted)
 
 
-async def validate_configuration(parts: AdminParts, call: Call) -> HttpResponse:
-    """Check a change whole without making it."""
+async def validate_configuration(context: AdminContext, call: Call) -> HttpResponse:
+    """Validate the subtree that a change would give, without applying the change."""
     team, path = call.parameters["team"], call.query.get("path", "")
     value = parse_json(call.request.body)
-    return _answer_value(call, await parts.editor.validate(team, path, value))
+    return _build_value_response(call, await context.editor.validate(team, path, value))
 
 
-async def list_history(parts: AdminParts, call: Call) -> HttpResponse:
+async def list_history(context: AdminContext, call: Call) -> HttpResponse:
     """Return the latest changes of a team's subtree."""
     team = call.parameters["team"]
-    changes = await parts.editor.read_history(team)
-    return answer_json(HistoryAnswer(team=team, changes=changes))
+    changes = await context.editor.read_history(team)
+    return build_json_response(HistoryAnswer(team=team, changes=changes))
 
 
-async def wait_for_revision(parts: AdminParts, call: Call) -> HttpResponse:
+async def wait_for_revision(context: AdminContext, call: Call) -> HttpResponse:
     """Wait until a revision is in force on every live instance."""
     revision = read_integer(
         call.query, "revision", default=-1, low=0, high=_MAX_REVISION
     )
     if revision < 0:
-        raise RequestError("the query must give a revision")
-    longest_ms = parts.settings.max_wait_ms
+        raise RequestError("query parameter 'revision' is required")
+    max_wait_ms = context.settings.max_wait_ms
     timeout_ms = read_integer(
-        call.query, "timeout_ms", default=longest_ms, low=0, high=longest_ms
+        call.query, "timeout_ms", default=max_wait_ms, low=0, high=max_wait_ms
+    )
+    report = await context.backend.wait_in_force(
+        revision=revision, timeout_ms=timeout_ms
     )
-    report = await parts.backend.wait_in_force(revision=revision, timeout_ms=timeout_ms)
     if not report.is_in_force:
         raise OutcomeError(_describe_lag(report), code=ResultCode.STALE_REVISION)
-    return answer_json(report)
+    return build_json_response(report)
 
 
 def _describe_lag(report: InForceReport) -> str:
--- a/trefoilhook/admin/core.py
+++ b/trefoilhook/admin/core.py
@@ -1,11 +1,11 @@
-"""The handler of the admin API: route, authorise, carry out, answer."""
+"""HTTP handler of the admin API: routing, authorisation and dispatch."""
 
 from collections.abc import Callable
 
 import attrs
 
-from trefoilhook.admin.calls import AdminParts, Call, Route
-from trefoilhook.admin.errors import answer_code, answer_error
+from trefoilhook.admin.calls import AdminContext, Call, Route
+from trefoilhook.admin.errors import build_error_response, convert_error
 from trefoilhook.admin.routes import ROUTES
 from trefoilhook.admin.tokens import authorize
 from trefoilhook.exceptions import RequestError, TrefoilhookError
@@ -16,11 +16,11 @@
 
 __all__ = ["AdminHandler", "Observe"]
 
-#: Told the route's template, the status and the time of each answer in ms.
+#: Called for each response with the route's template, the status and the time in ms.
 Observe = Callable[[str, int, float], None]
 
-_UNKNOWN_TEMPLATE = "unknown"
-_NAMED_PLACES = {"team", "job_id", "instance_id"}
+_UNMATCHED_TEMPLATE = "unknown"
+_IDENTIFIER_PARAMETERS = {"team", "job_id", "instance_id"}
 
 
 @attrs.frozen(kw_only=True)
@@ -29,27 +29,27 @@
     parameters: dict[str, str]
 
 
-def _ignore(template: str, status: int, duration_ms: float) -> None:
-    """Observe nothing."""
+def _discard_observation(template: str, status: int, duration_ms: float) -> None:
+    """Discard the observation."""
 
 
 def match_template(template: str, path: str) -> dict[str, str] | None:
-    """Return what stands in a template's places, or None if it does not fit."""
-    wanted, given = template.split("/"), path.split("/")
+    """Return the path parameters of a path, or None if the template does not match."""
+    expected, actual = template.split("/"), path.split("/")
     parameters: dict[str, str] = {}
-    for index, step in enumerate(wanted):
-        if step.endswith("...}"):
-            rest = "/".join(given[index:])
-            return {**parameters, step[1:-4]: rest} if rest else None
-        if index >= len(given):
+    for index, segment in enumerate(expected):
+        if segment.endswith("...}"):
+            rest = "/".join(actual[index:])
+            return {**parameters, segment[1:-4]: rest} if rest else None
+        if index >= len(actual):
             return None
-        if step.startswith("{"):
-            if not given[index]:
+        if segment.startswith("{"):
+            if not actual[index]:
                 return None
-            parameters[step[1:-1]] = given[index]
-        elif step != given[index]:
+            parameters[segment[1:-1]] = actual[index]
+        elif segment != actual[index]:
             return None
-    return parameters if len(wanted) == len(given) else None
+    return parameters if len(expected) == len(actual) else None
 
 
 def _find_route(request: HttpRequest, path: str) -> _Match:
@@ -63,67 +63,70 @@
         methods.add(route.method)
     if methods:
         allowed = ", ".join(sorted(methods))
-        message = f"only {allowed} is known here"
+        message = f"method not allowed; the path supports {allowed}"
         raise RequestError(message, code=ResultCode.METHOD_NOT_ALLOWED)
-    raise RequestError("there is no such path", code=ResultCode.NOT_FOUND)
+    raise RequestError("unknown path", code=ResultCode.NOT_FOUND)
 
 
-def _check_names(parameters: dict[str, str]) -> None:
-    for place in _NAMED_PLACES & parameters.keys():
-        reason = is_name(parameters[place])
+def _validate_identifiers(parameters: dict[str, str]) -> None:
+    for name in _IDENTIFIER_PARAMETERS & parameters.keys():
+        reason = is_name(parameters[name])
         if reason is not None:
-            raise RequestError(f"{place} {reason}")
+            raise RequestError(f"{name} {reason}")
 
 
 class AdminHandler:
-    """Answers the calls of the admin API; hand `handle` to an ``HttpServer``.
+    """Handles the requests of the admin API; pass `handle` to an ``HttpServer``.
 
     Parameters
     ----------
-    parts : AdminParts
-        What the operations work on.
+    context : AdminContext
+        Dependencies of the operations.
     observe : callable, optional
-        Told the route's template, the status and the time of each answer in ms.
+        Called for each response with the route's template, the status and the time
+        in ms.
     """
 
-    def __init__(self, *, parts: AdminParts, observe: Observe = _ignore) -> None:
-        self._parts = parts
+    def __init__(
+        self, *, context: AdminContext, observe: Observe = _discard_observation
+    ) -> None:
+        self._context = context
         self._observe = observe
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call; never raises."""
-        started_ms = self._parts.clock.monotonic_ms()
-        template = _UNKNOWN_TEMPLATE
+        """Handle a request; errors are returned as responses, not raised."""
+        started_ms = self._context.clock.monotonic_ms()
+        template = _UNMATCHED_TEMPLATE
         try:
             match = _find_route(request, _read_path(request))
             template = match.route.template
-            response = await self._carry_out(request, match)
+            response = await self._dispatch(request, match)
         except TrefoilhookError as error:
-            response = answer_error(error)
+            response = convert_error(error)
         except Exception as error:
-            # A fault in one call must cost neither the connection nor the instance;
-            # the answer shows nothing of what is inside.
+            # An unexpected error must neither close the connection nor stop the
+            # instance, and the response must not reveal internal details.
             log_event(Event.ADMIN_FAILED, template=template, error=type(error).__name__)
-            response = answer_code(ResultCode.INTERNAL, "an internal fault")
-        duration_ms = self._parts.clock.monotonic_ms() - started_ms
+            response = build_error_response(ResultCode.INTERNAL, "internal error")
+        duration_ms = self._context.clock.monotonic_ms() - started_ms
         self._observe(template, response.status, duration_ms)
         return response
 
-    async def _carry_out(self, request: HttpRequest, match: _Match) -> HttpResponse:
-        _check_names(match.parameters)
+    async def _dispatch(self, request: HttpRequest, match: _Match) -> HttpResponse:
+        _validate_identifiers(match.parameters)
         team = match.parameters.get("team")
-        operator = authorize(self._parts, request, match.route.scope, team)
+        operator = authorize(self._context, request, match.route.scope, team)
         call = Call(
             request=request,
             parameters=match.parameters,
             query=request.query,
             operator=operator,
         )
-        return await match.route.operation(self._parts, call)
+        return await match.route.operation(self._context, call)
 
 
 def _read_path(request: HttpRequest) -> str:
     try:
         return request.path
     except ValueError as error:
-        raise RequestError("the request's target is malformed") from error
+        raise RequestError("malformed request target") from error
--- a/trefoilhook/admin/errors.py
+++ b/trefoilhook/admin/errors.py
@@ -1,4 +1,4 @@
-"""Answers for calls that were refused or failed."""
+"""Responses to calls that were refused or failed."""
 
 from typing import Any
 
@@ -10,12 +10,12 @@
 from trefoilhook.results import ResultCode
 from trefoilhook.settings import InvalidSettingsError, SettingProblem, dump_json
 
-__all__ = ["ErrorBody", "ErrorDetail", "answer_code", "answer_error"]
+__all__ = ["ErrorBody", "ErrorDetail", "build_error_response", "convert_error"]
 
 
 @attrs.frozen(kw_only=True)
 class ErrorDetail:
-    """What went wrong.
+    """Result code and details of an error.
 
     Parameters
     ----------
@@ -26,13 +26,13 @@
     outcome : str
         ``executed``, ``not run`` or ``unknown``.
     may_retry : bool
-        Whether the same call may be sent again.
+        Whether the same call may be retried.
     detail : str
-        What happened, for people.
+        Human-readable description.
     problems : tuple of SettingProblem
-        Everything wrong with the values that were sent.
+        All problems found in the submitted values.
     standing : ConfigurationValue or None
-        On a conflict, what stands there now.
+        On a conflict, the current value.
     """
 
     number: int
@@ -46,19 +46,19 @@
 
 @attrs.frozen(kw_only=True)
 class ErrorBody:
-    """Body of every answer that is not a success."""
+    """Body of every error response."""
 
     error: ErrorDetail
 
 
-def answer_code(
+def build_error_response(
     code: ResultCode,
     detail: str,
     *,
     headers: tuple[tuple[str, str], ...] = (),
     **extra: Any,
 ) -> HttpResponse:
-    """Build the answer for a result code."""
+    """Build the error response for a result code."""
     body = ErrorBody(
         error=ErrorDetail(
             number=code.number,
@@ -73,16 +73,16 @@
     return HttpResponse.from_json(dump_json(body), status=status, headers=headers)
 
 
-def answer_error(error: TrefoilhookError) -> HttpResponse:
-    """Build the answer for an error raised on purpose."""
+def convert_error(error: TrefoilhookError) -> HttpResponse:
+    """Convert an error of the project's exception hierarchy into a response."""
     code = error.code
     if isinstance(error, InvalidSettingsError):
-        return answer_code(code, str(error), problems=error.problems)
+        return build_error_response(code, str(error), problems=error.problems)
     if isinstance(error, ConfigurationConflictError):
-        return answer_code(code, str(error), standing=error.standing)
+        return build_error_response(code, str(error), standing=error.standing)
     if code is ResultCode.UNAUTHENTICATED:
         challenge = (("www-authenticate", "Bearer"),)
-        return answer_code(code, str(error), headers=challenge)
+        return build_error_response(code, str(error), headers=challenge)
     if isinstance(error, StoreUnavailableError):
-        return answer_code(code, str(error), headers=(("retry-after", "1"),))
-    return answer_code(code, str(error))
+        return build_error_response(code, str(error), headers=(("retry-after", "1"),))
+    return build_error_response(code, str(error))
--- a/trefoilhook/admin/jobs.py
+++ b/trefoilhook/admin/jobs.py
@@ -11,10 +11,10 @@
     Kind,
 )
 from trefoilhook.admin.calls import (
-    AdminParts,
+    AdminContext,
     Call,
     Operation,
-    answer_json,
+    build_json_response,
     read_body,
     read_integer,
 )
@@ -32,31 +32,31 @@
     "cancel_jobs",
 ]
 
-_MAX_PAGE = 500
-_DEFAULT_PAGE = 100
-_MAX_BATCH = 1_000
+_MAX_PAGE_SIZE = 500
+_DEFAULT_PAGE_SIZE = 100
+_MAX_CANCEL_IDS = 1_000
 _MAX_ID_CHARACTERS = 64
 
 
-def _is_batch(value: tuple[str, ...]) -> str | None:
-    if 1 <= len(value) <= _MAX_BATCH:
+def _is_id_list(value: tuple[str, ...]) -> str | None:
+    if 1 <= len(value) <= _MAX_CANCEL_IDS:
         return None
-    return f"must hold 1 to {_MAX_BATCH} ids"
+    return f"must contain 1 to {_MAX_CANCEL_IDS} ids"
 
 
 @attrs.frozen(kw_only=True)
 class CancelBody:
-    """What an operator sends to cancel several jobs at once."""
+    """Request body that cancels several jobs at once."""
 
     job_ids: tuple[str, ...] = declare(
-        description="Ids of the jobs to cancel.", check=_is_batch
+        description="Ids of the jobs to cancel.", check=_is_id_list
     )
 
 
 def build_create_operation(kind: Kind) -> Operation:
     """Build the operation that records a job of a kind."""
 
-    async def create(parts: AdminParts, call: Call) -> HttpResponse:
+    async def create(context: AdminContext, call: Call) -> HttpResponse:
         body = read_body(JobBody, call.request)
         submission = JobSubmission(
             job_id=body.job_id or str(uuid6.uuid7()),
@@ -64,8 +64,8 @@
             kind=kind,
             body=body,
         )
-        record = await parts.backend.submit_job(submission)
-        return answer_json(record, code=ResultCode.ACCEPTED)
+        record = await context.backend.submit_job(submission)
+        return build_json_response(record, code=ResultCode.ACCEPTED)
 
     return create
 
@@ -73,56 +73,56 @@
 def build_list_operation(kind: Kind) -> Operation:
     """Build the operation that returns a page of the jobs of a kind."""
 
-    async def list_page(parts: AdminParts, call: Call) -> HttpResponse:
+    async def list_page(context: AdminContext, call: Call) -> HttpResponse:
         after = call.query.get("after", "")
         if len(after) > _MAX_ID_CHARACTERS:
-            raise RequestError("after: is not an id")
+            raise RequestError("after: must be a job id")
         limit = read_integer(
-            call.query, "limit", default=_DEFAULT_PAGE, low=1, high=_MAX_PAGE
+            call.query, "limit", default=_DEFAULT_PAGE_SIZE, low=1, high=_MAX_PAGE_SIZE
         )
         query = JobQuery(
             team=call.parameters["team"], kind=kind, after_job_id=after, limit=limit
         )
-        return answer_json(await parts.backend.list_jobs(query))
+        return build_json_response(await context.backend.list_jobs(query))
 
     return list_page
 
 
 def build_show_operation(kind: Kind, *, is_explained: bool) -> Operation:
-    """Build the operation that returns one job, with or without its explanation."""
+    """Build the operation that returns a job, with or without its explanation."""
 
-    async def show(parts: AdminParts, call: Call) -> HttpResponse:
+    async def show(context: AdminContext, call: Call) -> HttpResponse:
         job_id = call.parameters["job_id"]
-        record = await parts.backend.read_job(
+        record = await context.backend.read_job(
             team=call.parameters["team"], job_id=job_id, is_explained=is_explained
         )
         if record.kind != kind:
             message = f"{job_id} is not a {kind}"
             raise RequestError(message, code=ResultCode.NOT_FOUND)
-        return answer_json(record)
+        return build_json_response(record)
 
     return show
 
 
-async def cancel_job(parts: AdminParts, call: Call) -> HttpResponse:
+async def cancel_job(context: AdminContext, call: Call) -> HttpResponse:
     """Cancel one job."""
     job_id = call.parameters["job_id"]
-    report = await _cancel(parts, call, (job_id,))
+    report = await _cancel(context, call, (job_id,))
     for refusal in report.refused:
         code = ResultCode.from_number(refusal.result_number)
         raise RequestError(refusal.detail or f"{job_id} was not cancelled", code=code)
-    return answer_json(report, code=ResultCode.ACCEPTED)
+    return build_json_response(report, code=ResultCode.ACCEPTED)
 
 
-async def cancel_jobs(parts: AdminParts, call: Call) -> HttpResponse:
-    """Cancel several jobs; the answer tells what became of each."""
+async def cancel_jobs(context: AdminContext, call: Call) -> HttpResponse:
+    """Cancel several jobs; the response reports the result for each."""
     body = read_body(CancelBody, call.request)
-    report = await _cancel(parts, call, tuple(dict.fromkeys(body.job_ids)))
-    return answer_json(report, code=ResultCode.ACCEPTED)
+    report = await _cancel(context, call, tuple(dict.fromkeys(body.job_ids)))
+    return build_json_response(report, code=ResultCode.ACCEPTED)
 
 
 async def _cancel(
-    parts: AdminParts, call: Call, job_ids: tuple[str, ...]
+    context: AdminContext, call: Call, job_ids: tuple[str, ...]
 ) -> CancelReport:
     team = call.parameters["team"]
-    return await parts.backend.cancel_jobs(team=team, job_ids=job_ids)
+    return await context.backend.cancel_jobs(team=team, job_ids=job_ids)
--- a/trefoilhook/admin/openapi.py
+++ b/trefoilhook/admin/openapi.py
@@ -1,4 +1,4 @@
-"""The description of the admin API as OpenAPI 3.1, made from the table of routes."""
+"""OpenAPI 3.1 description of the admin API, generated from the table of routes."""
 
 import enum
 import json
@@ -18,19 +18,19 @@
 
 Schema = dict[str, Any]
 
-_PLAIN: dict[Any, Schema] = {
+_PRIMITIVE_SCHEMAS: dict[Any, Schema] = {
     bool: {"type": "boolean"},
     float: {"type": "number"},
     int: {"type": "integer"},
     str: {"type": "string"},
     type(None): {"type": "null"},
 }
-_PLACE = re.compile(r"{(\w+)(?:\.\.\.)?}")
+_PATH_PARAMETER = re.compile(r"{(\w+)(?:\.\.\.)?}")
 
 
 def _build_schema(kind: Any, schemas: dict[str, Schema]) -> Schema:
-    if kind in _PLAIN:
-        return _PLAIN[kind]
+    if kind in _PRIMITIVE_SCHEMAS:
+        return _PRIMITIVE_SCHEMAS[kind]
     origin = get_origin(kind)
     if origin is Literal:
         return {"type": "string", "enum": list(get_args(kind))}
@@ -77,7 +77,7 @@
     return described
 
 
-def _describe_query(parameter: Parameter) -> Schema:
+def _describe_query_parameter(parameter: Parameter) -> Schema:
     return {
         "name": parameter.name,
         "in": "query",
@@ -86,7 +86,7 @@
     }
 
 
-def _describe_place(name: str) -> Schema:
+def _describe_path_parameter(name: str) -> Schema:
     return {
         "name": name,
         "in": "path",
@@ -96,12 +96,17 @@
 
 
 def _describe_route(route: Route, schemas: dict[str, Schema]) -> Schema:
-    places = [_describe_place(name) for name in _PLACE.findall(route.template)]
-    queries = [_describe_query(parameter) for parameter in route.query]
-    if route.answer is None:
+    path_parameters = [
+        _describe_path_parameter(name)
+        for name in _PATH_PARAMETER.findall(route.template)
+    ]
+    query_parameters = [
+        _describe_query_parameter(parameter) for parameter in route.query
+    ]
+    if route.response is None:
         content: Schema = {"text/plain": {"schema": {"type": "string"}}}
     else:
-        schema = _build_schema(route.answer, schemas)
+        schema = _build_schema(route.response, schemas)
         content = {"application/json": {"schema": schema}}
     error = {"application/json": {"schema": _build_schema(ErrorBody, schemas)}}
     described: Schema = {
@@ -112,8 +117,8 @@
             "default": {"description": "Refused or failed.", "content": error},
         },
     }
-    if places or queries:
-        described["parameters"] = places + queries
+    if path_parameters or query_parameters:
+        described["parameters"] = path_parameters + query_parameters
     if route.body is not None:
         schema = _build_schema(route.body, schemas)
         described["requestBody"] = {
@@ -126,7 +131,7 @@
 
 
 def build_openapi() -> Schema:
-    """Return the description of the admin API as JSON values."""
+    """Return the OpenAPI description of the admin API as JSON values."""
     schemas: dict[str, Schema] = {}
     paths: dict[str, Schema] = {}
     for route in ROUTES:
@@ -145,5 +150,5 @@
 
 
 def render_openapi() -> str:
-    """Return the description of the admin API as text."""
+    """Return the OpenAPI description of the admin API as JSON text."""
     return json.dumps(build_openapi(), indent=1) + "\n"
--- a/trefoilhook/admin/routes.py
+++ b/trefoilhook/admin/routes.py
@@ -1,4 +1,4 @@
-"""The table of routes of the admin API."""
+"""Table of the admin API's routes."""
 
 from trefoilhook.admin import cluster, configuration, jobs
 from trefoilhook.admin.backend import (
@@ -16,7 +16,7 @@
 
 __all__ = ["ROUTES"]
 
-_TEAM = "/v1/config/teams/{team}"
+_TEAM_PATH = "/v1/config/teams/{team}"
 _KINDS: tuple[tuple[str, Kind], ...] = (
     ("jobs", "batch"),
     ("watchers", "watcher"),
@@ -26,13 +26,13 @@
 _REVISION = Parameter(
     name="revision",
     schema_type="integer",
-    description="Revision that was edited, 0 for a new team; If-Match does the same.",
+    description="Revision that the change is based on, 0 for a new team; or If-Match.",
 )
-_WANTED_REVISION = Parameter(
+_AWAITED_REVISION = Parameter(
     name="revision", schema_type="integer", description="Revision to wait for."
 )
 _TIMEOUT = Parameter(
-    name="timeout_ms", schema_type="integer", description="Longest wait, in ms."
+    name="timeout_ms", schema_type="integer", description="Maximum wait, in ms."
 )
 _PATH = Parameter(
     name="path", schema_type="string", description="Path inside the subtree."
@@ -41,134 +41,134 @@
     name="after", schema_type="string", description="Id after which the page begins."
 )
 _LIMIT = Parameter(
-    name="limit", schema_type="integer", description="Most jobs of the page."
+    name="limit", schema_type="integer", description="Maximum number of jobs."
 )
-_ONE_TEAM = Parameter(
+_TEAM_FILTER = Parameter(
     name="team", schema_type="string", description="Only this team's services."
 )
 
 
 def _build_configuration_routes() -> tuple[Route, ...]:
-    answer = configuration.ConfigurationAnswer
-    special = (
+    response = configuration.ConfigurationAnswer
+    fixed_routes = (
         Route(
             method="GET",
             template="/v1/config/wait",
             scope=Scope.ANY,
             operation=configuration.wait_for_revision,
             summary="Wait until a revision is in force on every live instance.",
-            query=(_WANTED_REVISION, _TIMEOUT),
-            answer=InForceReport,
+            query=(_AWAITED_REVISION, _TIMEOUT),
+            response=InForceReport,
         ),
         Route(
             method="GET",
-            template=f"{_TEAM}/history",
+            template=f"{_TEAM_PATH}/history",
             scope=Scope.TEAM,
             operation=configuration.list_history,
             summary="The latest changes of a team's subtree, the newest first.",
-            answer=configuration.HistoryAnswer,
+            response=configuration.HistoryAnswer,
         ),
         Route(
             method="POST",
-            template=f"{_TEAM}/validate",
+            template=f"{_TEAM_PATH}/validate",
             scope=Scope.TEAM,
             operation=configuration.validate_configuration,
-            summary="Check a change whole without making it.",
+            summary="Validate a change without applying it.",
             query=(_PATH,),
             body=object,
-            answer=answer,
+            response=response,
         ),
     )
-    whole_and_parts = tuple(
+    value_routes = tuple(
         route
-        for template in (_TEAM, f"{_TEAM}/{{path...}}")
+        for template in (_TEAM_PATH, f"{_TEAM_PATH}/{{path...}}")
         for route in (
             Route(
                 method="GET",
                 template=template,
                 scope=Scope.TEAM,
                 operation=configuration.get_configuration,
-                summary="What stands at a path of a team's subtree.",
-                answer=answer,
+                summary="Get the value at a path of a team's subtree.",
+                response=response,
             ),
             Route(
                 method="PUT",
                 template=template,
                 scope=Scope.TEAM,
                 operation=configuration.put_configuration,
-                summary="Set the value at a path, checked whole before acceptance.",
+                summary="Set the value at a path after validating the whole subtree.",
                 query=(_REVISION,),
                 body=object,
-                answer=answer,
+                response=response,
             ),
             Route(
                 method="DELETE",
                 template=template,
                 scope=Scope.TEAM,
                 operation=configuration.delete_configuration,
-                summary="Delete what stands at a path.",
+                summary="Delete the value at a path.",
                 query=(_REVISION,),
-                answer=answer,
+                response=response,
             ),
         )
     )
-    return special + whole_and_parts
+    return fixed_routes + value_routes
 
 
 def _build_job_routes(segment: str, kind: Kind) -> tuple[Route, ...]:
-    many = f"/v1/teams/{{team}}/{segment}"
-    one = f"{many}/{{job_id}}"
+    collection = f"/v1/teams/{{team}}/{segment}"
+    item = f"{collection}/{{job_id}}"
     return (
         Route(
             method="POST",
-            template=many,
+            template=collection,
             scope=Scope.TEAM,
             operation=jobs.build_create_operation(kind),
             summary=f"Record a {kind} durably.",
             body=JobBody,
-            answer=JobRecord,
+            response=JobRecord,
         ),
         Route(
             method="GET",
-            template=many,
+            template=collection,
             scope=Scope.TEAM,
             operation=jobs.build_list_operation(kind),
             summary=f"A page of the team's {segment}.",
             query=(_AFTER, _LIMIT),
-            answer=JobListing,
+            response=JobListing,
         ),
         Route(
             method="POST",
-            template=f"{many}/cancel",
+            template=f"{collection}/cancel",
             scope=Scope.TEAM,
             operation=jobs.cancel_jobs,
             summary=f"Cancel several {segment} at once.",
             body=jobs.CancelBody,
-            answer=CancelReport,
+            response=CancelReport,
         ),
         Route(
             method="GET",
-            template=one,
+            template=item,
             scope=Scope.TEAM,
             operation=jobs.build_show_operation(kind, is_explained=False),
             summary=f"One of the team's {segment}.",
-            answer=JobRecord,
+            response=JobRecord,
         ),
         Route(
             method="DELETE",
-            template=one,
+            template=item,
             scope=Scope.TEAM,
             operation=jobs.cancel_job,
             summary=f"Cancel one of the team's {segment}.",
-            answer=CancelReport,
+            response=CancelReport,
         ),
         Route(
             method="GET",
-            template=f"{one}/explain",
+            template=f"{item}/explain",
             scope=Scope.TEAM,
             operation=jobs.build_show_operation(kind, is_explained=True),
-            summary="Why it waits, or where it was placed and against what.",
-            answer=JobRecord,
+            summary="Explain why it waits, or its placement and the alternatives.",
+            response=JobRecord,
         ),
     )
 
@@ -181,23 +181,23 @@
             scope=Scope.ANY,
             operation=cluster.read_status,
             summary="Instances, shards, revision in force and health of the store.",
-            answer=ClusterStatus,
+            response=ClusterStatus,
         ),
         Route(
             method="POST",
             template="/v1/instances/{instance_id}/drain",
             scope=Scope.CLUSTER,
             operation=cluster.drain_instance,
-            summary="Make an instance hand over its shards and leave.",
-            answer=cluster.DrainAnswer,
+            summary="Ask an instance to hand over its shards and shut down.",
+            response=cluster.DrainAnswer,
         ),
         Route(
             method="POST",
             template="/v1/instances/{instance_id}/gone",
             scope=Scope.CLUSTER,
             operation=cluster.declare_gone,
-            summary="Declare that an instance is gone for good, so that nobody waits.",
-            answer=cluster.DrainAnswer,
+            summary="Declare an instance permanently stopped, so that no peer waits.",
+            response=cluster.DrainAnswer,
         ),
         Route(
             method="GET",
@@ -205,24 +205,24 @@
             scope=Scope.ANY,
             operation=cluster.read_burn,
             summary="Service-level burn; a team's token shows that team's services.",
-            query=(_ONE_TEAM,),
-            answer=BurnReport,
+            query=(_TEAM_FILTER,),
+            response=BurnReport,
         ),
         Route(
             method="GET",
             template="/healthz",
             scope=Scope.PUBLIC,
             operation=cluster.check_health,
-            summary="The instance runs.",
-            answer=cluster.HealthAnswer,
+            summary="Liveness check.",
+            response=cluster.HealthAnswer,
         ),
         Route(
             method="GET",
             template="/readyz",
             scope=Scope.PUBLIC,
             operation=cluster.check_readiness,
-            summary="Whether a balancer should send to this instance.",
-            answer=ReadyReport,
+            summary="Readiness check for load balancers.",
+            response=ReadyReport,
         ),
         Route(
             method="GET",
@@ -234,7 +234,7 @@
     )
 
 
-#: Every operation; of several templates that fit a path the first one counts.
+#: All routes; the first template that matches a path takes precedence.
 ROUTES: tuple[Route, ...] = (
     *_build_configuration_routes(),
     *(route for row in _KINDS for route in _build_job_routes(*row)),
--- a/trefoilhook/admin/tests/fakes.py
+++ b/trefoilhook/admin/tests/fakes.py
@@ -1,11 +1,11 @@
-"""Small fakes of what the admin API stands on."""
+"""Fakes of the admin API's dependencies."""
 
 import attrs
 import trio
 
 from trefoilhook.admin import (
+    AdminContext,
     AdminHandler,
-    AdminParts,
     CancelRefusal,
     CancelReport,
     ClusterStatus,
@@ -41,7 +41,7 @@
 
 
 class FakeStore:
-    """Keeps entries in memory and applies them to a view, as a watch would."""
+    """Store in memory that applies each change to a view, as a watch would."""
 
     def __init__(self, view):
         self.view = view
@@ -68,18 +68,18 @@
 
 
 class FakeBackend:
-    """Keeps jobs in memory."""
+    """Backend that keeps jobs in memory and records drained instances."""
 
     def __init__(self):
         self.jobs = {}
         self.drained = []
         self.is_ready = True
         self.revision_in_force = 1_000
-        self.fault = None
+        self.error = None
 
     async def read_status(self):
-        if self.fault is not None:
-            raise self.fault
+        if self.error is not None:
+            raise self.error
         store = StoreStatus(is_reachable=True, revision=10)
         return ClusterStatus(
             instance_id="i-1",
@@ -163,7 +163,7 @@
 
 @attrs.define(kw_only=True)
 class FakeInstance:
-    """An admin handler over fakes."""
+    """Admin handler with its fake dependencies."""
 
     view: ConfigurationView
     store: FakeStore
@@ -172,7 +172,7 @@
 
 
 def build_instance(*, observe=lambda *_: None):
-    """Build an admin handler over fakes; the cluster's token is `CLUSTER_TOKEN`."""
+    """Build an admin handler with fakes; the cluster token is `CLUSTER_TOKEN`."""
     view = ConfigurationView(root="root")
     store = FakeStore(view)
     backend = FakeBackend()
@@ -181,8 +181,8 @@
         get=store.get, swap=store.swap, root="root", clock=clock
     )
     settings = AdminSettings(cluster_tokens=(digest_token(CLUSTER_TOKEN),))
-    parts = AdminParts(
+    context = AdminContext(
         backend=backend, editor=editor, view=view, settings=settings, clock=clock
     )
-    handler = AdminHandler(parts=parts, observe=observe)
+    handler = AdminHandler(context=context, observe=observe)
     return FakeInstance(view=view, store=store, backend=backend, handler=handler)
--- a/trefoilhook/admin/tests/test_handler.py
+++ b/trefoilhook/admin/tests/test_handler.py
@@ -1,4 +1,4 @@
-"""Contract of the admin API."""
+"""Tests of the admin API's handler."""
 
 import json
 import unittest
@@ -17,7 +17,7 @@
 _B = "/v1/config/teams/b"
 _ROSTER = {"name": "roster", "job_id": "j-1"}
 
-#: Token, method, target, body, expected code; in order, on one instance.
+#: Token, method, target, body and expected code of calls sent in order to one instance.
 _CALLS = (
     (None, "GET", "/healthz", None, "OK"),
     (None, "GET", "/readyz", None, "OK"),
@@ -90,7 +90,7 @@
 
 
 class HandlerTest(unittest.TestCase):
-    """Every kind of call."""
+    """Result codes, authorisation, concurrency control and robustness."""
 
     def setUp(self):
         self.instance = build_instance()
@@ -107,7 +107,7 @@
         )
         return trio.run(self.instance.handler.handle, request)
 
-    def test_calls_get_their_codes(self):
+    def test_calls_return_expected_codes(self):
         for token, method, target, body, name in _CALLS:
             with self.subTest(call=f"{token} {method} {target}"):
                 response = self.call(token, method, target, body)
@@ -118,7 +118,7 @@
                     self.assertEqual((error["number"], error["name"]),
                                      (code.number, name))  # fmt: skip
 
-    def test_revision_guards_a_change_by_header_and_query(self):
+    def test_change_of_outdated_revision_is_refused(self):
         path = f"{_A}/quota/cores"
         first = self.call(CLUSTER_TOKEN, "PUT", path, 1)
         etag = (("if-match", first.get_header("etag")),)
@@ -130,8 +130,9 @@
         self.assertEqual(standing["revision"], second.parse_json()["revision"])
 
     def test_tokens_rotate_without_restart(self):
-        # An operator is locked out while a token is replaced. The new one must count
-        # before the old one is removed, and the old one must stop to count then.
+        # Guards against locking out an operator while a token is replaced: the new
+        # token must be valid before the old one is removed, and the old one must be
+        # invalid afterwards.
         path = f"{_A}/tokens/operators"
         old, new = digest_token("op-a"), digest_token("op-new")
         self.assertEqual(self.call("op-a", "PUT", path, [old, new]).status, 200)
@@ -140,9 +141,9 @@
         self.assertEqual(self.call("op-a", "GET", _A).status, 401)
         self.assertEqual(self.call("op-new", "GET", _A).status, 200)
 
-    def test_configuration_is_read_while_the_store_is_down(self):
-        # During an outage an operator can't see what is in force, though requests are
-        # served by it. The store does not answer; this instance has the value.
+    def test_configuration_is_readable_while_store_is_down(self):
+        # During a store outage, operators must still be able to read the configuration
+        # in force, which the instance holds and serves requests by.
         self.call(CLUSTER_TOKEN, "PUT", f"{_A}/quota/cores", 4)
         self.instance.store.is_down = True
         answer = self.call("op-a", "GET", f"{_A}/quota/cores").parse_json()
@@ -150,21 +151,21 @@
         refused = self.call(CLUSTER_TOKEN, "PUT", f"{_A}/quota/cores", 5)
         self.assertEqual(refused.parse_json()["error"]["outcome"], "not run")
 
-    def test_faults_inside_are_answered_and_show_nothing(self):
+    def test_internal_errors_are_answered_without_details(self):
         cases = ((RuntimeError("secret"), 500), (StoreUnavailableError("down"), 503))
-        for fault, status in cases:
-            self.instance.backend.fault = fault
+        for error, status in cases:
+            self.instance.backend.error = error
             response = self.call("op-a", "GET", "/v1/status")
             self.assertEqual(response.status, status)
             self.assertNotIn(b"secret", response.body)
 
-    def test_readiness_tells_the_balancer_to_stay_away(self):
+    def test_readiness_fails_while_leaving(self):
         self.instance.backend.is_ready = False
         response = self.call(None, "GET", "/readyz")
         self.assertEqual(response.status, 503)
         self.assertIn("leaving", response.parse_json()["error"]["detail"])
 
-    def test_pages_follow_each_other(self):
+    def test_pagination_returns_every_job_once(self):
         for number in range(5):
             body = {"name": "n", "job_id": f"j-{number}"}
             self.call("op-a", "POST", "/v1/teams/a/watchers", body)
@@ -195,7 +196,7 @@
         token=st.sampled_from((CLUSTER_TOKEN, "op-a", "", None)) | st.text(max_size=4),
         if_match=st.text(max_size=5) | st.none(),
     )
-    def test_any_call_is_answered_without_a_fault(
+    def test_arbitrary_request_causes_no_server_error(
         self, method, steps, query, body, token, if_match
     ):
         headers = () if if_match is None else (("if-match", if_match),)
--- a/trefoilhook/admin/tests/test_openapi.py
+++ b/trefoilhook/admin/tests/test_openapi.py
@@ -1,4 +1,4 @@
-"""The API's description and the server agree."""
+"""Tests that the OpenAPI description and the routes agree."""
 
 import json
 import unittest
@@ -14,7 +14,7 @@
 
 
 class OpenapiTest(unittest.TestCase):
-    """Both ways: from the page to the server and from the table to the page."""
+    """Compares the page with the routes in both directions."""
 
     def setUp(self):
         self.page = json.loads(_PAGE.read_text(encoding="utf-8"))
@@ -22,7 +22,7 @@
     def test_page_is_current(self):
         self.assertEqual(self.page, build_openapi())
 
-    def test_every_described_operation_is_served(self):
+    def test_every_described_operation_is_routed(self):
         seen = []
         instance = build_instance(observe=lambda template, *_: seen.append(template))
         headers = (("authorization", f"Bearer {CLUSTER_TOKEN}"),)
@@ -44,7 +44,7 @@
                 described = self.page["paths"][path][route.method.lower()]
                 self.assertEqual(described["summary"], route.summary)
 
-    def test_references_lead_somewhere(self):
+    def test_schema_references_resolve(self):
         schemas = self.page["components"]["schemas"]
         text = json.dumps(self.page)
         wanted = set(text.split('"#/components/schemas/')[1:])
--- a/trefoilhook/admin/tokens.py
+++ b/trefoilhook/admin/tokens.py
@@ -1,6 +1,6 @@
-"""Who may call what."""
+"""Authentication and authorisation of admin calls by bearer tokens."""
 
-from trefoilhook.admin.calls import AdminParts, Operator, Scope
+from trefoilhook.admin.calls import AdminContext, Operator, Scope
 from trefoilhook.configuration import digest_token, is_token_among
 from trefoilhook.exceptions import RequestError
 from trefoilhook.http import HttpRequest
@@ -9,25 +9,25 @@
 __all__ = ["authorize"]
 
 _SCHEME = "bearer "
-_SHOWN_DIGITS = 8
-_NOBODY = Operator(name="nobody", team="")
+_DIGEST_PREFIX_LENGTH = 8
+_ANONYMOUS = Operator(name="nobody", team="")
 
 
 def authorize(
-    parts: AdminParts, request: HttpRequest, scope: Scope, team: str | None
+    context: AdminContext, request: HttpRequest, scope: Scope, team: str | None
 ) -> Operator:
-    """Find out who calls and whether the call is covered.
+    """Authenticate the operator and check that the token covers the call.
 
     Parameters
     ----------
-    parts : AdminParts
-        Where the digests of tokens are found.
+    context : AdminContext
+        Configuration and settings that hold the digests of the tokens.
     request : HttpRequest
-        The call.
+        Request to authorise.
     scope : Scope
-        Whose token the route asks for.
+        Kind of token that the route requires.
     team : str or None
-        Team that the call is about, if it is about one.
+        Team in the path, if any.
 
     Raises
     ------
@@ -36,16 +36,16 @@
 
     Notes
     -----
-    Digests come from the configuration in force and from the settings at each call,
-    so that a token that was added or removed counts from then on, without a restart.
+    The digests are read at each call from the configuration in force and from the
+    settings, so that added and removed tokens take effect without a restart.
     """
     if scope is Scope.PUBLIC:
-        return _NOBODY
-    operator = _find_operator(parts, _read_token(request))
-    is_covered = operator.team is None or (
+        return _ANONYMOUS
+    operator = _find_operator(context, _read_token(request))
+    is_authorized = operator.team is None or (
         scope is not Scope.CLUSTER and (team is None or operator.covers(team))
     )
-    if not is_covered:
+    if not is_authorized:
         message = "the token does not cover this path"
         raise RequestError(message, code=ResultCode.FORBIDDEN)
     return operator
@@ -59,13 +59,13 @@
     return header[len(_SCHEME) :].strip()
 
 
-def _find_operator(parts: AdminParts, token: str) -> Operator:
-    shown = digest_token(token)[:_SHOWN_DIGITS]
-    if is_token_among(token, parts.settings.cluster_tokens):
-        return Operator(name=f"cluster/{shown}", team=None)
-    for name in parts.view.list_teams():
-        configuration = parts.view.team(name)
+def _find_operator(context: AdminContext, token: str) -> Operator:
+    digest_prefix = digest_token(token)[:_DIGEST_PREFIX_LENGTH]
+    if is_token_among(token, context.settings.cluster_tokens):
+        return Operator(name=f"cluster/{digest_prefix}", team=None)
+    for name in context.view.list_teams():
+        configuration = context.view.team(name)
         if configuration is not None and configuration.tokens.covers_operator(token):
-            return Operator(name=f"{name}/{shown}", team=name)
-    message = "the token is not known"
+            return Operator(name=f"{name}/{digest_prefix}", team=name)
+    message = "unknown token"
     raise RequestError(message, code=ResultCode.UNAUTHENTICATED)
--- a/trefoilhook/daemon/core.py
+++ b/trefoilhook/daemon/core.py
@@ -6,7 +6,7 @@
 import attrs
 import trio
 
-from trefoilhook.admin import AdminHandler, AdminParts
+from trefoilhook.admin import AdminContext, AdminHandler
 from trefoilhook.burn import BurnLedger
 from trefoilhook.clock import Clock
 from trefoilhook.configuration import ConfigurationEditor, ConfigurationView
@@ -238,14 +238,14 @@
             clock=self._clock,
             history_limit=settings.admin.history_limit,
         )
-        parts = AdminParts(
+        context = AdminContext(
             backend=self.backend,
             editor=editor,
             view=self.view,
             settings=settings.admin,
             clock=self._clock,
         )
-        handler = AdminHandler(parts=parts, observe=self.metrics.observe_http)
+        handler = AdminHandler(context=context, observe=self.metrics.observe_http)
         self._admin_server = build_server(settings.listeners.admin, handler.handle)
 
     async def _swap(self, key: str, value: bytes, *, expected_revision: int) -> int:
