--- a/trefoilhook/admin/core.py
+++ b/trefoilhook/admin/core.py
@@ -63,7 +63,7 @@
         methods.add(route.method)
     if methods:
         allowed = ", ".join(sorted(methods))
-        message = f"method not allowed; the path supports {allowed}"
+        message = f"method not allowed; the path supports {allowed} only"
         raise RequestError(message, code=ResultCode.METHOD_NOT_ALLOWED)
     raise RequestError("unknown path", code=ResultCode.NOT_FOUND)
 
--- a/trefoilhook/demo/__init__.py
+++ b/trefoilhook/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback in one process: stand-ins, instances and callers."""
+"""A complete system on loopback in one process: stand-ins, instances and clients."""
 
 from trefoilhook.demo.clients import AdminClient, Answer, EntryClient
 from trefoilhook.demo.cluster import (
--- a/trefoilhook/demo/__main__.py
+++ b/trefoilhook/demo/__main__.py
@@ -1,4 +1,4 @@
-"""``make demo``: what the system does, in a table; exit code 0 if all was right."""
+"""``make demo``: runs a scenario and prints its results; exit code 0 on success."""
 
 import sys
 from typing import Any
@@ -21,31 +21,31 @@
 _OPERATOR = "operator-token"
 _TEAM = "carrowmore"
 _DEADLINE_S = 120.0
-_FOLLOW_STEP_MS = 50.0
+_POLL_INTERVAL_MS = 50.0
 _COLUMNS = "{:<34} {:>5} {:<14} {:<9} {:<14} {:>9}  {}"
 
 
 @attrs.frozen(kw_only=True)
 class _Row:
-    """One line of the table."""
+    """Row of the result table."""
 
     request: str
     code: ResultCode
     instance: str
-    place: str
+    location: str
     latency_ms: float
-    is_right: bool
+    is_expected: bool
 
     def render(self) -> str:
-        """Return the line."""
+        """Return the row as a line of text."""
         return _COLUMNS.format(
             self.request,
             self.code.number,
             self.code.name,
             self.instance,
-            self.place,
+            self.location,
             f"{self.latency_ms:.1f} ms",
-            "right" if self.is_right else "WRONG",
+            "right" if self.is_expected else "WRONG",
         )
 
 
@@ -72,9 +72,9 @@
         request="configuration in force everywhere",
         code=ResultCode.OK,
         instance="all",
-        place=f"revision {revision}",
+        location=f"revision {revision}",
         latency_ms=cluster.clock.monotonic_ms() - started_ms,
-        is_right=waited["is_in_force"],
+        is_expected=waited["is_in_force"],
     )
 
 
@@ -89,9 +89,9 @@
                 request=f"seat check through instance {number}",
                 code=answer.code,
                 instance=answer.instance_id,
-                place=answer.executor_id,
+                location=answer.executor_id,
                 latency_ms=answer.latency_ms,
-                is_right=answer.code is ResultCode.OK and answer.executor_id != "",
+                is_expected=answer.code is ResultCode.OK and answer.executor_id != "",
             )
         )
         await entry.close()
@@ -99,22 +99,25 @@
 
 
 async def _sell_seat(cluster: LocalCluster) -> list[_Row]:
-    """Sell one seat, then ask again under the same key elsewhere: it runs once."""
+    """Sell a seat, and repeat the request with the same key at another instance.
+
+    The repeated request must not run; it is answered with the first result.
+    """
     key = mint_key()
     text = format_key(key)
     rows = []
-    for number, wanted in ((0, ResultCode.OK), (1, ResultCode.REPLAYED)):
+    for number, expected_code in ((0, ResultCode.OK), (1, ResultCode.REPLAYED)):
         entry = cluster.open_entry(number, _CALLER)
         answer = await entry.send(_TEAM, "seat-sale", b"seat 7", key=text)
-        is_whole = check_answer(answer.body, request_id=key.hex(), body=b"seat 7")
+        is_valid = check_answer(answer.body, request_id=key.hex(), body=b"seat 7")
         rows.append(
             _Row(
                 request=f"seat sale, same key, instance {number}",
                 code=answer.code,
                 instance=answer.instance_id,
-                place=answer.executor_id,
+                location=answer.executor_id,
                 latency_ms=answer.latency_ms,
-                is_right=answer.code is wanted and is_whole,
+                is_expected=answer.code is expected_code and is_valid,
             )
         )
         await entry.close()
@@ -122,7 +125,7 @@
 
 
 async def _run_job(
-    cluster: LocalCluster, *, kind: str, name: str, wanted_state: str
+    cluster: LocalCluster, *, kind: str, name: str, expected_state: str
 ) -> _Row:
     admin = cluster.open_admin(1, _OPERATOR)
     started_ms = cluster.clock.monotonic_ms()
@@ -135,7 +138,7 @@
     path = f"/v1/teams/{_TEAM}/{_COLLECTIONS[kind]}"
     submitted = await admin.send("POST", path, body)
     job_id = submitted["job_id"]
-    record = await _follow(cluster, admin, f"{path}/{job_id}", wanted_state)
+    record = await _wait_for_state(cluster, admin, f"{path}/{job_id}", expected_state)
     await admin.close()
     is_ended = record["state"] == "ended"
     number = record["result_number"] if is_ended else ResultCode.ACCEPTED.number
@@ -143,45 +146,45 @@
         request=f"{name}, {record['state']}",
         code=ResultCode.from_number(number),
         instance=cluster.addresses[1].instance_id,
-        place=record["worker_id"],
+        location=record["worker_id"],
         latency_ms=cluster.clock.monotonic_ms() - started_ms,
-        is_right=record["state"] == wanted_state and number < 100,
+        is_expected=record["state"] == expected_state and number < 100,
     )
 
 
 _COLLECTIONS = {"batch": "jobs", "watcher": "watchers"}
 
 
-async def _follow(
-    cluster: LocalCluster, admin: AdminClient, path: str, wanted_state: str
+async def _wait_for_state(
+    cluster: LocalCluster, admin: AdminClient, path: str, expected_state: str
 ) -> dict[str, Any]:
     while True:
         record: dict[str, Any] = await admin.send("GET", path)
-        if record["state"] in (wanted_state, "ended"):
+        if record["state"] in (expected_state, "ended"):
             return record
-        await cluster.clock.sleep_ms(_FOLLOW_STEP_MS)
+        await cluster.clock.sleep_ms(_POLL_INTERVAL_MS)
 
 
-async def _let_one_leave(cluster: LocalCluster) -> list[_Row]:
-    """Shut one instance down gracefully; the others serve on."""
+async def _shut_down_one_instance(cluster: LocalCluster) -> list[_Row]:
+    """Shut down one instance gracefully and check that the others keep serving."""
     started_ms = cluster.clock.monotonic_ms()
-    leaver = cluster.instances.pop()
+    instance = cluster.instances.pop()
     address = cluster.addresses.pop()
-    leaver.begin_shutdown()
+    instance.begin_shutdown()
     await cluster.wait_settled()
     row = _Row(
         request="graceful shutdown, shards moved",
         code=ResultCode.OK,
         instance=address.instance_id,
-        place="",
+        location="",
         latency_ms=cluster.clock.monotonic_ms() - started_ms,
-        is_right=True,
+        is_expected=True,
     )
     return [row, *await _check_seats(cluster)]
 
 
-def _judge(cluster: LocalCluster) -> _Row:
-    """Compare with the stand-ins' own records."""
+def _verify_records(cluster: LocalCluster) -> _Row:
+    """Check the stand-ins' records for repeated requests and overloads."""
     records = [standin.records for standin in cluster.platform.executors.values()]
     repeated = [r for each in records for r in each.find_repeated()]
     overloads = sum(each.overloads for each in records)
@@ -190,9 +193,9 @@
         request="stand-ins: repeated, overloaded",
         code=ResultCode.OK,
         instance="",
-        place=f"{len(repeated)}, {overloads + refused}",
+        location=f"{len(repeated)}, {overloads + refused}",
         latency_ms=0.0,
-        is_right=not repeated and overloads + refused == 0,
+        is_expected=not repeated and overloads + refused == 0,
     )
 
 
@@ -214,29 +217,29 @@
         rows.extend(await _sell_seat(cluster))
         rows.append(
             await _run_job(
-                cluster, kind="batch", name="night roster", wanted_state="ended"
+                cluster, kind="batch", name="night roster", expected_state="ended"
             )
         )
         rows.append(
             await _run_job(
-                cluster, kind="watcher", name="cloud watcher", wanted_state="running"
+                cluster, kind="watcher", name="cloud watcher", expected_state="running"
             )
         )
-        rows.extend(await _let_one_leave(cluster))
-        rows.append(_judge(cluster))
+        rows.extend(await _shut_down_one_instance(cluster))
+        rows.append(_verify_records(cluster))
         nursery.cancel_scope.cancel()
     print(_COLUMNS.format("request", "code", "", "instance", "at", "latency", ""))
     for row in rows:
         print(row.render())
-    return all(row.is_right for row in rows)
+    return all(row.is_expected for row in rows)
 
 
 def main() -> None:
-    """Run the demo and exit with 0 if everything was right."""
+    """Run the demo and exit with 0 if every result was as expected."""
     configure_logs(level="ERROR", as_json=False)
-    is_right = trio.run(_run_within_deadline)
-    print("All answers were right." if is_right else "Something was WRONG.")
-    sys.exit(0 if is_right else 1)
+    is_expected = trio.run(_run_within_deadline)
+    print("All answers were right." if is_expected else "Something was WRONG.")
+    sys.exit(0 if is_expected else 1)
 
 
 async def _run_within_deadline() -> bool:
--- a/trefoilhook/demo/clients.py
+++ b/trefoilhook/demo/clients.py
@@ -1,4 +1,4 @@
-"""A caller and an operator of the demo."""
+"""Clients of the entry and of the admin API, for the demo and for tests."""
 
 import json
 from typing import Any
@@ -17,20 +17,20 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """What a caller got.
+    """Response to a caller's request.
 
     Parameters
     ----------
     code : ResultCode
-        What became of the request.
+        Result code of the request.
     instance_id, executor_id : str
-        Who answered, and who ran it.
+        Instance that answered, and executor that ran the request.
     body : bytes
-        The whole body.
+        Complete body of the response.
     latency_ms : float
-        Time of the exchange, in ms.
+        Time from request to response, in ms.
     retry_after_ms : float
-        When to come back, in ms; 0 when not told.
+        Time after which to retry, in ms; 0 if the response gave none.
     """
 
     code: ResultCode
@@ -42,16 +42,16 @@
 
 
 class EntryClient:
-    """A caller of one instance.
+    """Client of an instance's entry port.
 
     Parameters
     ----------
     port : int
         Entry port of the instance.
     token : str
-        Caller's token.
+        Bearer token of the caller.
     clock : Clock
-        Time.
+        Source of the time that measures latency.
     """
 
     def __init__(self, *, port: int, token: str, clock: Clock) -> None:
@@ -68,12 +68,12 @@
         key: str | None = None,
         timeout_ms: float | None = None,
     ) -> Answer:
-        """Send one request and return what came back.
+        """Send a request and return the response.
 
         Raises
         ------
         TransportError
-            If no whole answer came.
+            If no complete response was received.
         """
         headers = [("authorization", f"Bearer {self._token}")]
         if key is not None:
@@ -104,14 +104,14 @@
 
 
 class AdminClient:
-    """An operator at one instance's admin API.
+    """Client of an instance's admin API.
 
     Parameters
     ----------
     port : int
         Admin port of the instance.
     token : str
-        Operator's token.
+        Bearer token of the operator.
     """
 
     def __init__(self, *, port: int, token: str) -> None:
@@ -119,12 +119,12 @@
         self._token = token
 
     async def send(self, method: str, target: str, body: Any = None) -> Any:
-        """Send a call and return its answer read as JSON.
+        """Send a call and return the parsed JSON body of the response.
 
         Raises
         ------
         RuntimeError
-            If the answer is not a success.
+            If the response has an error status.
         """
         status, value = await self.exchange(method, target, body)
         if status >= 300:
@@ -134,7 +134,7 @@
     async def exchange(
         self, method: str, target: str, body: Any = None
     ) -> tuple[int, Any]:
-        """Send a call and return its status and its answer read as JSON."""
+        """Send a call and return the status and parsed JSON body of the response."""
         request = HttpRequest(
             method=method,
             target=target,
--- a/trefoilhook/demo/cluster.py
+++ b/trefoilhook/demo/cluster.py
@@ -1,4 +1,4 @@
-"""Stand-ins and instances on loopback, inside one process."""
+"""Stand-ins and instances that run on loopback in one process."""
 
 import secrets
 
@@ -26,25 +26,25 @@
 
 CLUSTER_TOKEN = "cluster-token"
 _HOST = "127.0.0.1"
-_DOMAINS = ("fd-1", "fd-2", "fd-3")
+_FAILURE_DOMAINS = ("fd-1", "fd-2", "fd-3")
 _RACK_SIZE = 8
-_SETTLE_STEP_MS = 20.0
+_SETTLE_POLL_INTERVAL_MS = 20.0
 
 
 @attrs.frozen(kw_only=True)
 class LocalPlan:
-    """What to start.
+    """Size of a local system.
 
     Parameters
     ----------
     instances : int
-        Instances of the system.
+        Number of instances.
     services : dict of str to int
-        Executors of each service, by ``team/service``.
+        Number of executors of each service, by ``team/service``.
     workers : int
-        Workers.
+        Number of workers.
     service_time_ms : float
-        How long a request runs on an executor, in ms.
+        Run time of a request on an executor, in ms.
     """
 
     instances: int = 3
@@ -55,18 +55,18 @@
 
 @attrs.define(kw_only=True)
 class LocalPlatform:
-    """The outside of a local system: store, instance list, executors and workers.
+    """Stand-ins for the platform: store, instance list, executors and workers.
 
     Parameters
     ----------
     clock : Clock
-        Time of all of it.
+        Clock shared by all components.
     nursery : trio.Nursery
-        Where it runs.
+        Nursery that runs the stand-ins.
     plan : LocalPlan
-        What to start.
+        Size of the system.
     settings : DaemonSettings
-        Settings of each instance, before its addresses are filled in.
+        Settings common to all instances; identity and addresses are added to them.
     """
 
     clock: Clock
@@ -83,7 +83,7 @@
 
     async def start(self) -> None:
         """Start the stand-ins."""
-        # A port may be used again by another run; strangers are refused.
+        # The token keeps out instances of another run that used the same port.
         self.store_token = secrets.token_hex(16)
         self.store = StoreStandin(clock=self.clock, token=self.store_token)
         self.store_port = await self.nursery.start(self.store.run)
@@ -99,15 +99,15 @@
         Parameters
         ----------
         instance_id : str
-            The instance.
+            Identifier of the instance.
         number : int
-            Chooses its failure domain.
+            Number of the instance, which selects its failure domain.
         """
         return attrs.evolve(
             self.settings,
             instance=InstanceSettings(
                 instance_id=instance_id,
-                failure_domain=_DOMAINS[number % len(_DOMAINS)],
+                failure_domain=_FAILURE_DOMAINS[number % len(_FAILURE_DOMAINS)],
             ),
             store=attrs.evolve(
                 self.settings.store,
@@ -142,7 +142,7 @@
                         service=service,
                         host=_HOST,
                         port=await self.nursery.start(standin.run),
-                        failure_domain=_DOMAINS[number % len(_DOMAINS)],
+                        failure_domain=_FAILURE_DOMAINS[number % len(_FAILURE_DOMAINS)],
                     )
                 )
         return tuple(records)
@@ -161,7 +161,7 @@
                 WorkerRecord(
                     worker_id=worker_id,
                     rack=f"rack-{number // _RACK_SIZE}",
-                    failure_domain=_DOMAINS[number % len(_DOMAINS)],
+                    failure_domain=_FAILURE_DOMAINS[number % len(_FAILURE_DOMAINS)],
                     host=_HOST,
                     port=await self.nursery.start(standin.run),
                     capacity=capacity,
@@ -172,16 +172,16 @@
 
 @attrs.define(kw_only=True)
 class LocalCluster:
-    """Instances inside this process, on a local platform.
+    """Instances in this process on a local platform.
 
     Parameters
     ----------
     platform : LocalPlatform
-        The outside, started.
+        The running platform.
     instances : list of Instance
-        Instances that were started, in order.
+        Started instances, in order of their start.
     addresses : list of Addresses
-        Their ports.
+        Addresses of the instances, in the same order.
     """
 
     platform: LocalPlatform
@@ -190,17 +190,17 @@
 
     @property
     def clock(self) -> Clock:
-        """Time of all of it."""
+        """Clock shared by all components."""
         return self.platform.clock
 
     async def start(self) -> None:
-        """Start the instances and wait until all is owned."""
+        """Start the instances and wait until every shard is owned."""
         for _ in range(self.platform.plan.instances):
             await self.add_instance()
         await self.wait_settled()
 
     async def add_instance(self) -> Instance:
-        """Start one more instance."""
+        """Start another instance."""
         number = len(self.instances)
         settings = self.platform.build_settings(f"i-{number}", number)
         instance = Instance(settings=settings, clock=self.clock)
@@ -209,23 +209,23 @@
         return instance
 
     async def wait_settled(self) -> None:
-        """Wait until every shard has one owner that every instance knows."""
+        """Wait until every shard has an owner and all instances agree on the owners."""
         while not self._is_settled():
-            await self.clock.sleep_ms(_SETTLE_STEP_MS)
+            await self.clock.sleep_ms(_SETTLE_POLL_INTERVAL_MS)
 
     def open_entry(self, number: int, token: str) -> EntryClient:
-        """Open a caller's client to an instance."""
+        """Open a caller's client of an instance."""
         port = self.addresses[number].entry_port
         return EntryClient(port=port, token=token, clock=self.clock)
 
     def open_admin(self, number: int, token: str = CLUSTER_TOKEN) -> AdminClient:
-        """Open an operator's client to an instance."""
+        """Open an operator's client of an instance."""
         return AdminClient(port=self.addresses[number].admin_port, token=token)
 
     def _is_settled(self) -> bool:
-        staying = [i for i in self.instances if not i.is_leaving]
+        remaining = [i for i in self.instances if not i.is_leaving]
         shards = self.platform.settings.shards
         count = shards.request_shards + shards.worker_shards
-        owned = sum(len(i.ownership.list_owned()) for i in staying)
-        known = {i.ownership.table.revision for i in staying}
-        return owned == count and len(known) == 1
+        owned = sum(len(i.ownership.list_owned()) for i in remaining)
+        table_revisions = {i.ownership.table.revision for i in remaining}
+        return owned == count and len(table_revisions) == 1
