--- a/trefoilhook/runtime/core.py
+++ b/trefoilhook/runtime/core.py
@@ -23,10 +23,10 @@
     decode_configuration,
 )
 from trefoilhook.runtime.evacuations import EvacuationFeed
-from trefoilhook.runtime.figures import Figures, render
 from trefoilhook.runtime.fitness import rate_instance
 from trefoilhook.runtime.following import follow
-from trefoilhook.runtime.intake import Intake
+from trefoilhook.runtime.job_api import Intake
+from trefoilhook.runtime.metrics import Figures, render
 from trefoilhook.runtime.ownership import Campaign, Tenure
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.shard import ShardOwner, ShardSettings
--- a/trefoilhook/runtime/intake.py
+++ b/trefoilhook/runtime/job_api.py
@@ -31,7 +31,7 @@
     read_client_timeout,
 )
 from trefoilhook.runtime import keys
-from trefoilhook.runtime.figures import Figures
+from trefoilhook.runtime.metrics import Figures
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
     Configuration,
--- a/trefoilhook/runtime/orders.py
+++ b/trefoilhook/runtime/orders.py
@@ -3,8 +3,8 @@
 from trefoilhook.clock import Clock
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import WorkerClient
-from trefoilhook.runtime.figures import Figures
 from trefoilhook.runtime.losses import log_restart
+from trefoilhook.runtime.metrics import Figures
 from trefoilhook.scheduling import (
     Order,
     OrderOutcome,
--- a/trefoilhook/runtime/watching.py
+++ b/trefoilhook/runtime/polling.py
@@ -9,8 +9,8 @@
 from trefoilhook.logs import DependencyLog, Event, log_event
 from trefoilhook.platform import LookRequest, WorkerClient
 from trefoilhook.runtime.commits import Committer
-from trefoilhook.runtime.figures import Figures
 from trefoilhook.runtime.losses import log_restart, log_unlisted
+from trefoilhook.runtime.metrics import Figures
 from trefoilhook.runtime.ownership import Tenure
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
--- a/trefoilhook/runtime/rejections.py
+++ b/trefoilhook/runtime/rejections.py
@@ -1,7 +1,7 @@
 """What was read from outside and can't be used: logged once, counted each time."""
 
 from trefoilhook.logs import Event, log_event
-from trefoilhook.runtime.figures import Figures
+from trefoilhook.runtime.metrics import Figures
 
 __all__ = ["Rejections"]
 
--- a/trefoilhook/runtime/shard.py
+++ b/trefoilhook/runtime/shard.py
@@ -17,19 +17,19 @@
     KeyValueStore,
     WorkerClient,
 )
-from trefoilhook.runtime.advising import ask_for_advice
+from trefoilhook.runtime.advice import ask_for_advice
 from trefoilhook.runtime.commits import Committer
-from trefoilhook.runtime.figures import Figures
 from trefoilhook.runtime.jobfeed import JobFeed
 from trefoilhook.runtime.lag import LoopLag
 from trefoilhook.runtime.loading import ShardContents, load_shard
 from trefoilhook.runtime.losses import log_lapse, log_loss
+from trefoilhook.runtime.maintenance import Upkeep
+from trefoilhook.runtime.metrics import Figures
 from trefoilhook.runtime.orders import carry_out
 from trefoilhook.runtime.ownership import OWNER_LEASE_MS, Tenure
+from trefoilhook.runtime.polling import WorkerWatch
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.roster import Roster
-from trefoilhook.runtime.upkeep import Upkeep
-from trefoilhook.runtime.watching import WorkerWatch
 from trefoilhook.runtime.workerfeed import WorkerFeed
 from trefoilhook.scheduling import (
     SLOWEST_CLOCK,
--- a/trefoilhook/runtime/tests/test_evacuations.py
+++ b/trefoilhook/runtime/tests/test_evacuations.py
@@ -11,7 +11,7 @@
 from trefoilhook.logs.tests.lines import capture_lines, count_lines, find_line
 from trefoilhook.platform import Change, Item, Listing
 from trefoilhook.runtime.evacuations import EvacuationFeed
-from trefoilhook.runtime.figures import Figures
+from trefoilhook.runtime.metrics import Figures
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.tests.cluster import (
     BOUNDS,
--- a/trefoilhook/runtime/tests/test_figures.py
+++ b/trefoilhook/runtime/tests/test_metrics.py
@@ -6,7 +6,7 @@
 
 from trefoilhook.http import HttpRequest
 from trefoilhook.runtime.core import METRICS_PATH
-from trefoilhook.runtime.figures import Figures, render
+from trefoilhook.runtime.metrics import Figures, render
 from trefoilhook.runtime.tests.cluster import PREFIX, Cluster, build_body, run_cluster
 
 
