--- a/trefoilhook/platform/__init__.py
+++ b/trefoilhook/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the users' platform: its names, formats and calls, and no decision."""
+"""Adapter to the users' platform: its formats and calls, without any scheduling."""
 
 from trefoilhook.platform.advice import AdviceClient
 from trefoilhook.platform.core import Address, parse_address
@@ -24,9 +24,9 @@
     MAX_ROWS,
     Change,
     Changes,
-    Expectation,
     Item,
     Listing,
+    Precondition,
     PreconditionError,
     Put,
     Transaction,
@@ -39,7 +39,7 @@
     parse_settings,
 )
 from trefoilhook.platform.store import KeyValueStore
-from trefoilhook.platform.workers import LookRequest, WorkerClient
+from trefoilhook.platform.workers import PollRequest, WorkerClient
 
 __all__ = [
     "CONFIGURATION_KEY",
@@ -56,12 +56,12 @@
     "Changes",
     "ConfigurationDocument",
     "EvacuationEntry",
-    "Expectation",
+    "Precondition",
     "InstanceSize",
     "Item",
     "KeyValueStore",
     "Listing",
-    "LookRequest",
+    "PollRequest",
     "PreconditionError",
     "ProcessSettings",
     "Put",
--- a/trefoilhook/platform/advice.py
+++ b/trefoilhook/platform/advice.py
@@ -1,4 +1,4 @@
-"""The service that tells which workers a step may run on."""
+"""Client of the advice service, which decides on which workers a step may run."""
 
 from trefoilhook.decoding import check_text, parse_table, read_list
 from trefoilhook.exceptions import DecodeError, TransportError
@@ -9,11 +9,15 @@
 __all__ = ["AdviceClient"]
 
 _MAX_CONNECTIONS = 1
-"""The service handles one call of an instance at a time."""
+"""The service processes the calls of an instance one at a time."""
 
 
 def _decode_grants(data: bytes) -> tuple[Grant, ...]:
-    """Decode an answer, as a whole: who isn't in it counts as refused for good."""
+    """Decode an answer, or refuse it as a whole.
+
+    A partly decoded answer would exclude workers permanently, as a worker that is not
+    listed counts as refused.
+    """
     grants: list[Grant] = []
     for row in read_list(parse_table(data), "granted"):
         if not isinstance(row, list) or len(row) < 2:
@@ -24,12 +28,12 @@
 
 
 class AdviceClient:
-    """Calls to the service.
+    """Client of the advice service.
 
     Parameters
     ----------
     address : (str, int)
-        Where it listens.
+        Address of the service.
     """
 
     def __init__(self, *, address: Address) -> None:
@@ -38,12 +42,12 @@
     async def ask(
         self, request: AdviceRequest, *, timeout_ms: float
     ) -> tuple[Grant, ...] | None:
-        """Return the workers that may run the step; None when there was no answer.
+        """Return the workers that may run the step, or None if there was no answer.
 
         Raises
         ------
         DecodeError
-            If the answer can't be read.
+            If the answer is invalid.
         """
         body = {
             "step": ".".join(str(part) for part in request.step),
--- a/trefoilhook/platform/core.py
+++ b/trefoilhook/platform/core.py
@@ -1,4 +1,4 @@
-"""Addresses and answers, as all of the platform's services write them."""
+"""Parsing of addresses and responses, common to all services of the platform."""
 
 import re
 from typing import Any
@@ -12,46 +12,45 @@
 Address = tuple[str, int]
 
 _ADDRESS = re.compile(r"([A-Za-z0-9._-]{1,253}|\[[0-9A-Fa-f:.]{2,45}\]):([0-9]{1,5})")
-"""A host name or an address, and a port. No other character may pass: a host with a
-space or a line break in it fails inside the library for connections, with errors that
-no caller expects."""
+"""A host name or IP address, and a port. Other characters are refused: a space or line
+break in a host raises unexpected errors in the connection library."""
 
-_LAST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
-def parse_address(text: str, *, least_port: int = 1) -> Address:
-    """Split ``HOST:PORT``.
+def parse_address(text: str, *, min_port: int = 1) -> Address:
+    """Parse an address of the form ``HOST:PORT``.
 
     Parameters
     ----------
     text : str
-        The address.
-    least_port : int, optional
-        0 where the system may choose a port to listen at.
+        Address to parse.
+    min_port : int, optional
+        Smallest valid port; 0 for a listen address with any free port.
 
     Raises
     ------
     DecodeError
-        If it is no address.
+        If the address is invalid.
     """
     match = _ADDRESS.fullmatch(text)
     if match is None:
         raise DecodeError("address: not HOST:PORT")
     port = int(match[2])
-    if not least_port <= port <= _LAST_PORT:
-        raise DecodeError("address: no such port")
+    if not min_port <= port <= _MAX_PORT:
+        raise DecodeError("address: port out of range")
     return match[1].strip("[]"), port
 
 
 def read_object(response: HttpResponse) -> dict[str, Any]:
-    """Read the body of an answer as a JSON object.
+    """Decode the body of a response as a JSON object.
 
     Raises
     ------
     AnswerLostError
-        If it is none: the call was carried out, but what it did can't be told.
+        If the body is invalid: the call took effect, but its result is unknown.
     """
     try:
         return parse_table(response.body)
     except DecodeError as error:
-        raise AnswerLostError(f"unreadable answer: {error}") from error
+        raise AnswerLostError(f"invalid answer: {error}") from error
--- a/trefoilhook/platform/declarations.py
+++ b/trefoilhook/platform/declarations.py
@@ -1,4 +1,4 @@
-"""What clients, operators and workers declare on the platform, decoded once."""
+"""Decodes jobs, configurations, evacuations and worker entries."""
 
 import re
 from collections.abc import Mapping
@@ -50,17 +50,20 @@
 WORKER_PREFIX = "servers/"
 
 _MAX_TASKS = 100_000
-"""Most tasks of one step, far over the largest seen; bounds one client's memory."""
+"""Maximum number of tasks of a step. It bounds the memory that one client can use, and
+is far above the largest steps of users."""
 
 
 _MAX_REPEATS = 100_000
-"""Most runs of one job's steps: all of them are counted when the job is taken in."""
+"""Maximum number of repeats of a job, all of which are counted when the job is
+added."""
 
 _WORKER_ID = re.compile(r"[A-Za-z0-9._:-]{1,190}")
-"""An id of a worker goes into a header and into keys of 200 bytes."""
+"""Valid worker ids. An id is sent in a header and is part of keys of up to 200
+bytes."""
 
 _IS_DRAINING = {"ready": False, "draining": True}
-"""Whether a worker is about to leave, by the states that the platform names."""
+"""Whether a worker is draining, by its state on the platform."""
 
 
 def _decode_demand(table: Mapping[str, Any]) -> Demand:
@@ -75,10 +78,10 @@
 
 
 def _drop_nulls(table: dict[str, Any]) -> dict[str, Any]:
-    """Leave out the fields that hold null, as some clients write those they don't use.
+    """Remove fields with a null value, which some clients send for unused fields.
 
-    Only for submissions: their clients are told what is refused. An entry of the store
-    has no such reader, and null in it is a sign of another writer.
+    Applied to submissions only, where clients get an error for other invalid values. In
+    an entry of the store, null indicates a foreign writer.
     """
     return {name: value for name, value in table.items() if value is not None}
 
@@ -109,10 +112,10 @@
         speculative=read_flag(table, "speculative", default=False),
         long_running=read_flag(table, "long_running", default=False),
         image=read_text(table, "image", default=""),
-        # The wire's target is the limit on a service task's tail latency.
+        # "target_ms" is the limit on a service task's tail latency.
         latency_limit_ms=read_number(table, "target_ms", default=0.0),
-        # The name promises a number, but it only says that the processor share of
-        # the step is not counted against a worker's capacity.
+        # Despite its name, "fill_count" is a flag: the processor use of the step does
+        # not count against a worker's capacity.
         filler=bool(table.get("fill_count")),
         max_absent=max_absent,
     )
@@ -129,7 +132,7 @@
     Raises
     ------
     RequestError
-        If it is not a job.
+        If the submission is not a valid job.
     """
     try:
         table = _drop_nulls(parse_table(body))
@@ -152,14 +155,14 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigurationDocument:
-    """A configuration and what of it can't be read.
+    """A configuration with the problems found in it.
 
     Parameters
     ----------
     configuration : Configuration
-        The sound part.
+        Valid part of the configuration.
     problems : tuple of str
-        One for each route or service that was left out.
+        Errors of the routes and services that were left out.
     """
 
     configuration: Configuration
@@ -216,13 +219,14 @@
 def decode_configuration(data: bytes) -> ConfigurationDocument:
     """Decode the operator's configuration, route by route.
 
-    A route that can't be read is left out, and the others hold: one route's fault must
-    not keep a change of all others from being in force.
+    An invalid route is left out, so that it doesn't prevent changes of the other routes
+    from being applied.
 
     Raises
     ------
     DecodeError
-        If it is none, or has no version: then it can't be told from an older one.
+        If the configuration is invalid, or has no version by which to detect an
+        outdated one.
     """
     table = parse_table(data)
     problems: list[str] = []
@@ -283,10 +287,10 @@
 # Workers.
 
 
-def _check_bookkeeping(table: Mapping[str, Any]) -> None:
-    """Check the fields that every worker writes and that nothing here uses.
+def _check_unused_fields(table: Mapping[str, Any]) -> None:
+    """Check the fields that every worker writes but that are not used here.
 
-    An entry without them is another writer's, however well the rest looks.
+    An entry without them was written by a foreign writer, even if the rest is valid.
     """
     read_text(table, "version")
     read_integer(table, "slots")
@@ -303,18 +307,18 @@
 
 
 def decode_worker_report(key: str, data: bytes) -> WorkerReport:
-    """Decode the entry that a worker keeps in the store.
+    """Decode a worker's entry in the store.
 
     Raises
     ------
     DecodeError
-        If it isn't one that a worker writes. Such an entry names no worker to use.
+        If the entry was not written by a worker; it must not be used.
     """
     worker_id = key.removeprefix(WORKER_PREFIX)
     if worker_id == key or not _WORKER_ID.fullmatch(worker_id):
         raise DecodeError("key: not a worker's")
     table = parse_table(data)
-    _check_bookkeeping(table)
+    _check_unused_fields(table)
     host, port = parse_address(read_text(table, "address"))
     return WorkerReport(
         worker_id=worker_id,
--- a/trefoilhook/platform/entry.py
+++ b/trefoilhook/platform/entry.py
@@ -1,4 +1,4 @@
-"""What passes between the platform's clients and an instance, besides jobs."""
+"""Messages between the platform's clients and an instance, except for jobs."""
 
 import math
 
@@ -15,20 +15,20 @@
 
 
 def answer_state(state: str) -> HttpResponse:
-    """Tell the state of a job."""
+    """Build the response with the state of a job."""
     return HttpResponse.from_json({"state": state})
 
 
 def answer_pending(count: int) -> HttpResponse:
-    """Tell how many jobs of a queue wait for the start of their first task."""
+    """Build the response with the number of jobs of a queue that have not started."""
     return HttpResponse.from_json({"pending": count})
 
 
 def read_client_timeout(request: HttpRequest, *, default_ms: float) -> float:
-    """Return how long the client waits for the answer, in ms.
+    """Return the client's timeout in ms, or the default if it is not a finite number.
 
-    What is no finite number has the default: no time is ever past ``nan``, so that a
-    request would be tried again for good.
+    No time compares as later than ``nan``, so a request with such a timeout would be
+    retried forever.
     """
     text = request.get_header("deadline-ms")
     try:
--- a/trefoilhook/platform/looks.py
+++ b/trefoilhook/platform/looks.py
@@ -1,10 +1,10 @@
-"""What a worker lists, decoded row by row.
+"""Decodes a worker's answer to a poll, row by row.
 
-One row that can't be read must not lose the worker and all that runs there, which a
-whole answer thrown away would do: no look would count, and its leases would lapse. Nor
-may such a row pass for one that isn't there, since what a look doesn't list is taken
-for over. So each is handed on as an `UnreadRow` with as much of it as can be read, and
-the scheduler proves nothing by its absence.
+An unreadable row must not invalidate the whole answer: no poll would succeed, and the
+leases of all tasks on the worker would expire. It must not be skipped either, because
+tasks that are not listed count as ended. Each such row is therefore returned as an
+`UnreadRow` with its readable parts, and the scheduler draws no conclusion from what is
+not listed.
 """
 
 from collections.abc import Mapping
@@ -41,9 +41,9 @@
 }
 
 
-def _check_row(value: Any, least: int) -> list[Any]:
-    """Return a row; further fields, which a newer worker may add, are no fault."""
-    if not isinstance(value, list) or len(value) < least:
+def _check_row(value: Any, min_length: int) -> list[Any]:
+    """Check that a row has enough fields; newer workers may add more."""
+    if not isinstance(value, list) or len(value) < min_length:
         raise DecodeError("not a whole row")
     return value
 
@@ -52,10 +52,10 @@
     return parse_task_id(check_text(task, "task")), check_integer(attempt, "attempt")
 
 
-def _measure(row: list[Any], place: int) -> float | None:
-    """Return a figure of a running attempt; None if it is none.
+def _decode_figure(row: list[Any], place: int) -> float | None:
+    """Return a measurement of a running attempt, or None if it is invalid.
 
-    A figure guides choices only: an attempt whose figures can't be read still runs.
+    Measurements only guide placement: an attempt with an invalid one still runs.
     """
     try:
         return check_number(row[place], "figure") if len(row) > place else 0.0
@@ -71,9 +71,10 @@
         task=task,
         attempt=attempt,
         checkpoint=checkpoint if isinstance(checkpoint, str) else "",
-        percent=_measure(row, 3),
-        # Tail latency in ms of a task that serves, else thousandths of a core in use.
-        load=_measure(row, 4),
+        percent=_decode_figure(row, 3),
+        # Tail latency of a service task in ms; processor use of other tasks in
+        # thousandths of a core.
+        load=_decode_figure(row, 4),
     )
 
 
@@ -92,8 +93,8 @@
     )
 
 
-def _salvage_end(value: Any, reason: str) -> UnreadRow:
-    """Read the number and the attempt of an end whose rest can't be read."""
+def _decode_partial_end(value: Any, reason: str) -> UnreadRow:
+    """Decode the number and the attempt of an end that is otherwise unreadable."""
     number = attempt = None
     if isinstance(value, list) and len(value) > 2:
         try:
@@ -119,17 +120,17 @@
         try:
             ends.append(_decode_end(row))
         except DecodeError as error:
-            unread.append(_salvage_end(row, f"finished: {error}"))
+            unread.append(_decode_partial_end(row, f"finished: {error}"))
     return running, ends, unread
 
 
 def decode_look(data: bytes) -> Look:
-    """Decode what a worker lists.
+    """Decode a worker's answer to a poll.
 
     Raises
     ------
     DecodeError
-        If it has no clock or no lists, by which nothing at all can be proved.
+        If the clock or a list is missing, so that the answer proves nothing.
     """
     table = parse_table(data)
     running, ends, unread = _decode_rows(table)
--- a/trefoilhook/platform/messages.py
+++ b/trefoilhook/platform/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the platform's key-value store, and the error that carries one."""
+"""Messages of the platform's key-value store."""
 
 import attrs
 
@@ -9,7 +9,7 @@
     "MAX_ROWS",
     "Change",
     "Changes",
-    "Expectation",
+    "Precondition",
     "Item",
     "Listing",
     "PreconditionError",
@@ -18,23 +18,23 @@
 ]
 
 MAX_ROWS = 32
-"""Most rows of one transaction, preconditions included; the platform's limit."""
+"""The platform's limit on the rows of a transaction, including preconditions."""
 
 
 @attrs.frozen(kw_only=True)
 class Item:
-    """A key as it stands in the store.
+    """A key in the store with its value.
 
     Parameters
     ----------
     key : str
-        Its path.
+        Path of the key.
     value : bytes
-        What it holds.
+        Value of the key.
     revision : int
-        The store's revision when it was last changed.
+        Revision of the store at the last change of the key.
     created : int
-        The store's revision when it came to be.
+        Revision of the store at the creation of the key.
     """
 
     key: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class Listing:
-    """All keys under a prefix; ``as_of`` is a revision that a watch may begin at."""
+    """All keys under a prefix; a watch after ``as_of`` reports all later changes."""
 
     items: tuple[Item, ...]
     as_of: int
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """One change of a key; ``item`` is None when the key was removed."""
+    """One change of a key; ``item`` is None if the key was removed."""
 
     key: str
     revision: int
@@ -62,15 +62,15 @@
 
 @attrs.frozen(kw_only=True)
 class Changes:
-    """What a watch saw, in order; the next watch begins after ``as_of``."""
+    """The changes of one watch, in order; the next watch starts after ``as_of``."""
 
     changes: tuple[Change, ...]
     as_of: int
 
 
 @attrs.frozen(kw_only=True)
-class Expectation:
-    """The revision that a key must have; 0 when it must be absent."""
+class Precondition:
+    """The revision that a key must have, or 0 if it must not exist."""
 
     key: str
     revision: int
@@ -78,7 +78,7 @@
 
 @attrs.frozen(kw_only=True)
 class Put:
-    """A value to write; ``lease`` 0 keeps it until it is removed."""
+    """A value to write; with ``lease`` 0, it is kept until it is removed."""
 
     key: str
     value: bytes
@@ -87,22 +87,22 @@
 
 @attrs.frozen(kw_only=True)
 class Transaction:
-    """Changes that happen together, if all expectations hold, or not at all."""
+    """Changes that are applied atomically if all preconditions hold."""
 
-    expectations: tuple[Expectation, ...] = ()
+    preconditions: tuple[Precondition, ...] = ()
     puts: tuple[Put, ...] = ()
     removals: tuple[str, ...] = ()
 
 
 class PreconditionError(StoreError):
-    """A transaction's expectations do not hold; nothing changed.
+    """A transaction's preconditions do not hold; nothing was changed.
 
     Parameters
     ----------
     message : str
-        What happened, for people.
+        Human-readable description.
     items : tuple of Item
-        What stands at the expected keys now; absent keys are left out.
+        Current items at the keys of the preconditions, without absent keys.
     """
 
     code = ResultCode.CONFLICT
--- a/trefoilhook/platform/settings.py
+++ b/trefoilhook/platform/settings.py
@@ -23,41 +23,42 @@
 
 
 _DEFAULT_STATUS_S = 120
-"""How long the state of an ended job is told where the settings don't say, in s: what
-they say on every deployment seen."""
+"""Default time for which the state of an ended job remains readable, in s. It matches
+the settings of all known deployments."""
 
 _DEFAULT_OVERLOAD_MS = 4000.0
-"""How long a service task may be over its latency limit where the settings don't say,
-in ms: the least that they say on the deployments seen."""
+"""Default time for which a service task may exceed its latency limit, in ms: the
+smallest value of all known deployments."""
 
 
 _DEFAULT_NOTICE_MS = 2000.0
-"""How long before it leaves a worker says so where the settings don't say, in ms."""
+"""Default notice that a worker gives before it leaves, in ms."""
 
 _DEFAULT_HEARTBEAT_MS = 1500.0
-"""Pause between two heartbeats of a worker where the settings don't say, in ms."""
+"""Default interval between two heartbeats of a worker, in ms."""
 
 
 @attrs.frozen(kw_only=True)
 class Bounds:
-    """Time limits that the users hold the system to, in ms.
+    """Time limits that the platform's users require or guarantee, in ms.
 
     Parameters
     ----------
     shutdown_ms : float
-        From SIGTERM to SIGKILL.
+        Time between SIGTERM and SIGKILL.
     max_task_lease_ms : float
-        Longest lease of what runs on a worker; a longer one is cut to it.
+        Maximum lease of tasks on a worker; workers shorten longer leases to it.
     longest_stop_ms : float
-        Longest time that a task takes to stop.
+        Maximum time that a task takes to stop.
     status_ms : float
-        How long the state of an ended job must be told.
+        Time for which the state of an ended job must remain readable.
     overload_ms : float
-        How long a service task may stay over its latency limit.
+        Maximum time for which a service task may exceed its latency limit.
     drain_notice_ms : float
-        A worker announces in the store that it leaves at least so long before.
+        Minimum time between a worker's announcement in the store that it is draining
+        and its end.
     heartbeat_ms : float
-        Pause between two heartbeats of a worker in the store.
+        Interval between two heartbeats of a worker in the store.
     evacuation_ms : float
         Time after an evacuation request by which tasks must no longer be started in
         the failure domain. Infinite if absent from the settings.
@@ -75,14 +76,14 @@
 
 @attrs.frozen(kw_only=True)
 class InstanceSize:
-    """What an instance has; as much as any owner needs where the settings don't say.
+    """Resources of an instance; the defaults suffice for an owner of any size.
 
     Parameters
     ----------
     cores : float
-        Processor, in cores of the usual speed.
+        Processor capacity, in cores of standard speed.
     link_mbps : float
-        Its link, in Mbit/s.
+        Network bandwidth, in Mbit/s.
     """
 
     cores: float = 2.0
@@ -91,24 +92,24 @@
 
 @attrs.frozen(kw_only=True)
 class ProcessSettings:
-    """What a process is told about itself and the platform.
+    """Settings of a process.
 
     Parameters
     ----------
     name : str
         Name of the instance.
     entry_address : (str, int)
-        Where clients are served.
+        Listen address for clients.
     readiness_address : (str, int)
-        Where the platform asks whether new connections may come.
+        Listen address for the platform's readiness checks.
     store_address : (str, int)
-        Where the platform's store listens.
+        Address of the platform's store.
     advice_address : (str, int) or None
-        Where the service listens that tells which workers a step may run on.
+        Address of the advice service, which allows workers for a step.
     bounds : Bounds
         Time limits.
     size : InstanceSize
-        What the instance has.
+        Resources of the instance.
     failure_domains : frozenset of str
         Failure domains of the deployment; empty if absent from the settings.
     """
@@ -124,13 +125,13 @@
 
 
 def _decode_size(table: Mapping[str, Any]) -> InstanceSize:
-    usual = InstanceSize()
-    # The platform's number of cores says how much faster than usual its one core is.
+    defaults = InstanceSize()
+    # The platform's "cores" is the speed of its single core relative to the standard.
     speed = read_number(table, "cores", default=1.0)
-    share = read_number(table, "cpu_share", default=usual.cores)
+    share = read_number(table, "cpu_share", default=defaults.cores)
     return InstanceSize(
         cores=share * speed,
-        link_mbps=read_number(table, "link_mbps", default=usual.link_mbps),
+        link_mbps=read_number(table, "link_mbps", default=defaults.link_mbps),
     )
 
 
@@ -151,8 +152,8 @@
     )
 
 
-def _read_listening(table: Mapping[str, Any], name: str) -> Address:
-    return parse_address(read_text(table, name), least_port=0)
+def _read_listen_address(table: Mapping[str, Any], name: str) -> Address:
+    return parse_address(read_text(table, name), min_port=0)
 
 
 def parse_settings(text: str) -> ProcessSettings:
@@ -161,7 +162,7 @@
     Raises
     ------
     SettingsError
-        If something that the process needs is missing or of the wrong kind.
+        If a required setting is missing or a setting is invalid.
     """
     try:
         table = parse_table(text.encode())
@@ -170,8 +171,8 @@
         advice = table.get("advice")
         return ProcessSettings(
             name=read_text(table, "node_name", filled=True),
-            entry_address=_read_listening(addresses, "frontend"),
-            readiness_address=_read_listening(addresses, "readiness"),
+            entry_address=_read_listen_address(addresses, "frontend"),
+            readiness_address=_read_listen_address(addresses, "readiness"),
             store_address=parse_address(read_text(platform, "address")),
             bounds=_decode_bounds(
                 read_table(table, "bounds"),
@@ -186,4 +187,4 @@
             ),
         )
     except (UnicodeEncodeError, DecodeError) as error:
-        raise SettingsError(f"the settings can't be read: {error}") from error
+        raise SettingsError(f"invalid settings: {error}") from error
--- a/trefoilhook/platform/store.py
+++ b/trefoilhook/platform/store.py
@@ -1,7 +1,6 @@
-"""The platform's key-value store.
+"""Client of the platform's key-value store.
 
-The only module that knows its calls. Values are bytes for the caller and base64 text
-on the wire.
+Values are bytes in this interface and base64 text on the wire.
 """
 
 import base64
@@ -45,7 +44,7 @@
 _Answer = TypeVar("_Answer")
 
 _MAX_CONNECTIONS = 24
-"""Connections to the store; a waiting watch holds one, so do calls in flight."""
+"""Maximum connections to the store. Each waiting watch and call in flight uses one."""
 
 _CALLS = {
     "kv-key": "get",
@@ -56,7 +55,7 @@
     "kv-keep": "keep lease",
     "kv-lease-end": "end lease",
 }
-"""Names of the calls in logs."""
+"""Names of the calls in log lines."""
 
 
 def _decode_value(text: str) -> bytes:
@@ -100,8 +99,8 @@
     )
 
 
-def _decode_standing(table: Mapping[str, Any]) -> tuple[Item, ...]:
-    """Decode what stands at expected keys; one that is absent has no revision."""
+def _decode_current_items(table: Mapping[str, Any]) -> tuple[Item, ...]:
+    """Decode the current items of preconditions; an absent key has no revision."""
     rows = (check_table(row, "item") for row in read_list(table, "items", default=[]))
     return tuple(_decode_item(row) for row in rows if row.get("revision"))
 
@@ -110,7 +109,7 @@
     return {
         "precondition": [
             {"key": row.key, "revision": row.revision}
-            for row in transaction.expectations
+            for row in transaction.preconditions
         ],
         "puts": [
             {
@@ -125,30 +124,30 @@
 
 
 class KeyValueStore:
-    """Calls to the store; each may be made at the same time as others.
+    """Client of the store; calls may be made concurrently.
 
     Parameters
     ----------
     address : (str, int)
-        Where the store listens.
+        Address of the store.
     timeout_ms : float
-        Longest time for one call, in ms; a watch may wait on top of it.
+        Timeout of a call in ms, to which the wait of a watch is added.
     clock : Clock
-        Where time comes from.
+        Time source.
 
     Attributes
     ----------
     answers, failures : int
-        Calls that were answered with what was asked, and those that were not.
+        Number of successful and of failed calls.
 
     Notes
     -----
-    Outages are logged here, once for all callers: a caller that handles an error and
-    tries again has nothing to add.
+    Outages are logged here, once for all callers. A caller that handles an error and
+    retries does not need to log it.
 
-    Every method raises ``StoreUnavailableError`` when no answer came back: a change
-    may then have taken effect, or may still, unless the error's ``is_proved_unsent``
-    is set. ``StoreRateError`` means that nothing was done.
+    Every method raises ``StoreUnavailableError`` if no answer was received: a change
+    may have taken effect, or may still do so, unless the error's ``is_proved_unsent``
+    is set. ``StoreRateError`` means that nothing was changed.
     """
 
     def __init__(self, *, address: Address, timeout_ms: float, clock: Clock) -> None:
@@ -162,17 +161,17 @@
         self.failures = 0
 
     async def get(self, key: str) -> Item | None:
-        """Return the item at ``key``; None when there is none."""
+        """Return the item at ``key``, or None if the key does not exist."""
         response = await self._call("GET", "kv-key", query={"key": key}, accept=(404,))
         if response.status == 404:
             return None
         return self._read(response, _decode_item)
 
     async def list_items(self, prefix: str) -> Listing:
-        """Read every key under ``prefix``, page by page.
+        """Read all keys under ``prefix``, page by page.
 
-        ``as_of`` is the revision of the first page: a watch from there sees again
-        what changed while the later pages were read, so nothing is missed.
+        ``as_of`` is the revision of the first page, so that a watch from there includes
+        all changes made while the other pages were read.
         """
         items: list[Item] = []
         as_of = 0
@@ -192,7 +191,7 @@
         Raises
         ------
         HistoryLostError
-            If the store no longer has the changes since then.
+            If the store no longer has the changes after that revision.
         """
         query: dict[str, str | int] = {
             "prefix": prefix,
@@ -203,27 +202,27 @@
             "GET", "kv-watch", query=query, extra_ms=wait_ms, accept=(410,)
         )
         if response.status == 410:
-            raise HistoryLostError(f"the history after {after} is gone")
+            raise HistoryLostError(f"history after revision {after} is unavailable")
         return self._read(response, _decode_changes)
 
     async def commit(
         self, transaction: Transaction, *, timeout_ms: float | None = None
     ) -> int:
-        """Make the changes and return the store's revision of them.
+        """Apply a transaction and return the store's revision of its changes.
 
         Parameters
         ----------
         transaction : Transaction
-            What to change.
+            Transaction to apply.
         timeout_ms : float, optional
-            Longest time for the call, in ms, if it is another than usual.
+            Timeout of the call in ms, instead of the default.
 
         Raises
         ------
         PreconditionError
-            If an expectation doesn't hold; carries what stands at its keys.
+            If a precondition does not hold. It has the current items at these keys.
         LeaseLostError
-            If a lease of the changes has ended; nothing changed.
+            If a lease of the transaction has expired; nothing was changed.
         """
         response = await self._call(
             "POST",
@@ -233,35 +232,35 @@
             extra_ms=(timeout_ms or self._timeout_ms) - self._timeout_ms,
         )
         if response.status == 404:
-            raise LeaseLostError("the lease has ended")
+            raise LeaseLostError("the lease has expired")
         if response.status == 412:
-            items = self._read(response, _decode_standing)
-            raise PreconditionError("a key is at another revision", items=items)
+            items = self._read(response, _decode_current_items)
+            raise PreconditionError("a key has a different revision", items=items)
         return self._read(response, lambda table: read_integer(table, "revision"))
 
     async def grant_lease(self, ttl_ms: int) -> int:
-        """Take a lease that ends ``ttl_ms`` after this call came, if not renewed."""
+        """Grant a lease that expires after ``ttl_ms`` unless it is renewed."""
         response = await self._call("POST", "kv-lease", body={"ttl_ms": ttl_ms})
         return self._read(response, lambda table: read_integer(table, "lease", least=1))
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease.
 
         Raises
         ------
         LeaseLostError
-            If it has ended; its keys are gone.
+            If the lease has expired, which has removed its keys.
         """
         response = await self._call("POST", f"kv-keep/{lease}", body={}, accept=(404,))
         if response.status == 404:
-            raise LeaseLostError("the lease has ended")
+            raise LeaseLostError("the lease has expired")
 
-    async def end_lease(self, lease: int) -> None:
-        """End a lease and remove its keys; one that has ended is fine."""
+    async def revoke_lease(self, lease: int) -> None:
+        """Revoke a lease and remove its keys; an expired lease is not an error."""
         await self._call("DELETE", f"kv-lease-end/{lease}", accept=(404,))
 
-    def move(self, address: Address) -> None:
-        """Call the store at another address from now on."""
+    def set_address(self, address: Address) -> None:
+        """Change the address of the store for later calls."""
         self._client = JsonClient(address=address, max_connections=_MAX_CONNECTIONS)
 
     async def close(self) -> None:
@@ -294,7 +293,7 @@
             self._fail(name, CallFailure.NO_ANSWER, sent_ms, str(error))
             raise StoreUnavailableError(str(error)) from error
         if response.status not in (200, *accept):
-            failure = _judge_refusal(response.status)
+            failure = _classify_refusal(response.status)
             self._fail(name, failure, sent_ms, f"status {response.status}")
             raise _build_refusal(failure, response.status)
         self.answers += 1
@@ -304,13 +303,13 @@
     def _read(
         self, response: HttpResponse, decode: Callable[[dict[str, Any]], _Answer]
     ) -> _Answer:
-        """Decode an answer; one that can't be read tells as much as none at all."""
+        """Decode an answer; an unreadable one counts as no answer."""
         try:
             return decode(parse_table(response.body))
         except DecodeError as error:
             now_ms = self._clock.monotonic_ms()
             self._fail("read", CallFailure.UNREADABLE, now_ms, str(error))
-            raise StoreUnavailableError(f"unreadable answer: {error}") from error
+            raise StoreUnavailableError(f"invalid answer: {error}") from error
 
     def _fail(self, name: str, why: CallFailure, sent_ms: float, detail: str) -> None:
         self.failures += 1
@@ -319,7 +318,7 @@
         self._log.record_failure(call, why, sent_ms=sent_ms, detail=detail)
 
 
-def _judge_refusal(status: int) -> CallFailure:
+def _classify_refusal(status: int) -> CallFailure:
     if status == 429:
         return CallFailure.RATE_LIMITED
     if status == 503:
@@ -329,9 +328,9 @@
 
 def _build_refusal(failure: CallFailure, status: int) -> StoreError:
     if failure is CallFailure.RATE_LIMITED:
-        return StoreRateError("the store's rate is used up")
+        return StoreRateError("the store's rate limit is exceeded")
     if failure is CallFailure.TURNED_AWAY:
         return StoreUnsentError("the store turned the call away")
     if failure is CallFailure.INTERNAL:
-        return StoreUnavailableError(f"the store answered {status}")
-    return StoreError(f"the store refused the call: {status}")
+        return StoreUnavailableError(f"the store failed: status {status}")
+    return StoreError(f"the store refused the call: status {status}")
--- a/trefoilhook/platform/tests/test_answers.py
+++ b/trefoilhook/platform/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers of workers, of the store and of the advice service."""
+"""Tests of answers of workers, of the store and of the advice service."""
 
 import json
 import unittest
@@ -15,7 +15,7 @@
 from trefoilhook.platform import (
     AdviceClient,
     KeyValueStore,
-    LookRequest,
+    PollRequest,
     PreconditionError,
     Transaction,
     WorkerClient,
@@ -44,23 +44,23 @@
     return [*row[:place], value, *row[place + 1 :]]
 
 
-class LookTest(unittest.TestCase):
-    """Lists of workers."""
+class PollAnswerTest(unittest.TestCase):
+    """Decoding of workers' answers to polls."""
 
     def read(self, **fields: Any) -> Look:
-        """Decode a look that has some other fields."""
+        """Decode an answer in which some fields are replaced."""
         return decode_look(json.dumps({**LOOK, **fields}).encode())
 
-    def test_sound_look(self):
+    def test_valid_answer(self):
         look = self.read()
         self.assertEqual(look.unread, ())
         (running,), (end,) = look.running, look.ends
         self.assertEqual((running.task, running.percent), (TASK, 41.0))
         self.assertEqual((end.number, end.kind), (58, EndKind.DONE))
 
-    def test_running_rows_that_cannot_be_read(self):
-        # A row of what runs is of another format. It doesn't make the others unread,
-        # and it isn't dropped: a run that isn't listed counts as over.
+    def test_unreadable_running_rows(self):
+        # An unreadable row must neither invalidate the others nor be dropped, because a
+        # run that is not listed counts as ended.
         table = (
             None,
             "row",
@@ -82,15 +82,15 @@
                 (unread,) = look.unread
                 self.assertEqual((unread.is_end, unread.attempt), (False, None))
 
-    def test_figures_that_cannot_be_read(self):
-        # The attempt runs all the same.
+    def test_unreadable_measurements(self):
+        # Invalid measurements must not hide a running attempt.
         for value in (None, "41", [], True, -1):
             with self.subTest(value=value):
                 row = replace(replace(RUNNING, 3, value), 4, value)
                 (running,) = self.read(running=[row]).running
                 self.assertEqual((running.percent, running.load), (None, None))
 
-    def test_ends_that_cannot_be_read(self):
+    def test_unreadable_ends(self):
         named = (TASK, 2)
         table = (
             (None, None, None),
@@ -114,7 +114,7 @@
                 self.assertTrue(unread.is_end)
                 self.assertEqual((unread.number, unread.attempt), (number, attempt))
 
-    def test_looks_that_prove_nothing(self):
+    def test_refused_answers(self):
         table = (
             {"clock_ms": None},
             {"clock_ms": "482113"},
@@ -129,7 +129,7 @@
     @settings(derandomize=True, deadline=None)
     @given(VALUES, VALUES, VALUES | st.just(LOOK["clock_ms"]))
     @example([[str(TASK), 2]], [[1, str(TASK), 10**400, "done", ""]], 1.0)
-    def test_any_look(self, running: Any, finished: Any, clock_ms: Any):
+    def test_any_answer(self, running: Any, finished: Any, clock_ms: Any):
         table = {"running": [running], "finished": [finished], "clock_ms": clock_ms}
         try:
             look = decode_look(json.dumps(table).encode())
@@ -156,7 +156,7 @@
 
 
 class CallTest(unittest.TestCase):
-    """Calls that are answered with anything."""
+    """Calls with invalid answers."""
 
     def call(self, body: bytes, use: Any, *, status: int = 200) -> Any:
         """Make a call to a service that answers with ``body``."""
@@ -178,9 +178,9 @@
             (error,) = group.exceptions
             raise error from None
 
-    def test_store_answers_that_cannot_be_read(self):
-        # What stands between an instance and the store answers in its place. That
-        # must tell as much as no answer: the caller tries again, nothing ends.
+    def test_unreadable_store_answers(self):
+        # A proxy between an instance and the store may answer in the store's place. An
+        # unreadable answer must count as no answer, so that the caller retries.
         item = {"key": "k", "value": "", "revision": 3}
         bodies = (
             b"",
@@ -223,7 +223,7 @@
                 ):
                     self.call(body, use)
 
-    def test_refused_transaction_that_cannot_be_read(self):
+    def test_unreadable_transaction_refusal(self):
         async def use(address: Any) -> Any:
             store = KeyValueStore(
                 address=address, timeout_ms=2000.0, clock=build_boot_clock()
@@ -237,7 +237,7 @@
             self.call(b'{"items":[{"key":"k"}]}', use, status=412)
         self.assertEqual(caught.exception.items, ())
 
-    def test_history_that_is_gone(self):
+    def test_compacted_history(self):
         async def use(address: Any) -> Any:
             store = KeyValueStore(
                 address=address, timeout_ms=2000.0, clock=build_boot_clock()
@@ -259,17 +259,17 @@
         )
         return WorkerClient(report=report, read_timeout=lambda: 2000.0)
 
-    def test_worker_answers_that_cannot_be_read(self):
+    def test_unreadable_worker_answers(self):
         async def look(address: Any) -> Any:
-            request = LookRequest(token=1, acknowledged=0, deadline_ms=None, wait_ms=0)
-            return await self._build_worker(address).look(request)
+            request = PollRequest(token=1, acknowledged=0, deadline_ms=None, wait_ms=0)
+            return await self._build_worker(address).poll(request)
 
         for body in (b"", b"null", NESTED, b'{"clock_ms":1}'):
             with self.subTest(body=body[:20]), self.assertRaises(DecodeError):
                 self.call(body, look)
 
-    def test_ended_process_is_told_from_silence(self):
-        # Guards against a worker that crashed being taken for one that is cut off.
+    def test_ended_process_is_distinguished_from_timeout(self):
+        # Guards against a crashed worker that is treated as unreachable.
         async def close(request: HttpRequest) -> HttpResponse:
             raise trio.BrokenResourceError
 
@@ -288,7 +288,7 @@
             (OrderOutcome.CONNECTION_LOST, OrderOutcome.CONNECTION_REFUSED),
         )
 
-    def test_refusals_that_cannot_be_read(self):
+    def test_unreadable_refusals(self):
         async def stop(address: Any) -> Any:
             order = StopOrder(worker_id="w", task=TASK, attempt=1, token=1)
             return await self._build_worker(address).stop(order)
@@ -305,9 +305,9 @@
             with self.subTest(body=body[:20]):
                 self.assertIs(self.call(body, stop, status=409), outcome)
 
-    def test_advice_that_cannot_be_read(self):
-        # Who isn't in an answer counts as refused: one that is read in part would
-        # keep a worker from the step for good.
+    def test_unreadable_advice(self):
+        # Workers that are not in an answer count as refused. Guards against a partly
+        # decoded answer, which would exclude a worker from the step permanently.
         async def ask(address: Any) -> Any:
             request = AdviceRequest(step=("j", 0, 0), workers=("w",))
             return await AdviceClient(address=address).ask(request, timeout_ms=2000.0)
@@ -324,10 +324,11 @@
 
 
 class ClientTimeoutTest(unittest.TestCase):
-    """How long a client says that it waits."""
+    """Decoding of the timeout that a client sends."""
 
     def test_table(self):
-        # With "nan" a cancellation was tried again for good: no time is past it.
+        # Guards against a cancellation that is retried forever with a timeout of "nan",
+        # as no time compares as later.
         for text, expected in (
             ("250", 250.0),
             ("nan", 3000.0),
--- a/trefoilhook/platform/tests/test_declarations.py
+++ b/trefoilhook/platform/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""What is declared in the store and by clients: decoded whole, or refused."""
+"""Tests of the decoding of entries in the store and of submissions."""
 
 import json
 import unittest
@@ -52,7 +52,7 @@
 
 
 def change_any(table: dict) -> st.SearchStrategy[bytes]:
-    """Change one field of a sound object to anything."""
+    """Return a strategy that replaces one field of a valid object by any value."""
     fields = st.sampled_from(sorted(table))
     return st.builds(
         lambda field, value: json.dumps(change(table, field, value)).encode(),
@@ -67,9 +67,9 @@
 
 
 class WorkerReportTest(unittest.TestCase):
-    """Entries of workers, and entries at their keys by other writers."""
+    """Worker entries, and foreign entries at their keys."""
 
-    def test_sound_entry(self):
+    def test_valid_entry(self):
         report = read_entry(json.dumps(ENTRY).encode())
         self.assertEqual(report.worker_id, "w")
         self.assertEqual((report.host, report.port), ("10.0.0.9", 8080))
@@ -84,8 +84,9 @@
         self.assertEqual(report.remaining_ms, 4000.0)
 
     def test_refused_fields(self):
-        # Another writer leaves an entry that is nearly a worker's. Taken as far as it
-        # goes, it would draw starts to a worker that isn't there, or end its reader.
+        # Guards against foreign entries that resemble a worker entry. Partly decoded,
+        # they would attract starts to a worker that doesn't exist, or raise an error in
+        # the owner.
         table = (
             ("state", (NO_VALUE, None, 1, True, [], {}, "", "READY", "gone")),
             (
@@ -122,7 +123,7 @@
                 read_entry(data)
 
     def test_refused_ids(self):
-        # The id is sent as a header: with a line break in it, a request can't be built.
+        # The id is sent as a header, which can't contain a line break.
         data = json.dumps(ENTRY).encode()
         for key in ("servers/", "servers/a/b", "servers/a b", "servers/é", "other/w"):
             with self.subTest(key=key), self.assertRaises(DecodeError):
@@ -150,16 +151,16 @@
         """Decode a configuration."""
         return decode_configuration(json.dumps(table).encode())
 
-    def test_sound_configuration(self):
+    def test_valid_configuration(self):
         document = self.read(CONFIGURATION)
         self.assertEqual(document.problems, ())
         (queue,) = document.configuration.queues
         self.assertEqual((queue.name, queue.objective_ms), ("r", 250.0))
         self.assertEqual(document.configuration.services, {"s", "other"})
 
-    def test_one_bad_route(self):
-        # The operator's tool writes one route with a text for a number. The other
-        # routes are served; the bad one isn't, and the log names it.
+    def test_invalid_route_is_left_out(self):
+        # One route has a string in place of a number. The other routes must be served,
+        # and the invalid one must be reported.
         bad = {**ROUTE, "name": "bad", "priority": "0"}
         document = self.read({**CONFIGURATION, "routes": [bad, ROUTE]})
         self.assertEqual([q.name for q in document.configuration.queues], ["r"])
@@ -186,7 +187,7 @@
                     self.assertEqual(document.configuration.queues, ())
                     self.assertEqual(len(document.problems), 1)
 
-    def test_refused_whole(self):
+    def test_refused_configurations(self):
         table = (
             change(CONFIGURATION, "version", "7"),
             change(CONFIGURATION, "version", True),
@@ -200,7 +201,7 @@
             with self.subTest(value=value), self.assertRaises(DecodeError):
                 self.read(value)
 
-    def test_services_that_cannot_be_read(self):
+    def test_unreadable_services(self):
         for value in (NO_VALUE, "s", [1], [{"name": 1}]):
             with self.subTest(value=value):
                 document = self.read(change(CONFIGURATION, "services", value))
@@ -227,7 +228,7 @@
 
 
 class SubmissionTest(unittest.TestCase):
-    """Jobs of clients."""
+    """Decoding of submissions."""
 
     def read(self, data: bytes) -> Job:
         """Decode a submission."""
@@ -256,7 +257,7 @@
                 self.read(data)
 
     def test_null_is_absent(self):
-        # Clients' encoders write an empty list or a missing figure as null.
+        # Some clients encode an empty list or a missing number as null.
         body = {**JOB, "steps": [{**JOB["steps"][0], "after": None, "image": None}]}
         job = self.read(json.dumps(body).encode())
         self.assertEqual((job.steps[0].after, job.steps[0].image), ((), ""))
--- a/trefoilhook/platform/tests/test_store_outages.py
+++ b/trefoilhook/platform/tests/test_store_outages.py
@@ -1,4 +1,4 @@
-"""The store's client tells of outages, once for all that call it."""
+"""Tests of the log lines of the store's client on outages."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class _Server:
-    """A store that gives one answer after the other, each of status and body."""
+    """A store that gives a fixed sequence of answers; None stands for no answer."""
 
     def __init__(self, *answers: HttpResponse | None) -> None:
         self._answers = list(answers)
@@ -40,9 +40,11 @@
 
 
 class StoreOutageTest(unittest.TestCase):
-    """What each kind of failure is told as."""
+    """Log lines for each kind of failure."""
 
-    def _play(self, *answers: HttpResponse | None) -> tuple[list[dict], KeyValueStore]:
+    def _record_lines(
+        self, *answers: HttpResponse | None
+    ) -> tuple[list[dict], KeyValueStore]:
         lines: list[dict] = []
         stores: list[KeyValueStore] = []
 
@@ -75,21 +77,23 @@
         )
         for answer, why in table:
             with self.subTest(why):
-                lines, store = self._play(answer, answer, _answer(200))
+                lines, store = self._record_lines(answer, answer, _answer(200))
                 names = count_lines(lines)
                 self.assertEqual(names["STORE_DOWN"], 1)
                 self.assertEqual(find_line(lines, "STORE_DOWN")["why"], why)
                 self.assertEqual(store.failures, 2)
 
-    def test_silence_and_refusals_are_told_apart(self):
-        lines, store = self._play(_answer(503), None, _answer(429), _answer(200))
+    def test_failures_are_counted_by_reason(self):
+        lines, store = self._record_lines(
+            _answer(503), None, _answer(429), _answer(200)
+        )
         back = find_line(lines, "STORE_BACK")
         expected = {"turned away": 1, "no answer": 1, "rate limited": 1}
         self.assertEqual(back["why"], expected)
         self.assertEqual(back["calls"], {"list": 3})
         self.assertEqual((store.answers, store.failures), (1, 3))
 
-    def test_store_that_is_not_there(self):
+    def test_store_without_listener(self):
         lines: list[dict] = []
 
         async def main() -> None:
--- a/trefoilhook/platform/workers.py
+++ b/trefoilhook/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to a worker of the platform."""
+"""Client of the platform's workers."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -23,10 +23,10 @@
     WorkerReport,
 )
 
-__all__ = ["LookRequest", "WorkerClient"]
+__all__ = ["PollRequest", "WorkerClient"]
 
 _MAX_CONNECTIONS = 6
-"""Connections to one worker: a waiting look, and a few orders at the same time."""
+"""Maximum connections to one worker: one poll and a few concurrent orders."""
 
 _REFUSALS = {
     "fence": OrderOutcome.FENCED,
@@ -38,19 +38,20 @@
 
 
 @attrs.frozen(kw_only=True)
-class LookRequest:
-    """Asks a worker for what runs there and what has ended.
+class PollRequest:
+    """Requests the running and ended tasks of a worker.
 
     Parameters
     ----------
     token : int
         Fencing token.
     acknowledged : int
-        The worker may forget ends up to this number.
+        Number up to which ends are acknowledged, so that the worker may drop them.
     deadline_ms : float or None
-        Until when what runs there may run on, on the worker's clock, in ms.
+        Time on the worker's clock until which its tasks may run, in ms. None leaves
+        their leases unchanged.
     wait_ms : int
-        How long the worker may wait for an end before it answers, in ms.
+        Maximum time for which the worker waits for a task to end, in ms.
     """
 
     token: int
@@ -60,14 +61,14 @@
 
 
 class WorkerClient:
-    """Calls to one life of a worker.
+    """Client of one worker process.
 
     Parameters
     ----------
     report : WorkerReport
-        Whom to call.
+        Address and id of the worker.
     read_timeout : callable
-        Returns the longest time for one call, in ms; a look may wait on top of it.
+        Returns the timeout of a call in ms, to which the wait of a poll is added.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
         self._read_timeout = read_timeout
 
     async def start(self, order: StartOrder) -> OrderOutcome:
-        """Start a task; the same order again has no further effect."""
+        """Start a task; repeated calls with the same order have no further effect."""
         body: dict[str, Any] = {
             "task": str(order.task),
             "attempt": order.attempt,
@@ -95,7 +96,7 @@
         return await self._order("run-start", body)
 
     async def stop(self, order: StopOrder) -> OrderOutcome:
-        """Stop an attempt, or refuse it if it is still under way."""
+        """Stop an attempt, or prevent its start if that is still in flight."""
         body = {
             "task": str(order.task),
             "attempt": order.attempt,
@@ -104,7 +105,7 @@
         return await self._order("run-stop", body)
 
     async def pace(self, order: PaceOrder) -> OrderOutcome:
-        """Let an attempt work at a share of its speed."""
+        """Limit an attempt to a percentage of its full speed."""
         body = {
             "task": str(order.task),
             "attempt": order.attempt,
@@ -113,13 +114,13 @@
         }
         return await self._order("pace", body)
 
-    async def look(self, request: LookRequest) -> Look | OrderOutcome:
-        """Read what runs and what has ended, and renew the lease on it.
+    async def poll(self, request: PollRequest) -> Look | OrderOutcome:
+        """Read the running and ended tasks, and renew their leases.
 
         Raises
         ------
         DecodeError
-            If the worker answered with something else. The call was carried out.
+            If the answer is invalid. The call has taken effect.
         """
         body: dict[str, Any] = {
             "fencing_token": request.token,
--- a/trefoilhook/runtime/__main__.py
+++ b/trefoilhook/runtime/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of the process on the users' platform."""
+"""Entry point of the scheduler on the users' platform."""
 
 import argparse
 import os
@@ -19,22 +19,22 @@
 
 _EXIT_SETTINGS = 2
 
-_SETTINGS_PAUSE_MS = 1000.0
-"""Pause between two looks at the settings file, in ms: it may change without a signal,
-and is two kilobytes."""
+_SETTINGS_CHECK_PERIOD_MS = 1000.0
+"""Pause between two checks of the settings file, in ms. The file may change without a
+signal, and reading its two kilobytes is cheap."""
 
 
 class SettingsFile:
-    """Tells a process when its settings file has changed.
+    """Reloads a process when its settings file has changed.
 
     Parameters
     ----------
     path : Path
-        The file.
+        Path of the file.
     text : str
-        What it held when the process began.
+        Content of the file when the process was started.
     process : Process
-        Told of each change.
+        Process to reload.
     """
 
     def __init__(self, *, path: Path, text: str, process: Process) -> None:
@@ -43,7 +43,7 @@
         self._process = process
 
     def check(self) -> None:
-        """Read the file, and reload if it holds something else; keep on if it's bad."""
+        """Reload the settings if the file has changed; log and ignore invalid ones."""
         try:
             text = self._path.read_text(encoding="utf-8")
             if text == self._text:
@@ -54,9 +54,9 @@
             log_event(Event.SETTINGS_INVALID, error=str(error))
 
     async def watch(self, clock: Clock) -> None:
-        """Check the file again and again, for good."""
+        """Check the file periodically, until cancelled."""
         while True:
-            await clock.sleep_ms(_SETTINGS_PAUSE_MS)
+            await clock.sleep_ms(_SETTINGS_CHECK_PERIOD_MS)
             self.check()
 
 
@@ -83,20 +83,20 @@
 
 
 def _parse_arguments() -> argparse.Namespace:
-    # Not by the library of the operators' tool: that takes longer to load than all of
-    # this process.
+    # Does not use the command-line library of the operators' tool, which takes longer
+    # to import than the whole process.
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--metrics-port", type=int, help="serve metrics at this port")
     return parser.parse_args()
 
 
 def main() -> int:
-    """Run one process until it is asked to stop.
+    """Run the process until it is asked to stop.
 
     Returns
     -------
     int
-        0 after a graceful stop, 2 if the settings can't be read.
+        0 after a graceful stop, 2 if the settings are invalid.
     """
     arguments = _parse_arguments()
     try:
@@ -104,7 +104,7 @@
         text = path.read_text(encoding="utf-8")
         settings = parse_settings(text)
     except (KeyError, OSError, SettingsError) as error:
-        print(f"the settings can't be read: {error!r}", file=sys.stderr)
+        print(f"cannot read the settings: {error!r}", file=sys.stderr)
         return _EXIT_SETTINGS
     configure_line_logs(instance=settings.name)
     clock = build_boot_clock()
--- a/trefoilhook/runtime/advice.py
+++ b/trefoilhook/runtime/advice.py
@@ -1,4 +1,4 @@
-"""Asking which workers may run the steps of a queue with advice."""
+"""Requests advice on the workers that may run the steps of a queue with advice."""
 
 from collections.abc import Callable
 
@@ -9,43 +9,42 @@
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import Scheduler, choose_advised
 
-__all__ = ["ask_for_advice"]
+__all__ = ["run_advice_requests"]
 
 _SERVICE = "advice"
-"""What the service is called in log lines."""
+"""Name of the service in log lines."""
 
 _IDLE_PAUSE_MS = 10.0
-"""Pause between two looks at what is wanted, in ms: a round wants a step each 6 ms at
-most, and an answer takes longer than this by itself."""
+"""Pause between two checks for steps that need advice, in ms. The scheduler adds at
+most one step every 6 ms, and an answer alone takes longer than this."""
 
 _RETRY_PAUSE_MS = 200.0
-"""Pause after a call without an answer, in ms: with 32 calls waiting the service turns
-calls away."""
+"""Pause after a failed call, in ms. The service rejects calls while 32 are queued."""
 
 _EXTRA_TIMEOUT_MS = 2000.0
-"""How much longer than its own time an answer may take, in ms: other instances' calls
-don't stand in its way, but a call of an earlier owner may."""
+"""Timeout of a call beyond its processing time, in ms. Calls of other instances don't
+delay it, but a pending call of a previous owner may."""
 
 
-async def ask_for_advice(
+async def run_advice_requests(
     client: AdviceClient,
     clock: Clock,
     scheduler: Scheduler,
     rejections: Rejections,
     notify: Callable[[], None],
 ) -> None:
-    """Ask about the steps that want it, one call at a time, for good.
+    """Request advice for steps that need it, one call at a time, until cancelled.
 
     Parameters
     ----------
     client : AdviceClient
-        Where to ask.
+        Client of the advice service.
     clock : Clock
-        Where time comes from.
+        Time source.
     scheduler : Scheduler
-        Whose steps are meant.
+        State of the shard, which receives the answers.
     rejections : Rejections
-        Told of answers that can't be read; each counts as none.
+        Receives unreadable answers, which count as no answer.
     notify : callable
         Called after each answer.
     """
@@ -74,7 +73,7 @@
         if grants is None:
             await clock.sleep_ms(_RETRY_PAUSE_MS)
             continue
-        # Counted from when it was asked: the latest time that is surely not too late.
+        # The validity starts at an unknown time after the request was sent.
         until_ms = asked_ms + advice.valid_ms
         scheduler.tickets.take(request, grants, until_ms=until_ms)
         notify()
--- a/trefoilhook/runtime/commits.py
+++ b/trefoilhook/runtime/commits.py
@@ -1,8 +1,8 @@
-"""Writing of a shard's decisions into the store, many in one transaction.
+"""Writes a shard's changes to the store in batches.
 
-Every transaction expects the owner's key unchanged, so that a former owner writes
-nothing any more, and expects each row at the revision last known, so that a write
-whose answer was lost and that is carried out late can't undo a newer one.
+Every transaction requires an unchanged owner key, so that a former owner can't write,
+and each row at its last known revision, so that an unanswered write that takes effect
+late can't overwrite a newer one.
 """
 
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import (
     MAX_ROWS,
-    Expectation,
     Item,
     KeyValueStore,
+    Precondition,
     PreconditionError,
     Put,
     Transaction,
@@ -36,44 +36,44 @@
 
 __all__ = ["Committer"]
 
-_END_WINDOW_MS = 5.0
-"""How long the end of a job waits for others: a round trip to the store is 6 ms, and
-its client's objective runs on until it is written."""
+_END_BATCH_WINDOW_MS = 5.0
+"""Time to collect more changes before the end of a job is written, in ms. A round trip
+to the store takes 6 ms, and the job's latency counts until its end is stored."""
 
-_PROGRESS_WINDOW_MS = 40.0
-"""How long progress waits for more. A worker answers a look at once while it has ends
-that aren't acknowledged, so a longer window costs looks: 24 workers were looked at 530
-times a second with 700 ms."""
+_PROGRESS_BATCH_WINDOW_MS = 40.0
+"""Time to collect more changes before progress is written, in ms. A worker with
+unacknowledged ends answers each poll immediately, so a longer window causes more polls:
+with 700 ms, 24 workers are polled 530 times a second."""
 
 _RETRY_PAUSE_MS = 150.0
-"""Pause after a transaction without an answer."""
+"""Pause after a failed transaction, in ms."""
 
 _ROWS_PER_CHANGE = 5
-"""Most rows of one change: an expectation, a value and two removals, and one spare."""
+"""Maximum rows of one change: a precondition, a value, two removals and one spare."""
 
 
 class Committer:
-    """Writes what a scheduler wants to last.
+    """Writes the persistent changes of a scheduler.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where it is written.
+        Store to write to.
     clock : Clock
-        Where time comes from.
+        Time source.
     scheduler : Scheduler
-        Whose changes are written.
+        Source of the changes.
     owner_revision : int
         Revision of the owner's key.
-    depose : callable
+    on_ownership_lost : callable
         Called when the owner's key has changed.
     notify : callable
-        Called after changes were written.
+        Called after changes have been written.
 
     Attributes
     ----------
-    saved : trio.Event
-        Set, and replaced, whenever changes were written.
+    committed : trio.Event
+        Set, and replaced by a new event, whenever changes have been written.
     """
 
     def __init__(
@@ -83,53 +83,55 @@
         clock: Clock,
         scheduler: Scheduler,
         owner_revision: int,
-        depose: Callable[[], None],
+        on_ownership_lost: Callable[[], None],
         notify: Callable[[], None],
     ) -> None:
         self._store = store
         self._clock = clock
         self._scheduler = scheduler
-        self._owner = Expectation(
+        self._owner = Precondition(
             key=keys.owner_key(keys.SHARD), revision=owner_revision
         )
-        self._depose = depose
+        self._on_ownership_lost = on_ownership_lost
         self._notify = notify
         self._retention_lease = 0
         self._wake = trio.Event()
         self._sent: dict[str, bytes] = {}
-        self.saved = trio.Event()
+        self.committed = trio.Event()
 
     def wake(self) -> None:
-        """Have it look for changes."""
+        """Signal that there may be changes to write."""
         self._wake.set()
 
     def set_retention(self, lease: int) -> None:
-        """Have ended jobs removed with ``lease``."""
+        """Attach the records of jobs that end from now on to ``lease``."""
         self._retention_lease = lease
 
     async def run(self) -> None:
-        """Write changes as they come, for good."""
+        """Write changes as they occur, until cancelled."""
         while True:
             if not self._scheduler.dirty:
                 await self._wake.wait()
             self._wake = trio.Event()
-            await self._gather()
+            await self._wait_for_batch()
             await self.flush()
 
-    async def _gather(self) -> None:
-        """Wait for more changes, the longer the less urgent they are."""
-        began = self._clock.monotonic_ms()
+    async def _wait_for_batch(self) -> None:
+        """Wait for more changes, but only briefly if a job has ended."""
+        began_ms = self._clock.monotonic_ms()
         while not any(not state.phase_saved for state in self._scheduler.dirty):
-            left = _PROGRESS_WINDOW_MS - (self._clock.monotonic_ms() - began)
-            if left <= 0:
+            remaining_ms = _PROGRESS_BATCH_WINDOW_MS - (
+                self._clock.monotonic_ms() - began_ms
+            )
+            if remaining_ms <= 0:
                 return
-            with trio.move_on_after(left / 1000.0):
+            with trio.move_on_after(remaining_ms / 1000.0):
                 await self._wake.wait()
             self._wake = trio.Event()
-        await self._clock.sleep_ms(_END_WINDOW_MS)
+        await self._clock.sleep_ms(_END_BATCH_WINDOW_MS)
 
     async def flush(self) -> None:
-        """Write all changes that there are now."""
+        """Write all pending changes."""
         changes = collect_changes(self._scheduler)
         size = (MAX_ROWS - 1) // _ROWS_PER_CHANGE
         for begin in range(0, len(changes), size):
@@ -150,15 +152,15 @@
             return
         for change in changes:
             self._confirm(change, revision)
-        self._tell()
+        self._notify_committed()
 
-    def _tell(self) -> None:
-        self.saved.set()
-        self.saved = trio.Event()
+    def _notify_committed(self) -> None:
+        self.committed.set()
+        self.committed = trio.Event()
         self._notify()
 
     def _build(self, changes: list[JobChange]) -> Transaction:
-        expectations = [self._owner]
+        preconditions = [self._owner]
         puts: list[Put] = []
         removals: list[str] = []
         for change in changes:
@@ -166,22 +168,22 @@
             progress = keys.progress_key(keys.SHARD, job.job_id)
             if change.is_end:
                 key = keys.job_key(keys.SHARD, job.job_id)
-                expectations.append(
-                    Expectation(key=key, revision=change.state.revision)
+                preconditions.append(
+                    Precondition(key=key, revision=change.state.revision)
                 )
                 value = encode_job_record(change.state.record())
                 puts.append(Put(key=key, value=value, lease=self._retention_lease))
                 removals.append(progress)
             else:
                 revision = change.state.progress_revision
-                expectations.append(Expectation(key=progress, revision=revision))
+                preconditions.append(Precondition(key=progress, revision=revision))
                 value = encode_progress(change.state.progress)
                 puts.append(Put(key=progress, value=value))
                 self._sent[job.job_id] = value
             if change.is_first_start:
                 removals.append(keys.waiting_key(keys.SHARD, job.queue, job.job_id))
         return Transaction(
-            expectations=tuple(expectations),
+            preconditions=tuple(preconditions),
             puts=tuple(puts),
             removals=tuple(removals),
         )
@@ -197,11 +199,11 @@
                 queue=state.job.queue,
                 phase=state.phase.value,
                 revision=revision,
-                **self._tell_lateness(state),
+                **self._describe_lateness(state),
             )
 
-    def _tell_lateness(self, state: JobState) -> dict[str, int]:
-        """Return a job's objective and by how much it was missed, for its last line."""
+    def _describe_lateness(self, state: JobState) -> dict[str, int]:
+        """Return a job's latency objective and its lateness, for the log."""
         if state.queue is None:
             return {}
         objective_ms = state.queue.compute_objective(state.job)
@@ -214,10 +216,10 @@
         }
 
     def _resolve(self, changes: list[JobChange], items: dict[str, Item]) -> None:
-        """Find out which row stands otherwise, after a transaction was refused."""
+        """Update the known revisions after a transaction's preconditions failed."""
         owner = items.get(self._owner.key)
         if owner is None or owner.revision != self._owner.revision:
-            self._depose()
+            self._on_ownership_lost()
             return
         for change in changes:
             job_id = change.state.job.job_id
@@ -226,12 +228,12 @@
             else:
                 item = items.get(keys.progress_key(keys.SHARD, job_id))
                 self._resolve_progress(change, item)
-        self._tell()
+        self._notify_committed()
 
     def _resolve_end(self, change: JobChange, item: Item | None) -> None:
         state = change.state
         if item is None:
-            # Its record ran out of its retention: it had been written before.
+            # The end had been written before, and the record's retention has expired.
             self._confirm(change, state.revision)
             return
         if item.revision == state.revision:
@@ -239,13 +241,13 @@
         try:
             phase = decode_job_record(item.value).phase
         except DecodeError:
-            # Another writer's: the end is known here, and goes in its place.
+            # Overwritten by another writer. The next attempt replaces it with the end.
             state.revision = item.revision
             return
         if phase is JobPhase.CANCELLED and state.phase is not phase:
             self._scheduler.cancel_job(state.job.job_id, revision=item.revision)
         elif phase is state.phase:
-            # An earlier copy of this transaction whose answer was lost.
+            # Written by an earlier attempt of this transaction whose answer was lost.
             self._confirm(change, item.revision)
         else:
             state.revision = item.revision
--- a/trefoilhook/runtime/core.py
+++ b/trefoilhook/runtime/core.py
@@ -1,4 +1,4 @@
-"""One process of the system on the users' platform."""
+"""An instance of the scheduler on the users' platform."""
 
 from collections.abc import Awaitable, Callable
 
@@ -23,11 +23,11 @@
     decode_configuration,
 )
 from trefoilhook.runtime.evacuations import EvacuationFeed
-from trefoilhook.runtime.fitness import rate_instance
+from trefoilhook.runtime.fitness import compute_fitness
 from trefoilhook.runtime.following import follow
-from trefoilhook.runtime.job_api import Intake
-from trefoilhook.runtime.metrics import Figures, render
-from trefoilhook.runtime.ownership import Campaign, Tenure
+from trefoilhook.runtime.job_api import JobApi
+from trefoilhook.runtime.metrics import ProcessMetrics, render
+from trefoilhook.runtime.ownership import Ownership, ShardElection
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.shard import ShardOwner, ShardSettings
 from trefoilhook.scheduling import Configuration
@@ -39,50 +39,52 @@
 Handler = Callable[[HttpRequest], Awaitable[HttpResponse]]
 
 _STORE_TIMEOUT_MS = 1000.0
-"""Longest time for an answer of the store, in ms: 4 ms is usual, and 360 ms is what it
-takes when ninety times slower."""
+"""Timeout of a call to the store, in ms. It usually answers in 4 ms, and in 360 ms if
+it is ninety times slower."""
 
-_STORE_SILENCE_MS = 1800.0
-"""Without an answer for so long the store counts as away. A watch answers each second,
-and the one timeout above fits in."""
+_STORE_UNREACHABLE_AFTER_MS = 1800.0
+"""Time without an answer after which the store counts as unreachable, in ms. A watch is
+answered every second, and the remainder allows for slow answers."""
 
 _TASK_LEASE_MS = 5000.0
-"""Lease of what runs on a worker, in ms, if the platform allows it: the owner's lease
-of 2 s, its replacement in 1 s, and one look that fails fit in; longer would delay what
-has to be restarted after a worker was lost."""
+"""Lease of the tasks on a worker, in ms, if the platform allows it. It covers the
+owner's lease of 2 s, the takeover in 1 s and one failed poll. A longer lease would
+delay the restart of tasks after the loss of a worker."""
 
-_HEARTBEATS_MISSED = 3
-"""Heartbeats that a worker misses before the platform removes its entry."""
+_MAX_MISSED_HEARTBEATS = 3
+"""Number of missed heartbeats after which the platform removes a worker's entry."""
 
-_TASK_LEASE_SHARE = 0.9
-"""Share of the platform's longest lease that is asked for at most."""
+_MAX_LEASE_FRACTION = 0.9
+"""Maximum task lease, as a fraction of the platform's longest lease."""
 
-_LAST_CONNECTIONS_MS = 2300.0
-"""How long a process that is to stop still takes connections, in ms: the platform asks
-once a second whether it is ready, and sends new ones until the second miss."""
+_DRAIN_DELAY_MS = 2300.0
+"""Time for which a stopping process still accepts connections, in ms. The platform
+checks readiness once a second and routes new connections until the second failed
+check."""
 
 _STOP_MARGIN_MS = 1200.0
-"""Time between the end of a graceful stop and the platform's SIGKILL, in ms."""
+"""Time reserved between the end of a graceful stop and the platform's SIGKILL, in
+ms."""
 
 
 class Process:
-    """Serves clients, and owns the shard whenever nobody else does.
+    """Serves clients, and owns the shard if no other instance does.
 
     Parameters
     ----------
     settings : ProcessSettings
-        What the platform tells.
+        Settings provided by the platform.
     clock : Clock
-        Where time comes from.
+        Time source.
     metrics_port : int, optional
-        Where metrics are served; nowhere without it.
+        Port of the metrics server. By default, metrics are not served.
 
     Attributes
     ----------
     entry_port, readiness_port, metrics_port : int
-        Where it listens, once it runs.
-    figures : Figures
-        What it counts.
+        Ports on which the running process listens.
+    metrics : ProcessMetrics
+        Metrics of the process.
     """
 
     def __init__(
@@ -105,26 +107,26 @@
         self._draining = False
         self._answers_seen = 0
         self._answered_ms = clock.monotonic_ms()
-        self.figures = Figures()
-        self._rejections = Rejections(figures=self.figures)
+        self.metrics = ProcessMetrics()
+        self._rejections = Rejections(metrics=self.metrics)
         self._evacuation_feed = EvacuationFeed(
             clock=clock,
             rejections=self._rejections,
             evacuation_ms=settings.bounds.evacuation_ms,
             failure_domains=settings.failure_domains,
         )
-        self._campaign = Campaign(
+        self._election = ShardElection(
             store=self._store,
             clock=clock,
             name=settings.name,
-            lead=self._lead,
+            run_owner=self._run_owner,
             may_claim=lambda: self._configuration is not None and not self._draining,
             rejections=self._rejections,
-            fitness=rate_instance(settings.size),
+            fitness=compute_fitness(settings.size),
         )
-        self.figures.gauges.update(
+        self.metrics.gauges.update(
             {
-                "is_owner": lambda: float(self._campaign.is_owner),
+                "is_owner": lambda: float(self._election.is_owner),
                 "configuration_version": self._read_version,
                 "evacuations": lambda: float(
                     len(self._evacuation_feed.evacuations.in_force)
@@ -134,18 +136,18 @@
                 "store_silent_ms": self._measure_silence,
             }
         )
-        self._intake = Intake(
+        self._job_api = JobApi(
             store=self._store,
             clock=clock,
             read_configuration=lambda: self._configuration,
             is_store_reachable=self._is_store_reachable,
-            figures=self.figures,
+            metrics=self.metrics,
             rejections=self._rejections,
         )
 
     async def run(self, stop: trio.Event) -> None:
         """Run until ``stop`` is set, then stop gracefully."""
-        entry = self._build_server(self._settings.entry_address, self._intake.answer)
+        entry = self._build_server(self._settings.entry_address, self._job_api.answer)
         readiness = self._build_server(
             self._settings.readiness_address, self._answer_readiness
         )
@@ -154,10 +156,10 @@
             self.readiness_port = await nursery.start(readiness.run)
             if self._metrics_port is not None:
                 address = (self._settings.entry_address[0], self._metrics_port)
-                metrics = self._build_server(address, self._answer_metrics)
-                self.metrics_port = await nursery.start(metrics.run)
+                metrics_server = self._build_server(address, self._answer_metrics)
+                self.metrics_port = await nursery.start(metrics_server.run)
             nursery.start_soon(self._follow_operator_keys)
-            nursery.start_soon(self._campaign.run)
+            nursery.start_soon(self._election.run)
             log_event(Event.STARTED, instance=self._settings.name)
             await stop.wait()
             await self._stop(entry)
@@ -167,16 +169,16 @@
     @property
     def is_owner(self) -> bool:
         """Whether this instance owns the shard."""
-        return self._campaign.is_owner
+        return self._election.is_owner
 
     def _build_server(self, address: Address, handler: Handler) -> HttpServer:
         host, port = address
         return HttpServer(handler=handler, host=host, port=port)
 
     def reload(self, settings: ProcessSettings) -> None:
-        """Put changed settings in force, but for the addresses it listens at."""
+        """Apply changed settings, except for the listen addresses."""
         if settings.store_address != self._settings.store_address:
-            self._store.move(settings.store_address)
+            self._store.set_address(settings.store_address)
         self._settings = settings
         self._evacuation_feed.configure(
             evacuation_ms=settings.bounds.evacuation_ms,
@@ -187,11 +189,11 @@
     async def _stop(self, entry: HttpServer) -> None:
         log_event(Event.STOPPING, instance=self._settings.name)
         self._draining = True
-        self._campaign.resign()
+        self._election.resign()
         limit_ms = self._settings.bounds.shutdown_ms - _STOP_MARGIN_MS
         with trio.move_on_after(limit_ms / 1000.0):
-            await self._clock.sleep_ms(_LAST_CONNECTIONS_MS)
-            await entry.drain(grace_ms=limit_ms - _LAST_CONNECTIONS_MS)
+            await self._clock.sleep_ms(_DRAIN_DELAY_MS)
+            await entry.drain(grace_ms=limit_ms - _DRAIN_DELAY_MS)
 
     async def _answer_readiness(self, request: HttpRequest) -> HttpResponse:
         if request.path != READINESS_PATH:
@@ -204,10 +206,10 @@
         return HttpResponse(status=200 if ready else 503)
 
     def _is_store_reachable(self) -> bool:
-        return self._measure_silence() < _STORE_SILENCE_MS
+        return self._measure_silence() < _STORE_UNREACHABLE_AFTER_MS
 
     def _measure_silence(self) -> float:
-        """Return the time since the store is known to have answered, in ms."""
+        """Return the time since the store's last known answer, in ms."""
         now_ms = self._clock.monotonic_ms()
         if self._store.answers != self._answers_seen:
             self._answers_seen = self._store.answers
@@ -221,10 +223,10 @@
         if request.path != METRICS_PATH:
             return HttpResponse(status=404)
         headers = (("content-type", "text/plain; version=0.0.4"),)
-        return HttpResponse(status=200, headers=headers, body=render(self.figures))
+        return HttpResponse(status=200, headers=headers, body=render(self.metrics))
 
     async def _follow_operator_keys(self) -> None:
-        """Follow the configuration and the evacuations with a single watch."""
+        """Watch the configuration and the evacuations with a single watch."""
 
         def take_listing(listing: Listing) -> None:
             self._evacuation_feed.take_listing(listing)
@@ -253,17 +255,19 @@
         except DecodeError as error:
             self._reject_configuration(item, str(error))
             return
-        fresh = document.configuration
-        if self._configuration and fresh.version < self._configuration.version:
-            log_event(Event.CONFIG_STALE, version=fresh.version)
+        configuration = document.configuration
+        if self._configuration and configuration.version < self._configuration.version:
+            log_event(Event.CONFIG_STALE, version=configuration.version)
             return
         self._report_problems(item, document)
         if self._configuration is not None:
-            # A job of a route that was removed runs on, on its service's workers.
-            services = fresh.services | self._configuration.services
-            fresh = attrs.evolve(fresh, services=services)
-        self._configuration = fresh
-        log_event(Event.CONFIG_IN_FORCE, version=fresh.version, revision=item.revision)
+            # Jobs of a removed route keep running on the workers of its service.
+            services = configuration.services | self._configuration.services
+            configuration = attrs.evolve(configuration, services=services)
+        self._configuration = configuration
+        log_event(
+            Event.CONFIG_IN_FORCE, version=configuration.version, revision=item.revision
+        )
 
     def _report_problems(self, item: Item, document: ConfigurationDocument) -> None:
         self._rejections.accept(Event.CONFIG_INVALID, item.key)
@@ -276,25 +280,25 @@
             Event.CONFIG_INVALID, item.key, reason, revision=item.revision
         )
 
-    async def _lead(self, tenure: Tenure) -> None:
+    async def _run_owner(self, ownership: Ownership) -> None:
         bounds = self._settings.bounds
-        longest_ms = bounds.max_task_lease_ms * _TASK_LEASE_SHARE
+        longest_ms = bounds.max_task_lease_ms * _MAX_LEASE_FRACTION
         owner = ShardOwner(
             store=self._store,
             clock=self._clock,
-            tenure=tenure,
+            ownership=ownership,
             settings=ShardSettings(
                 task_lease_ms=min(_TASK_LEASE_MS, longest_ms),
                 longest_stop_ms=bounds.longest_stop_ms,
                 overload_ms=bounds.overload_ms,
                 status_ms=bounds.status_ms,
                 drain_notice_ms=bounds.drain_notice_ms,
-                entry_life_ms=_HEARTBEATS_MISSED * bounds.heartbeat_ms,
+                entry_life_ms=_MAX_MISSED_HEARTBEATS * bounds.heartbeat_ms,
                 advice_address=self._settings.advice_address,
             ),
             read_configuration=self._read_configuration,
             evacuations=self._evacuation_feed.evacuations,
-            figures=self.figures,
+            metrics=self.metrics,
             rejections=self._rejections,
         )
         await owner.run()
--- a/trefoilhook/runtime/evacuations.py
+++ b/trefoilhook/runtime/evacuations.py
@@ -30,7 +30,7 @@
     Parameters
     ----------
     clock : Clock
-        Where time comes from.
+        Time source.
     rejections : Rejections
         Receives invalid entries.
     evacuation_ms : float
--- a/trefoilhook/runtime/fitness.py
+++ b/trefoilhook/runtime/fitness.py
@@ -1,42 +1,46 @@
-"""Which instance is left the shard: one that can carry its owner, if there is any."""
+"""Preference for instances with enough resources to own the shard."""
 
 from trefoilhook.platform import InstanceSize
 
-__all__ = ["compute_deference", "rate_instance"]
+__all__ = ["compute_claim_delay", "compute_fitness"]
 
 _OWNER_CORES = 1.6
-"""Processor that an owner needs at its peak, in cores: that of 246 workers used 1.55 in
-its busiest second, 0.7 on average."""
+"""Peak processor use of an owner, in cores. An owner of 246 workers uses 1.55 cores in
+its busiest second and 0.7 on average."""
 
 _OWNER_LINK_MBPS = 20.0
-"""Link that an owner needs at its peak, in Mbit/s: twice what that of 246 workers sent
-in its busiest second, 1.1 MB."""
+"""Peak bandwidth of an owner, in Mbit/s: twice the 1.1 MB that an owner of 246 workers
+sends in its busiest second."""
 
 _MARGIN = 0.05
-"""Difference in fitness that is none: instances of one kind differ by rounding."""
+"""Largest difference at which two instances count as equally fit. Instances of one type
+differ by rounding."""
 
-_DEFERENCE_MS = 400.0
-"""How long a vacant shard is left to fitter instances, in ms: instances start within
-300 ms of each other, and a claim takes two calls of some 5 ms to the store."""
+_CLAIM_DELAY_MS = 400.0
+"""Delay of a claim in favour of fitter instances, in ms. Instances start within 300 ms
+of each other, and a claim takes two calls to the store of about 5 ms each."""
 
 
-def rate_instance(size: InstanceSize) -> float:
-    """Return which share of an owner's needs an instance can meet, 1 at most."""
+def compute_fitness(size: InstanceSize) -> float:
+    """Return the fraction of an owner's resource needs that an instance meets.
+
+    The scarcest resource decides; the maximum is 1.
+    """
     return min(1.0, size.cores / _OWNER_CORES, size.link_mbps / _OWNER_LINK_MBPS)
 
 
-def compute_deference(fitness: float, best: float) -> float:
-    """Return how long an instance leaves a vacant shard to fitter ones, in ms.
+def compute_claim_delay(fitness: float, best: float) -> float:
+    """Return how long an instance delays its claim to a vacant shard, in ms.
 
-    Guards against an owner that is too small while a larger instance idles: it hears
-    sound workers late or not at all, and what runs on them lapses. A shard whose fitter
-    instances are all gone waits in vain, but no longer than this.
+    An owner that is too small processes the answers of healthy workers late or not at
+    all, so that their task leases expire. The delay lets a larger idle instance claim
+    first; if there is none, it is the only cost.
 
     Parameters
     ----------
     fitness : float
-        Of the instance that asks.
+        Fitness of the claiming instance.
     best : float
         Fitness of the fittest owner so far.
     """
-    return _DEFERENCE_MS if best - fitness > _MARGIN else 0.0
+    return _CLAIM_DELAY_MS if best - fitness > _MARGIN else 0.0
--- a/trefoilhook/runtime/following.py
+++ b/trefoilhook/runtime/following.py
@@ -1,4 +1,4 @@
-"""Following of keys in the store: list once, then watch from there."""
+"""Follows the keys under a prefix in the store: a listing, then watches from there."""
 
 from collections.abc import Callable
 
@@ -10,13 +10,13 @@
 __all__ = ["WATCH_WAIT_MS", "follow"]
 
 WATCH_WAIT_MS = 1000
-"""How long a watch waits at the store, in ms. An open connection may go silent for
-good; what it should have told is then learnt this and one timeout later, within the
-3 s in which an instance has to be up to date again."""
+"""Time for which a watch waits for changes, in ms. If a connection stops responding,
+its changes are read again after this time and one timeout, within the 3 s in which an
+instance must be up to date again."""
 
 _RETRY_PAUSE_MS = 200.0
-"""Pause after a call that failed: five tries a second, an eightieth of the rate that
-nine instances share with two watches each."""
+"""Pause after a failed call, in ms. Five attempts per second are an eightieth of the
+rate limit, which nine instances with two watches each share."""
 
 
 def _ignore() -> None:
@@ -34,26 +34,26 @@
     note_read: Callable[[], None] | None = None,
     note_failure: Callable[[], None] | None = None,
 ) -> None:
-    """Tell every change under a prefix, for good.
+    """Report every change under a prefix, until cancelled.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where the keys are.
+        Store of the keys.
     clock : Clock
-        Where time comes from.
+        Time source.
     prefix : str
-        Beginning of the keys.
+        Prefix of the keys.
     take_listing : callable
-        Called with all keys, at first and whenever changes may have been missed.
+        Called with all keys, initially and whenever changes may have been missed.
     take_change : callable
-        Called with each change after that.
+        Called with each subsequent change.
     listing : Listing, optional
-        A listing that has been taken in already.
+        Listing that has already been applied, to watch from.
     note_read : callable, optional
-        Called after each answer, once all that it told has been taken in.
+        Called after each answer, once its changes have been applied.
     note_failure : callable, optional
-        Called when a read failed, or changes may have been missed.
+        Called when a read failed or changes may have been missed.
     """
     failed = note_failure or _ignore
     read = note_read or _ignore
@@ -61,9 +61,9 @@
     while True:
         try:
             if after is None:
-                fresh = await store.list_items(prefix)
-                take_listing(fresh)
-                after = fresh.as_of
+                current = await store.list_items(prefix)
+                take_listing(current)
+                after = current.as_of
             batch = await store.watch(prefix, after=after, wait_ms=WATCH_WAIT_MS)
         except HistoryLostError:
             log_event(Event.HISTORY_LOST, prefix=prefix, after=after)
--- a/trefoilhook/runtime/job_api.py
+++ b/trefoilhook/runtime/job_api.py
@@ -1,7 +1,8 @@
-"""What clients ask of an instance: submit, read, cancel and count jobs.
+"""HTTP interface for clients: submit, read, cancel and count jobs.
 
-Every instance answers by itself, out of the store: a submission is accepted once its
-record stands there, whoever owns the shard, and whether or not it has an owner.
+Every instance serves requests directly from the store. A submission is accepted once
+its record is stored, no matter which instance owns the shard or whether it has an
+owner.
 """
 
 import re
@@ -19,9 +20,9 @@
 from trefoilhook.http import HttpRequest, HttpResponse
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import (
-    Expectation,
     Item,
     KeyValueStore,
+    Precondition,
     PreconditionError,
     Put,
     Transaction,
@@ -31,7 +32,7 @@
     read_client_timeout,
 )
 from trefoilhook.runtime import keys
-from trefoilhook.runtime.metrics import Figures
+from trefoilhook.runtime.metrics import ProcessMetrics
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
     Configuration,
@@ -43,38 +44,38 @@
     encode_job_record,
 )
 
-__all__ = ["Intake"]
+__all__ = ["JobApi"]
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 _RETRY_AFTER_S = 1
-"""When a client that was turned away should come back, in s: a store that was away is
-back for the whole fleet within a second of its return."""
+"""Value of the ``retry-after`` header, in s. All instances notice the end of a store
+outage within a second."""
 
 _DEFAULT_TIMEOUT_MS = 3000.0
-"""How long a client waits that doesn't say so, in ms."""
+"""Timeout of clients that send none, in ms."""
 
 _ANSWER_MARGIN_MS = 250.0
-"""Time left for the answer to reach its client in, in ms."""
+"""Time reserved for the response to reach the client, in ms."""
 
 _RETRY_PAUSE_MS = 60.0
-"""Pause before a call to the store is made again, in ms."""
+"""Pause before a call to the store is repeated, in ms."""
 
 _COMMIT_TIMEOUT_MS = 500.0
-"""Longest time for the answer to a submission's transaction, in ms. A lost answer
-leaves its connection silent, so a longer one only delays the next try; 360 ms is what
-an answer takes from a store ninety times slower than usual."""
+"""Timeout of a submission's transaction, in ms. A lost answer is never sent again, so a
+longer timeout only delays the retry. A store ninety times slower than usual answers in
+360 ms."""
 
-_UNKNOWN_LIMIT_MS = 1200.0
-"""How long a submission without an answer of the store is tried again, in ms: two tries
-of the above. Past that the store is away for this instance; the client, told so, can
-ask another one in the time that it has left."""
+_UNANSWERED_RETRY_LIMIT_MS = 1200.0
+"""Time for which an unanswered submission is retried, in ms; two attempts fit. After
+it, the client is told that the outcome is unknown and has time left for another
+instance."""
 
-_TURNED_AWAY_LIMIT_MS = 250.0
-"""How long calls that the store turns away are tried again, in ms: past that another
-instance, or the same a second later, serves the client sooner."""
+_REJECTED_RETRY_LIMIT_MS = 250.0
+"""Time for which calls rejected by the store are retried, in ms. After it, the client
+is served sooner by another instance, or by the same one a second later."""
 
-_ENDED_KEPT = 2000
-"""Ended jobs whose phase is remembered; one takes 200 bytes."""
+_MAX_CACHED_PHASES = 2000
+"""Maximum number of ended jobs with a cached phase. Each takes 200 bytes."""
 
 
 @attrs.frozen(kw_only=True)
@@ -83,8 +84,8 @@
     job_id: str
 
 
-def _refuse() -> HttpResponse:
-    """Answer that the request has not run, and when to come back."""
+def _build_unavailable() -> HttpResponse:
+    """Build the response to a request that was not executed and may be retried."""
     return HttpResponse(status=503, headers=(("retry-after", str(_RETRY_AFTER_S)),))
 
 
@@ -92,7 +93,7 @@
     log_event(
         Event.REQUEST_REFUSED, job=target.job_id, queue=target.queue.name, why=why
     )
-    return _refuse()
+    return _build_unavailable()
 
 
 def _log_failure(target: _Target, status: int, why: str) -> None:
@@ -105,23 +106,23 @@
     )
 
 
-class Intake:
-    """Answers clients.
+class JobApi:
+    """Serves client requests.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where jobs are kept.
+        Store of the jobs.
     clock : Clock
-        Where time comes from.
+        Time source.
     read_configuration : callable
-        Returns the configuration in force; None before the first.
+        Returns the configuration in force, or None before the first one.
     is_store_reachable : callable
-        Tells whether the store has answered lately.
-    figures : Figures
-        Where requests are counted.
+        Returns whether the store has answered recently.
+    metrics : ProcessMetrics
+        Counts requests and their durations.
     rejections : Rejections
-        Told of records that can't be read.
+        Receives unreadable records.
     """
 
     def __init__(
@@ -131,7 +132,7 @@
         clock: Clock,
         read_configuration: Callable[[], Configuration | None],
         is_store_reachable: Callable[[], bool],
-        figures: Figures,
+        metrics: ProcessMetrics,
         rejections: Rejections,
     ) -> None:
         self._rejections = rejections
@@ -139,23 +140,23 @@
         self._clock = clock
         self._read_configuration = read_configuration
         self._is_store_reachable = is_store_reachable
-        self._figures = figures
-        self._ended: dict[str, JobPhase] = {}
+        self._metrics = metrics
+        self._ended_phases: dict[str, JobPhase] = {}
 
     async def answer(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Serve one request."""
         began_ms = self._clock.monotonic_ms()
         response = await self._answer(request)
         kind = f"{request.method} {response.status}"
-        self._figures.count("requests", kind)
+        self._metrics.count("requests", kind)
         duration_ms = self._clock.monotonic_ms() - began_ms
-        self._figures.observe(f"{request.method.lower()}_ms", duration_ms)
+        self._metrics.observe(f"{request.method.lower()}_ms", duration_ms)
         return response
 
     async def _answer(self, request: HttpRequest) -> HttpResponse:
         configuration = self._read_configuration()
         if configuration is None:
-            return _refuse()
+            return _build_unavailable()
         host = (request.get_header("host") or "").rpartition(":")[0]
         host = host or request.get_header("host") or ""
         path = request.path
@@ -176,7 +177,7 @@
             return await self._cancel(request, target)
         return HttpResponse(status=405)
 
-    # Submitting.
+    # Submission.
 
     async def _submit(self, request: HttpRequest, target: _Target) -> HttpResponse:
         try:
@@ -190,12 +191,12 @@
             _log_failure(target, 400, str(error))
             return HttpResponse(status=400)
         key = keys.job_key(keys.SHARD, target.job_id)
-        mark = keys.waiting_key(keys.SHARD, target.queue.name, target.job_id)
+        marker = keys.waiting_key(keys.SHARD, target.queue.name, target.job_id)
         change = Transaction(
-            expectations=(Expectation(key=key, revision=0),),
+            preconditions=(Precondition(key=key, revision=0),),
             puts=(
                 Put(key=key, value=encode_job_record(JobRecord(job=job))),
-                Put(key=mark, value=b""),
+                Put(key=marker, value=b""),
             ),
         )
         return await self._write(request, target, job, change)
@@ -203,11 +204,11 @@
     async def _write(
         self, request: HttpRequest, target: _Target, job: Job, change: Transaction
     ) -> HttpResponse:
-        """Write a submission; answer only what is known of it.
+        """Write a submission, and report its outcome only if it is known.
 
-        A call without an answer may be carried out seconds later. It is sent again
-        under the same condition until one is answered: then the record stands, by the
-        one or by the other. Without any answer the client is told neither.
+        An unanswered call may take effect seconds later. It is repeated with the same
+        precondition until one call is answered, which proves that the record is stored.
+        Without any answer, the client gets status 504, as the outcome is unknown.
         """
         began_ms = self._clock.monotonic_ms()
         timeout_ms = read_client_timeout(request, default_ms=_DEFAULT_TIMEOUT_MS)
@@ -222,16 +223,16 @@
                 self._log_acceptance(target, job, began_ms, revision=revision)
                 return HttpResponse.from_json({})
             except PreconditionError as error:
-                return self._answer_known(target, job, began_ms, error)
+                return self._answer_existing(target, job, began_ms, error)
             except StoreUnavailableError as error:
                 ambiguous = ambiguous or not error.is_proved_unsent
                 reason = str(error)
             except StoreError as error:
                 reason = str(error)
             spent_ms = self._clock.monotonic_ms() - began_ms
-            if not ambiguous and spent_ms > _TURNED_AWAY_LIMIT_MS:
+            if not ambiguous and spent_ms > _REJECTED_RETRY_LIMIT_MS:
                 return _refuse_request(target, reason)
-            limit_ms = min(_UNKNOWN_LIMIT_MS, timeout_ms - _ANSWER_MARGIN_MS)
+            limit_ms = min(_UNANSWERED_RETRY_LIMIT_MS, timeout_ms - _ANSWER_MARGIN_MS)
             if ambiguous and spent_ms > limit_ms:
                 _log_failure(target, 504, reason)
                 return HttpResponse(status=504)
@@ -251,18 +252,18 @@
             **due,
         )
 
-    def _answer_known(
+    def _answer_existing(
         self, target: _Target, job: Job, began_ms: float, error: PreconditionError
     ) -> HttpResponse:
-        """Answer a submission whose key is taken: by the same job, as it should be.
+        """Answer a submission whose key exists, normally with the same job.
 
-        What another writer left there is no job: to call it accepted would lose the
-        submission without a word.
+        If another writer has left a value that is not a job record, the submission is
+        refused: reporting it as accepted would silently lose the job.
         """
         for item in error.items:
             if self._decode_record(item) is None:
                 return _refuse_request(target, "bad record")
-        # By an earlier call of this one or another request: which, is unknown.
+        # Stored by an earlier call, of this request or of another one.
         self._log_acceptance(target, job, began_ms, known=True)
         return HttpResponse.from_json({})
 
@@ -277,10 +278,10 @@
         self._rejections.accept(Event.ENTRY_INVALID, item.key)
         return record
 
-    # Reading.
+    # Status.
 
     async def _read(self, target: _Target) -> HttpResponse:
-        phase = self._ended.get(target.job_id)
+        phase = self._ended_phases.get(target.job_id)
         if phase is not None:
             return answer_state(phase.value)
         try:
@@ -289,7 +290,7 @@
                 return HttpResponse(status=410)
             record = self._decode_record(item)
             if record is None:
-                return _refuse()
+                return _build_unavailable()
             phase = record.phase
             if phase is JobPhase.OPEN:
                 progress = keys.progress_key(keys.SHARD, target.job_id)
@@ -297,14 +298,14 @@
                 return answer_state("running" if has_begun else "queued")
         except StoreError as error:
             return _refuse_request(target, str(error))
-        self._remember(target.job_id, phase)
+        self._cache_phase(target.job_id, phase)
         return answer_state(phase.value)
 
-    def _remember(self, job_id: str, phase: JobPhase) -> None:
-        """Remember the phase of an ended job, which never changes again."""
-        if len(self._ended) >= _ENDED_KEPT:
-            del self._ended[next(iter(self._ended))]
-        self._ended[job_id] = phase
+    def _cache_phase(self, job_id: str, phase: JobPhase) -> None:
+        """Cache the phase of an ended job, which never changes again."""
+        if len(self._ended_phases) >= _MAX_CACHED_PHASES:
+            del self._ended_phases[next(iter(self._ended_phases))]
+        self._ended_phases[job_id] = phase
 
     async def _count(self, queue: Queue) -> HttpResponse:
         try:
@@ -313,11 +314,13 @@
             )
         except StoreError as error:
             log_event(Event.REQUEST_REFUSED, queue=queue.name, why=str(error))
-            return _refuse()
-        marks = [keys.read_job_id(item.key) for item in listing.items]
-        return answer_pending(sum(bool(_JOB_ID.fullmatch(mark)) for mark in marks))
+            return _build_unavailable()
+        markers = [keys.read_job_id(item.key) for item in listing.items]
+        return answer_pending(
+            sum(bool(_JOB_ID.fullmatch(marker)) for marker in markers)
+        )
 
-    # Cancelling.
+    # Cancellation.
 
     async def _cancel(self, request: HttpRequest, target: _Target) -> HttpResponse:
         began_ms = self._clock.monotonic_ms()
@@ -326,7 +329,7 @@
             try:
                 return await self._try_cancel(target)
             except PreconditionError:
-                # The job ended, or was cancelled, between the two calls.
+                # The job ended or was cancelled between the two calls.
                 reason = "changed meanwhile"
             except StoreError as error:
                 reason = str(error)
@@ -343,14 +346,14 @@
             return HttpResponse(status=410)
         record = self._decode_record(item)
         if record is None:
-            return _refuse()
+            return _build_unavailable()
         if record.phase is not JobPhase.OPEN:
             return HttpResponse.from_json({})
         cancelled = attrs.evolve(record, phase=JobPhase.CANCELLED)
         queue = record.job.queue
         revision = await self._store.commit(
             Transaction(
-                expectations=(Expectation(key=key, revision=item.revision),),
+                preconditions=(Precondition(key=key, revision=item.revision),),
                 puts=(Put(key=key, value=encode_job_record(cancelled)),),
                 removals=(
                     keys.progress_key(keys.SHARD, target.job_id),
@@ -359,5 +362,5 @@
             )
         )
         log_event(Event.JOB_CANCELLED, job=target.job_id, revision=revision)
-        self._remember(target.job_id, JobPhase.CANCELLED)
+        self._cache_phase(target.job_id, JobPhase.CANCELLED)
         return HttpResponse.from_json({})
--- a/trefoilhook/runtime/jobfeed.py
+++ b/trefoilhook/runtime/jobfeed.py
@@ -1,4 +1,4 @@
-"""The jobs of a shard as the store holds them, taken into its owner's state."""
+"""Applies the jobs in the store to the scheduler of the shard's owner."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 from trefoilhook.platform import Change, Item, KeyValueStore, Listing
 from trefoilhook.runtime import keys
 from trefoilhook.runtime.following import follow
-from trefoilhook.runtime.ownership import Tenure
+from trefoilhook.runtime.ownership import Ownership
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
     JobPhase,
@@ -22,20 +22,20 @@
 
 
 class JobFeed:
-    """Reads jobs and their progress for one tenure.
+    """Reads jobs and their progress during one ownership.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where they are.
+        Store of the jobs.
     clock : Clock
-        Where time comes from.
-    tenure : Tenure
-        The ownership.
+        Time source.
+    ownership : Ownership
+        Ownership during which jobs are read.
     scheduler : Scheduler
-        Where they go.
+        Receives the jobs.
     rejections : Rejections
-        Told of what can't be read.
+        Receives unreadable entries.
     notify : callable
         Called after each change.
     """
@@ -45,26 +45,26 @@
         *,
         store: KeyValueStore,
         clock: Clock,
-        tenure: Tenure,
+        ownership: Ownership,
         scheduler: Scheduler,
         rejections: Rejections,
         notify: Callable[[], None],
     ) -> None:
         self._store = store
         self._clock = clock
-        self._tenure = tenure
+        self._ownership = ownership
         self._scheduler = scheduler
         self._rejections = rejections
         self._notify = notify
 
-    def take_loaded(self, jobs: Listing, progress: Listing) -> None:
-        """Take in all that earlier owners left; progress was listed before the jobs."""
+    def load(self, jobs: Listing, progress: Listing) -> None:
+        """Load the jobs of previous owners; progress must be listed before the jobs."""
         known = {keys.read_job_id(item.key): item for item in progress.items}
         for item in jobs.items:
             self._take_job(item, known.get(keys.read_job_id(item.key)))
 
     async def follow(self, listing: Listing) -> None:
-        """Take in every change after a listing, for good."""
+        """Apply every change after a listing, until cancelled."""
         await follow(
             self._store,
             self._clock,
@@ -87,11 +87,11 @@
         self._notify()
 
     def _take_job(self, item: Item, progress: Item | None = None) -> None:
-        """Take in a job's record, or hold the job back if it can't be read.
+        """Apply a job record, or hold the job back if it is unreadable.
 
-        Without its progress a job can't be told from one that has just come, and tasks
-        of it that are done would run again. So it stays held back in this tenure, also
-        when its record alone is mended: that brings no progress with it.
+        A job without its progress looks like a new one, so its completed tasks would
+        run again. It is therefore held back for the whole ownership, even if its record
+        is repaired, because a change of the record doesn't include the progress.
         """
         job_id = keys.read_job_id(item.key)
         try:
@@ -118,7 +118,7 @@
         self._scheduler.add_job(
             record,
             revision=item.revision,
-            certain=item.created > self._tenure.owner_revision,
+            certain=item.created > self._ownership.owner_revision,
             wall_ms=self._clock.wall_ms(),
             progress=done,
             progress_revision=progress.revision if progress is not None else 0,
--- a/trefoilhook/runtime/keys.py
+++ b/trefoilhook/runtime/keys.py
@@ -1,11 +1,11 @@
-"""Where the system keeps what must last, in the platform's store."""
+"""Keys of the persistent state in the platform's store."""
 
 __all__ = [
     "SHARD",
     "epoch_key",
     "job_key",
     "job_prefix",
-    "learned_key",
+    "interference_key",
     "owner_key",
     "ownership_prefix",
     "progress_key",
@@ -17,36 +17,36 @@
 ]
 
 SHARD = 0
-"""The shard that all jobs and workers of a deployment of today's size belong to."""
+"""The only shard: all jobs and workers of a deployment belong to it."""
 
 
 def ownership_prefix(shard: int) -> str:
-    """Return what the keys of a shard's ownership begin with."""
+    """Return the prefix of a shard's ownership keys."""
     return f"shard/{shard}/own/"
 
 
 def owner_key(shard: int) -> str:
-    """Return the key that the owner holds under its lease."""
+    """Return the key of the owner, which is attached to its lease."""
     return ownership_prefix(shard) + "owner"
 
 
 def epoch_key(shard: int) -> str:
-    """Return the key with the number of the last ownership; it stays."""
+    """Return the persistent key of the last ownership's epoch."""
     return ownership_prefix(shard) + "epoch"
 
 
 def roster_key(shard: int) -> str:
-    """Return the key with the workers on which the owner may have started a task."""
+    """Return the key of the workers on which the owner may have started a task."""
     return f"shard/{shard}/roster"
 
 
-def learned_key(shard: int) -> str:
-    """Return the key of what the owner has learned about interference."""
+def interference_key(shard: int) -> str:
+    """Return the key of the interference estimates."""
     return f"shard/{shard}/learned"
 
 
 def job_prefix(shard: int) -> str:
-    """Return what the keys of job records begin with."""
+    """Return the prefix of job record keys."""
     return f"shard/{shard}/job/"
 
 
@@ -56,7 +56,7 @@
 
 
 def progress_prefix(shard: int) -> str:
-    """Return what the keys of jobs' progress begin with."""
+    """Return the prefix of job progress keys."""
     return f"shard/{shard}/progress/"
 
 
@@ -66,15 +66,15 @@
 
 
 def waiting_prefix(shard: int, queue: str) -> str:
-    """Return what the marks of a queue's jobs without a start begin with."""
+    """Return the prefix of the markers of a queue's jobs that have not started."""
     return f"shard/{shard}/waiting/{queue}/"
 
 
 def waiting_key(shard: int, queue: str, job_id: str) -> str:
-    """Return the key of the mark that no task of a job has started."""
+    """Return the key of the marker that no task of a job has started."""
     return waiting_prefix(shard, queue) + job_id
 
 
 def read_job_id(key: str) -> str:
-    """Return the job that a key belongs to."""
+    """Return the id of the job that a key belongs to."""
     return key.rpartition("/")[2]
--- a/trefoilhook/runtime/lag.py
+++ b/trefoilhook/runtime/lag.py
@@ -1,4 +1,4 @@
-"""How far a process is behind itself, and how patient that makes it with others."""
+"""Event loop lag of the process, and timeouts that are extended by it."""
 
 import math
 
@@ -7,41 +7,41 @@
 __all__ = ["LoopLag"]
 
 _HALF_LIFE_MS = 1000.0
-"""How soon half of a lag is forgotten, in ms: planning of a burst comes and goes within
-about a second."""
+"""Half-life of a recorded lag, in ms. The planning load of a burst lasts about 1 s."""
 
-_TURNS = 7.0
-"""Turns of the event loop that an exchange takes over a new connection, counted; over
-an open one it takes two."""
+_TURNS_PER_EXCHANGE = 7.0
+"""Event loop iterations of an exchange over a new connection; an open one takes two."""
 
-_MOST_EXTRA_MS = 600.0
-"""Longest addition to a timeout, in ms. A look that waits 1,500 ms and has 600 ms for
-its answer then ends after 2.7 s, and two more fit into a task lease of 5 s."""
+_MAX_EXTENSION_MS = 600.0
+"""Maximum extension of a timeout, in ms. A poll that waits 1,500 ms with a timeout of
+600 ms then ends after 2.7 s at most, which leaves time for two more within a task lease
+of 5 s."""
 
 
 @attrs.define(kw_only=True)
 class LoopLag:
-    """How late this process's own timers have been of late.
+    """Recent delay of this process's timers.
 
-    Guards against taking one's own slowness for another's silence: an owner that plans
-    for half a second at a time reads an answer that came in 2 ms after the time that
-    it had given it. It would count sound workers as silent, have their tasks lapse, and
-    ask again, which makes it slower still.
+    An owner that plans for half a second reads an answer that arrived within 2 ms only
+    after the timeout. Without an extension, it would treat healthy workers as
+    unresponsive, let their task leases expire and repeat its calls, which adds load.
     """
 
     _lag_ms: float = 0.0
-    _noted_ms: float = 0.0
+    _recorded_ms: float = 0.0
 
     def note(self, lag_ms: float, now_ms: float) -> None:
-        """Note that a timer was late by ``lag_ms``."""
+        """Record that a timer fired ``lag_ms`` late."""
         self._lag_ms = max(lag_ms, self.read(now_ms))
-        self._noted_ms = now_ms
+        self._recorded_ms = now_ms
 
     def read(self, now_ms: float) -> float:
-        """Return the lag of late, in ms."""
-        halves = (now_ms - self._noted_ms) / _HALF_LIFE_MS
+        """Return the decayed lag, in ms."""
+        halves = (now_ms - self._recorded_ms) / _HALF_LIFE_MS
         return self._lag_ms * math.pow(0.5, halves)
 
     def extend(self, timeout_ms: float, now_ms: float) -> float:
-        """Return a timeout with the time added that is lost on this side, in ms."""
-        return timeout_ms + min(_MOST_EXTRA_MS, _TURNS * self.read(now_ms))
+        """Return a timeout extended by the expected lag of this process, in ms."""
+        return timeout_ms + min(
+            _MAX_EXTENSION_MS, _TURNS_PER_EXCHANGE * self.read(now_ms)
+        )
--- a/trefoilhook/runtime/losses.py
+++ b/trefoilhook/runtime/losses.py
@@ -1,7 +1,8 @@
-"""Lines on runs that an owner gives up without an end of theirs.
+"""Log lines for attempts that an owner abandons without a reported end.
 
-Each tells why its task is started again. On-call engineers tell by it a worker that
-fell silent from one that restarted, and both from an end that was noted and lost.
+Each line gives the reason for which the task is started again. On-call engineers use it
+to distinguish an unresponsive worker, a restarted worker, and an end that the worker
+reported but that was lost.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,12 +12,13 @@
 
 __all__ = ["log_lapse", "log_loss", "log_restart", "log_unlisted"]
 
-_MOST_SUSPECTS = 6
-"""Suspects named in one line, the likeliest first: it stays under 700 bytes."""
+_MAX_LOGGED_SUSPECTS = 6
+"""Maximum number of suspects in a log line, most likely first, which keeps it under 700
+bytes."""
 
 
 def log_lapse(lapse: Lapse) -> None:
-    """Log that every lease of a silent worker is over, and what was given up."""
+    """Log that all leases of an unresponsive worker expired, and its abandoned runs."""
     log_event(
         Event.WORKER_LOST,
         worker=lapse.worker_id,
@@ -36,10 +38,11 @@
 
 
 def log_restart(worker: Worker, now_ms: float) -> None:
-    """Log that another life answers at a worker's address: all it ran is over.
+    """Log that a new process answers at a worker's address, which ends all its runs.
 
-    How the silence before it began tells a process that ended, whose connections are
-    closed and then refused, from a way that is cut, where nothing comes back.
+    The first failed call shows whether the old process ended, in which case connections
+    are closed and then refused, or the network was partitioned, in which case calls
+    time out.
     """
     worker_id = worker.report.worker_id
     silence = worker.silence
@@ -65,14 +68,16 @@
 
 
 def log_loss(loss: WorkerLoss) -> None:
-    """Log what ended a worker's life, its suspects, and the verdict on each."""
+    """Log why a worker process ended, with the tasks suspected of crashing it."""
     log_event(
         Event.LOSS_ATTRIBUTED,
         worker=loss.worker_id,
         cause=loss.cause.value,
         runs=loss.runs,
-        suspects=[_describe(suspect) for suspect in loss.suspects[:_MOST_SUSPECTS]],
-        unnamed=max(0, len(loss.suspects) - _MOST_SUSPECTS),
+        suspects=[
+            _describe(suspect) for suspect in loss.suspects[:_MAX_LOGGED_SUSPECTS]
+        ],
+        unnamed=max(0, len(loss.suspects) - _MAX_LOGGED_SUSPECTS),
     )
     for suspect in loss.suspects:
         if suspect.given_up:
@@ -99,23 +104,23 @@
 
 
 def log_unlisted(
-    worker: Worker, held: Iterable[tuple[TaskId, int]], look: Look
+    worker: Worker, held: Iterable[tuple[TaskId, int]], poll_result: Look
 ) -> None:
-    """Log the runs that a look took from a worker though it listed no end of theirs.
+    """Log the runs that a poll neither listed as running nor as ended.
 
     Parameters
     ----------
     worker : Worker
-        The worker, after the look was taken in.
+        The worker, after the poll result has been applied.
     held : iterable of (TaskId, int)
-        Tasks and attempts that it held before.
-    look : Look
-        What it listed.
+        Tasks and attempts on the worker before the poll.
+    poll_result : Look
+        Answer of the worker.
     """
-    ended = {(end.task, end.attempt) for end in look.ends}
-    gone = [run for run in held if run not in worker.runs and run not in ended]
+    ended = {(end.task, end.attempt) for end in poll_result.ends}
+    missing = [run for run in held if run not in worker.runs and run not in ended]
     _log_given_up(
-        gone,
+        missing,
         worker_id=worker.report.worker_id,
         why="not listed",
         silent_ms=0.0,
--- a/trefoilhook/runtime/maintenance.py
+++ b/trefoilhook/runtime/maintenance.py
@@ -1,14 +1,14 @@
-"""What a shard's owner does beside its decisions, now and then."""
+"""Periodic maintenance by a shard's owner."""
 
 import attrs
 
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import StoreError
 from trefoilhook.logs import Event, log_event
-from trefoilhook.platform import Expectation, KeyValueStore, Put, Transaction
+from trefoilhook.platform import KeyValueStore, Precondition, Put, Transaction
 from trefoilhook.runtime import keys
 from trefoilhook.runtime.commits import Committer
-from trefoilhook.runtime.ownership import Tenure
+from trefoilhook.runtime.ownership import Ownership
 from trefoilhook.scheduling import (
     Scheduler,
     ShortfallCounter,
@@ -18,57 +18,58 @@
     measure_evacuated,
 )
 
-__all__ = ["Upkeep"]
+__all__ = ["Maintenance"]
 
-_LEARNED_PAUSE_MS = 2000.0
-"""Pause between two writes of what was learned, in ms: weights settle in some seconds,
-and a write of five images by ten is 6 KB."""
+_INTERFERENCE_SAVE_PERIOD_MS = 2000.0
+"""Pause between two writes of the interference estimates, in ms. The weights converge
+within seconds, and a write takes 6 KB for five images by ten."""
 
 _RETENTION_LEASE_MS = 600_000
-"""How long ended jobs stay in the store, in ms: the platform's longest lease."""
+"""Time for which ended jobs stay in the store, in ms: the platform's longest lease."""
 
 _RETENTION_MARGIN_MS = 120_000.0
-"""How much longer than needed an ended job's state is kept at least, in ms."""
+"""Minimum time for which an ended job is kept beyond the required time, in ms."""
 
-_LEAST_RENEW_MS = 30_000.0
-"""Least pause until a new lease is taken for jobs that end from then on, in ms: leases
-count as calls, and each job's end goes with the newest."""
+_MIN_RETENTION_RENEWAL_MS = 30_000.0
+"""Minimum pause between two leases for ended jobs, in ms. A job's end is attached to
+the newest lease, and each grant counts towards the store's rate limit."""
 
-_FORGET_PAUSE_MS = 60_000.0
-"""Pause between two rounds of forgetting ended jobs, in ms; one that ends just after a
-round is kept for two. The store tells their state for ten minutes."""
+_ENDED_REMOVAL_PERIOD_MS = 60_000.0
+"""Pause between two removals of ended jobs from memory, in ms. A job is kept for one to
+two periods; its state remains in the store for ten minutes."""
 
-_SHORTFALL_PAUSE_MS = 500.0
-_SHORTFALL_SAMPLES = 4
-"""Samples of long-running jobs that go into one line, and the pause between two, in ms:
-their tail latencies are figures of the last half second."""
+_SHORTFALL_SAMPLE_PERIOD_MS = 500.0
+_SAMPLES_PER_SHORTFALL_LINE = 4
+"""Number of samples of long-running jobs per log line. They are taken every 500 ms, as
+the reported tail latencies cover the last half second."""
 
-_EVACUATED_PAUSE_MS = 2000.0
+_EVACUATION_LOG_PERIOD_MS = 2000.0
 """Interval between log lines on the tasks left in an evacuated failure domain, in ms:
 tasks take seconds to minutes to end."""
 
-_BACKLOG_PAUSE_MS = 2000.0
-"""Pause between two looks at what waits, in ms; what stands in both has waited so long.
-A line a queue each time is a hundredth of what an owner writes about tasks."""
+_BACKLOG_LOG_PERIOD_MS = 2000.0
+"""Interval between two log lines on a queue's waiting tasks, in ms. A task is reported
+if it waits at two successive checks. The lines are about 1 % of an owner's task
+lines."""
 
 
-class Upkeep:
-    """Repeated work of an owner, each part a task of its own.
+class Maintenance:
+    """Periodic tasks of a shard's owner.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where things are written.
+        Store to write to.
     clock : Clock
-        Where time comes from.
-    tenure : Tenure
-        The ownership.
+        Time source.
+    ownership : Ownership
+        Ownership under which the store is written.
     scheduler : Scheduler
-        The shard's state.
+        State of the shard.
     committer : Committer
-        Told of the lease for ended jobs.
+        Receives the lease for ended jobs.
     status_ms : float
-        How long the state of an ended job must be told, in ms.
+        Time for which the state of an ended job must remain readable, in ms.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         *,
         store: KeyValueStore,
         clock: Clock,
-        tenure: Tenure,
+        ownership: Ownership,
         scheduler: Scheduler,
         committer: Committer,
         status_ms: float,
@@ -84,25 +85,25 @@
         self._status_ms = status_ms
         self._store = store
         self._clock = clock
-        self._tenure = tenure
+        self._ownership = ownership
         self._scheduler = scheduler
         self._committer = committer
 
-    async def forget_ended(self) -> None:
-        """Forget ended jobs, for good."""
+    async def remove_ended_jobs(self) -> None:
+        """Periodically remove ended jobs from the scheduler's memory."""
         while True:
-            await self._clock.sleep_ms(_FORGET_PAUSE_MS)
+            await self._clock.sleep_ms(_ENDED_REMOVAL_PERIOD_MS)
             self._scheduler.forget_ended()
 
-    async def tell_backlogs(self) -> None:
-        """Log what waits for a worker, for good.
+    async def log_backlogs(self) -> None:
+        """Periodically log the tasks that wait for a worker.
 
-        A task that waits has no line of its own: without this one, logs don't tell a
-        lack of room from a worker that is avoided.
+        Waiting tasks cause no log lines of their own. These lines distinguish a lack of
+        capacity from workers that are excluded from placement.
         """
         earlier: set[TaskState] = set()
         while True:
-            await self._clock.sleep_ms(_BACKLOG_PAUSE_MS)
+            await self._clock.sleep_ms(_BACKLOG_LOG_PERIOD_MS)
             waiting = self._scheduler.waiting
             for backlog in measure_backlogs(
                 self._scheduler,
@@ -113,65 +114,66 @@
                 log_event(Event.QUEUE_WAITS, **attrs.asdict(backlog))
             earlier = set(waiting)
 
-    async def tell_shortfalls(self) -> None:
-        """Log what long-running jobs lack, for good.
+    async def log_shortfalls(self) -> None:
+        """Periodically log missing or slow tasks of long-running jobs.
 
-        Their users lose by the share of their tasks that is away or too late, of which
-        no line on a single task tells.
+        The users of such a job are affected by the fraction of its tasks that are
+        missing or over their latency limit, which no line on a single task shows.
         """
         counter = ShortfallCounter()
         while True:
-            for _ in range(_SHORTFALL_SAMPLES):
-                await self._clock.sleep_ms(_SHORTFALL_PAUSE_MS)
+            for _ in range(_SAMPLES_PER_SHORTFALL_LINE):
+                await self._clock.sleep_ms(_SHORTFALL_SAMPLE_PERIOD_MS)
                 counter.sample(self._scheduler)
             for shortfall in counter.take(self._scheduler):
                 log_event(Event.SERVICE_SHORT, **attrs.asdict(shortfall))
 
-    async def tell_evacuations(self) -> None:
+    async def log_evacuations(self) -> None:
         """Periodically log the tasks that still run in evacuated failure domains.
 
         Operators use it to see when a failure domain can be switched off.
         """
         while True:
-            await self._clock.sleep_ms(_EVACUATED_PAUSE_MS)
+            await self._clock.sleep_ms(_EVACUATION_LOG_PERIOD_MS)
             for evacuated in measure_evacuated(
                 self._scheduler, self._clock.monotonic_ms()
             ):
                 log_event(Event.EVACUATION_LEFT, **attrs.asdict(evacuated))
 
-    async def keep_learned(self) -> None:
-        """Write what was learned, so that the next owner needn't learn it again.
+    async def save_interference(self) -> None:
+        """Periodically save the interference estimates for the next owner.
 
-        It only guides choices: a lost or late write does no harm.
+        They only guide placement, so a lost or late write is harmless.
         """
         owner = keys.owner_key(keys.SHARD)
         written = 0
         while True:
-            await self._clock.sleep_ms(_LEARNED_PAUSE_MS)
+            await self._clock.sleep_ms(_INTERFERENCE_SAVE_PERIOD_MS)
             interference = self._scheduler.interference
             if interference.steps == written:
                 continue
             written = interference.steps
             put = Put(
-                key=keys.learned_key(keys.SHARD),
+                key=keys.interference_key(keys.SHARD),
                 value=encode_interference(interference),
             )
-            expected = Expectation(key=owner, revision=self._tenure.owner_revision)
+            expected = Precondition(key=owner, revision=self._ownership.owner_revision)
             try:
                 await self._store.commit(
-                    Transaction(expectations=(expected,), puts=(put,))
+                    Transaction(preconditions=(expected,), puts=(put,))
                 )
             except StoreError:
-                # Written again with what is learned next, here or by a later owner.
+                # The next update of the estimates is written anyway.
                 continue
 
-    async def keep_retention(self) -> None:
-        """Take leases for ended jobs, each for those that end in a while, for good.
+    async def renew_retention_lease(self) -> None:
+        """Periodically take a new lease for the jobs that end from then on.
 
-        Where their state has to be told for longer than any lease, they are kept.
+        If ended jobs must remain readable for longer than the longest lease allows,
+        their records are kept without a lease.
         """
         pause_ms = _RETENTION_LEASE_MS - self._status_ms - _RETENTION_MARGIN_MS
-        if pause_ms < _LEAST_RENEW_MS:
+        if pause_ms < _MIN_RETENTION_RENEWAL_MS:
             return
         while True:
             try:
--- a/trefoilhook/runtime/metrics.py
+++ b/trefoilhook/runtime/metrics.py
@@ -1,8 +1,9 @@
-"""Counters and latency histograms of one process.
+"""Counters, gauges and latency histograms of one process.
 
-Counting is a dictionary's update. The library that writes the text format is loaded
-when somebody first asks: it takes 3 MB and 0.05 s of processor time, the OpenTelemetry
-SDK with its exporter 5 MB and 0.1 s more, on instances whose memory and start are paid.
+A count is a dictionary update. The Prometheus client library is imported on the first
+export, because it takes 3 MB and 0.05 s of processor time, and instances are billed for
+memory and start-up time. The OpenTelemetry SDK with its exporter would take 5 MB and
+0.1 s more.
 """
 
 import bisect
@@ -15,18 +16,18 @@
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
 
-__all__ = ["Figures", "Histogram", "render"]
+__all__ = ["ProcessMetrics", "Histogram", "render"]
 
 _BOUNDS_MS = (5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10_000, 30_000)
-"""Upper bounds of the buckets, in ms: from a round trip to the store to the longest
-objective seen."""
+"""Upper bounds of the buckets, in ms. They range from a round trip to the store to the
+longest latency objectives of users."""
 
 _PREFIX = "trefoilhook_"
 
 
 @attrs.define(kw_only=True)
 class Histogram:
-    """Durations, counted by bucket."""
+    """Durations counted by bucket."""
 
     buckets: list[int] = attrs.Factory(lambda: [0] * (len(_BOUNDS_MS) + 1))
     sum_ms: float = 0.0
@@ -38,17 +39,17 @@
 
 
 @attrs.define(kw_only=True)
-class Figures:
-    """What a process counts.
+class ProcessMetrics:
+    """Metrics of a process.
 
     Parameters
     ----------
     counters : Counter
-        By name and label.
+        Counters by name and label.
     histograms : dict of str to Histogram
-        By name.
+        Histograms by name.
     gauges : dict of str to callable
-        Read when somebody asks.
+        Functions by name that return the current value.
     """
 
     counters: Counter[tuple[str, str]] = attrs.Factory(Counter)
@@ -65,10 +66,10 @@
 
 
 class _Collector:
-    """Hands the figures to the library in its own terms."""
+    """Converts the metrics to Prometheus metric families."""
 
-    def __init__(self, figures: Figures) -> None:
-        self._figures = figures
+    def __init__(self, metrics: ProcessMetrics) -> None:
+        self._metrics = metrics
 
     def collect(self) -> Iterator["Metric"]:
         """Yield every metric."""
@@ -78,24 +79,24 @@
             HistogramMetricFamily,
         )
 
-        names = {name for name, _ in self._figures.counters}
+        names = {name for name, _ in self._metrics.counters}
         for name in sorted(names):
             family = CounterMetricFamily(_PREFIX + name, name, labels=["kind"])
-            for (other, label), value in sorted(self._figures.counters.items()):
+            for (other, label), value in sorted(self._metrics.counters.items()):
                 if other == name:
                     family.add_metric([label], value)
             yield family
-        for name, histogram in sorted(self._figures.histograms.items()):
+        for name, histogram in sorted(self._metrics.histograms.items()):
             rows = _accumulate(histogram)
             durations = HistogramMetricFamily(_PREFIX + name, name)
             durations.add_metric([], buckets=rows, sum_value=histogram.sum_ms)
             yield durations
-        for name, read in sorted(self._figures.gauges.items()):
+        for name, read in sorted(self._metrics.gauges.items()):
             yield GaugeMetricFamily(_PREFIX + name, name, value=read())
 
 
 def _accumulate(histogram: Histogram) -> list[tuple[str, float]]:
-    """Return the buckets as the text format wants them: each with all below it."""
+    """Return the cumulative buckets of the Prometheus text format."""
     bounds: Iterable[str] = [*(str(bound) for bound in _BOUNDS_MS), "+Inf"]
     rows: list[tuple[str, float]] = []
     total = 0
@@ -105,9 +106,9 @@
     return rows
 
 
-def render(figures: Figures) -> bytes:
-    """Write all figures in the Prometheus text format."""
+def render(metrics: ProcessMetrics) -> bytes:
+    """Return all metrics in the Prometheus text format."""
     from prometheus_client import generate_latest
 
-    text: bytes = generate_latest(_Collector(figures))
+    text: bytes = generate_latest(_Collector(metrics))
     return text
--- a/trefoilhook/runtime/orders.py
+++ b/trefoilhook/runtime/orders.py
@@ -1,10 +1,10 @@
-"""Orders on their way to workers: sent, counted, logged, and their outcome taken in."""
+"""Sends orders to workers, and counts, logs and applies their outcome."""
 
 from trefoilhook.clock import Clock
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import WorkerClient
 from trefoilhook.runtime.losses import log_restart
-from trefoilhook.runtime.metrics import Figures
+from trefoilhook.runtime.metrics import ProcessMetrics
 from trefoilhook.scheduling import (
     Order,
     OrderOutcome,
@@ -18,34 +18,34 @@
     take_stop_outcome,
 )
 
-__all__ = ["carry_out"]
+__all__ = ["execute_order"]
 
-_LEAST_WAIT_MS = 10.0
-"""Shorter waits aren't told, in ms: a plan gathers news for some 6 ms."""
+_MIN_LOGGED_WAIT_MS = 10.0
+"""Shortest waiting time that is logged, in ms. Each plan is delayed by about 6 ms."""
 
 
-async def carry_out(
+async def execute_order(
     order: Order,
     client: WorkerClient | None,
     *,
     scheduler: Scheduler,
     clock: Clock,
-    figures: Figures,
+    metrics: ProcessMetrics,
 ) -> OrderOutcome:
-    """Send an order, and take in what became of it.
+    """Send an order and apply its outcome to the scheduler.
 
     Parameters
     ----------
     order : StartOrder, StopOrder or PaceOrder
-        What to do.
+        Order to send.
     client : WorkerClient or None
-        The way to its worker; None once that is gone.
+        Client of the worker, or None if the worker was removed.
     scheduler : Scheduler
-        Whose order it is.
+        State of the shard, which planned the order.
     clock : Clock
-        Where time comes from.
-    figures : Figures
-        Where it is counted.
+        Time source.
+    metrics : ProcessMetrics
+        Counts orders by kind and outcome.
     """
     outcome = OrderOutcome.WITHDRAWN
     is_due = not isinstance(order, StartOrder) or begin_start(
@@ -53,9 +53,9 @@
     )
     if is_due:
         outcome = await _send(order, client)
-    figures.count("orders", f"{_name(order)} {outcome.value}")
+    metrics.count("orders", f"{_get_kind(order)} {outcome.value}")
     if isinstance(order, PaceOrder):
-        # It is ordered again as long as it matters.
+        # The scheduler repeats the order as long as the pace has to change.
         return outcome
     worker = scheduler.workers.get(order.worker_id)
     if outcome is OrderOutcome.OTHER_LIFE and worker is not None:
@@ -84,7 +84,7 @@
     return await client.pace(order)
 
 
-def _name(order: Order) -> str:
+def _get_kind(order: Order) -> str:
     if isinstance(order, StartOrder):
         return "start"
     return "stop" if isinstance(order, StopOrder) else "pace"
@@ -121,8 +121,8 @@
 
 
 def _describe_wait(run: Run | None) -> dict[str, int | str]:
-    """Return how long a task waited for its place, and what for longest."""
-    if run is None or run.waited_ms < _LEAST_WAIT_MS:
+    """Return how long a task waited for a worker, and the main reason."""
+    if run is None or run.waited_ms < _MIN_LOGGED_WAIT_MS:
         return {}
     reason = run.wait_reason.value if run.wait_reason is not None else ""
     return {"waited_ms": round(run.waited_ms), "waited_for": reason}
--- a/trefoilhook/runtime/ownership.py
+++ b/trefoilhook/runtime/ownership.py
@@ -1,9 +1,9 @@
-"""Ownership of a shard: at most one instance orders, the one with the highest epoch.
+"""Shard ownership: at most one instance sends orders, the one with the highest epoch.
 
-The owner's key goes with a store lease; the epoch beside it stays and rises. The epoch
-is the fencing token of every order, so that an owner that was frozen or cut off, and
-doesn't know that it has been replaced, is refused by every worker that the new owner
-has reached.
+The owner's key is attached to a store lease. The epoch key is persistent and increases
+with each ownership. The epoch is the fencing token of every order, so an owner that was
+frozen or partitioned and has been replaced without noticing is refused by every worker
+that the new owner has reached.
 """
 
 import json
@@ -30,56 +30,57 @@
 )
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import (
-    Expectation,
     Item,
     KeyValueStore,
     Listing,
+    Precondition,
     PreconditionError,
     Put,
     Transaction,
 )
 from trefoilhook.runtime import keys
-from trefoilhook.runtime.fitness import compute_deference
+from trefoilhook.runtime.fitness import compute_claim_delay
 from trefoilhook.runtime.following import WATCH_WAIT_MS
 from trefoilhook.runtime.rejections import Rejections
 
-__all__ = ["OWNER_LEASE_MS", "Campaign", "Tenure"]
+__all__ = ["OWNER_LEASE_MS", "ShardElection", "Ownership"]
 
 OWNER_LEASE_MS = 2000
-"""Lease of the owner's key, in ms: with it a dead owner is replaced. Four renewals fit
-in, each of which may take 360 ms while the store is ninety times slower than usual."""
+"""Lease of the owner's key, in ms, after which a dead owner can be replaced. It allows
+four renewals, which take 360 ms each if the store is ninety times slower than usual."""
 
-_RENEW_MS = 500.0
-"""Pause between two renewals, in ms."""
+_RENEWAL_PERIOD_MS = 500.0
+"""Pause between two lease renewals, in ms."""
 
-_PAUSE_MS = 200.0
-"""Pause after a try that failed, in ms."""
+_RETRY_PAUSE_MS = 200.0
+"""Pause after a failed attempt, in ms."""
 
-_REST_MS = 1500.0
-"""How long an instance that lost an ownership leaves the next claim to others: what
-made it lose it, a cut or a slow machine, most often lasts on."""
+_CLAIM_BACKOFF_MS = 1500.0
+"""Time after the end of an ownership for which the instance makes no claim, in ms. The
+cause of the loss, such as a network partition or a slow machine, usually persists."""
 
 
 @attrs.define(kw_only=True, eq=False)
-class Tenure:
+class Ownership:
     """One ownership of the shard by this instance.
 
     Parameters
     ----------
     epoch : int
-        Its number; higher than that of every earlier one.
+        Fencing token, higher than that of every previous ownership.
     owner_revision : int
         Revision of the owner's key.
     claimed_ms : float
-        When it was claimed, in ms.
+        Monotonic time of the claim, in ms.
     lease : int
         Store lease of the owner's key.
     valid_until_ms : float
-        Until when the lease is sure to hold, as far as renewals tell, in ms.
-    over : trio.Event
-        Set once it has ended, for whatever reason.
+        Monotonic time until which the last successful renewal guarantees the lease, in
+        ms.
+    ended : trio.Event
+        Set when the ownership has ended for any reason.
     released : bool
-        Whether it was given up on purpose.
+        Whether the instance gave the ownership up voluntarily.
     """
 
     epoch: int
@@ -87,38 +88,38 @@
     claimed_ms: float
     lease: int
     valid_until_ms: float
-    over: trio.Event = attrs.Factory(trio.Event)
+    ended: trio.Event = attrs.Factory(trio.Event)
     released: bool = False
 
 
 def _read_fitness(epoch: Item) -> float:
-    """Return the fitness of the fittest owner so far; 0 where it isn't told."""
+    """Return the fitness of the fittest owner so far, or 0 if it is unknown."""
     try:
         return read_number(parse_table(epoch.value), "fitness", most=1.0, default=0.0)
     except DecodeError:
-        # Logged where the epoch is read; without it this instance just doesn't wait.
+        # Logged by `_read_epoch`. Without a known fitness, this instance doesn't wait.
         return 0.0
 
 
-class Campaign:
-    """Claims the shard whenever it has no owner, and leads it then.
+class ShardElection:
+    """Claims the shard whenever it has no owner, and runs the owner while it holds it.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where ownership is kept.
+        Store of the ownership keys.
     clock : Clock
-        Where time comes from.
+        Time source.
     name : str
-        Name of this instance, for people.
-    lead : callable
-        Awaited with each tenure; works until the tenure is over.
+        Name of this instance, for operators.
+    run_owner : callable
+        Awaited with each ownership. It returns once the ownership has ended.
     may_claim : callable
-        Tells whether this instance is fit to own a shard.
+        Returns whether this instance is ready to own the shard.
     rejections : Rejections
-        Told of an epoch that can't be read.
+        Receives an unreadable epoch.
     fitness : float, optional
-        Share of an owner's needs that this instance can meet.
+        Fraction of an owner's resource needs that this instance meets.
     """
 
     def __init__(
@@ -127,7 +128,7 @@
         store: KeyValueStore,
         clock: Clock,
         name: str,
-        lead: Callable[[Tenure], Awaitable[None]],
+        run_owner: Callable[[Ownership], Awaitable[None]],
         may_claim: Callable[[], bool],
         rejections: Rejections,
         fitness: float = 1.0,
@@ -136,55 +137,59 @@
         self._fitness = fitness
         self._store = store
         self._clock = clock
-        # The name alone could be that of an earlier process on this machine.
+        # Unique per process: an earlier process on this machine had the same name.
         self._holder = f"{name}/{uuid.uuid4().hex}"
-        self._lead = lead
+        self._run_owner = run_owner
         self._may_claim = may_claim
-        self._tenure: Tenure | None = None
+        self._ownership: Ownership | None = None
         self._resigned = False
-        self._rest_until_ms = 0.0
-        self._left_lease = 0
+        self._no_claim_before_ms = 0.0
+        self._stale_lease = 0
 
     @property
     def is_owner(self) -> bool:
         """Whether this instance owns the shard."""
-        return self._tenure is not None
+        return self._ownership is not None
 
     def resign(self) -> None:
-        """Give the shard up, and claim it never again."""
+        """Release the shard and make no further claims."""
         self._resigned = True
-        if self._tenure is not None:
-            self._tenure.released = True
-            self._tenure.over.set()
+        if self._ownership is not None:
+            self._ownership.released = True
+            self._ownership.ended.set()
 
     async def run(self) -> None:
-        """Watch for the shard to be without an owner, and claim it, for good."""
+        """Claim the shard whenever it has no owner, until resigned."""
         while not self._resigned:
             try:
-                await self._end_left_lease()
+                await self._revoke_stale_lease()
                 listing = await self._store.list_items(
                     keys.ownership_prefix(keys.SHARD)
                 )
-                await self._campaign(listing)
+                await self._claim_when_vacant(listing)
             except StoreError:
-                await self._clock.sleep_ms(_PAUSE_MS)
+                await self._clock.sleep_ms(_RETRY_PAUSE_MS)
 
-    async def _campaign(self, listing: Listing) -> None:
+    async def _claim_when_vacant(self, listing: Listing) -> None:
         owner: Item | None = None
         epoch: Item | None = None
         for item in listing.items:
             owner = item if item.key == keys.owner_key(keys.SHARD) else owner
             epoch = item if item.key == keys.epoch_key(keys.SHARD) else epoch
         after = listing.as_of
-        vacant_ms = self._clock.monotonic_ms()
+        vacant_since_ms = self._clock.monotonic_ms()
         while not self._resigned:
-            left_ms = self._measure_deference(epoch, vacant_ms)
-            if owner is None and left_ms <= 0 and self._is_fit():
+            remaining_ms = self._compute_remaining_delay(epoch, vacant_since_ms)
+            if owner is None and remaining_ms <= 0 and self._can_claim():
                 await self._claim(epoch)
                 return
             wait_ms = WATCH_WAIT_MS
             if owner is None:
-                wait_ms = math.ceil(left_ms if 0 < left_ms < _PAUSE_MS else _PAUSE_MS)
+                wait_ms = math.ceil(
+                    remaining_ms
+                    if 0 < remaining_ms < _RETRY_PAUSE_MS
+                    else _RETRY_PAUSE_MS
+                )
             try:
                 batch = await self._store.watch(
                     keys.ownership_prefix(keys.SHARD), after=after, wait_ms=wait_ms
@@ -195,33 +200,35 @@
             for change in batch.changes:
                 if change.key == keys.owner_key(keys.SHARD):
                     owner = change.item
-                    vacant_ms = self._clock.monotonic_ms()
+                    vacant_since_ms = self._clock.monotonic_ms()
                 elif change.key == keys.epoch_key(keys.SHARD):
                     epoch = change.item
 
-    def _measure_deference(self, epoch: Item | None, vacant_ms: float) -> float:
-        """Return how long a vacant shard is still left to fitter instances, in ms."""
-        # Before the first claim nothing tells whether there is a fitter one.
+    def _compute_remaining_delay(
+        self, epoch: Item | None, vacant_since_ms: float
+    ) -> float:
+        """Return the remaining time to leave the claim to fitter instances, in ms."""
+        # Before the first claim, it is unknown whether a fitter instance exists.
         best = 1.0 if epoch is None else _read_fitness(epoch)
-        waited_ms = self._clock.monotonic_ms() - vacant_ms
-        return compute_deference(self._fitness, best) - waited_ms
+        waited_ms = self._clock.monotonic_ms() - vacant_since_ms
+        return compute_claim_delay(self._fitness, best) - waited_ms
 
-    def _is_fit(self) -> bool:
-        rested = self._clock.monotonic_ms() >= self._rest_until_ms
-        return rested and self._may_claim()
+    def _can_claim(self) -> bool:
+        is_backoff_over = self._clock.monotonic_ms() >= self._no_claim_before_ms
+        return is_backoff_over and self._may_claim()
 
     async def _claim(self, epoch: Item | None) -> None:
-        number = self._read_epoch(epoch) + 1
+        new_epoch = self._read_epoch(epoch) + 1
         granted_ms = self._clock.monotonic_ms()
         lease = await self._store.grant_lease(OWNER_LEASE_MS)
         best = max(self._fitness, _read_fitness(epoch) if epoch is not None else 0.0)
         value = json.dumps(
-            {"holder": self._holder, "epoch": number, "fitness": round(best, 3)}
+            {"holder": self._holder, "epoch": new_epoch, "fitness": round(best, 3)}
         ).encode()
         claim = Transaction(
-            expectations=(
-                Expectation(key=keys.owner_key(keys.SHARD), revision=0),
-                Expectation(
+            preconditions=(
+                Precondition(key=keys.owner_key(keys.SHARD), revision=0),
+                Precondition(
                     key=keys.epoch_key(keys.SHARD),
                     revision=epoch.revision if epoch is not None else 0,
                 ),
@@ -234,33 +241,33 @@
         try:
             revision = await self._store.commit(claim)
         except (PreconditionError, LeaseLostError):
-            await self._store.end_lease(lease)
+            await self._store.revoke_lease(lease)
             return
         except StoreUnavailableError as error:
             if error.is_proved_unsent:
                 raise
             found = await self._find_claim(value)
             if found is None:
-                # A late copy of the claim can at worst hold the key for the rest of
-                # the lease, which nobody renews.
+                # If the claim takes effect late, it blocks the key at most for the
+                # rest of the lease, which is not renewed.
                 return
             revision = found
-        tenure = Tenure(
-            epoch=number,
+        ownership = Ownership(
+            epoch=new_epoch,
             owner_revision=revision,
             claimed_ms=self._clock.monotonic_ms(),
             lease=lease,
             valid_until_ms=granted_ms + OWNER_LEASE_MS,
         )
-        await self._serve(tenure)
+        await self._run_ownership(ownership)
 
     def _read_epoch(self, item: Item | None) -> int:
-        """Return a number that no earlier owner's epoch is above.
+        """Return an upper bound of the epochs of all previous owners.
 
-        Guards against a shard that nobody can claim, or that is claimed with a token
-        that workers refuse, after another writer wrote the key: each claim raised the
-        epoch by one and the store's revision by one at least, so that no epoch is above
-        the revision at which it was written, nor above any later one.
+        If another writer has overwritten the key, the shard must remain claimable, with
+        a token that workers accept. Each claim increases the epoch by one and the
+        store's revision by at least one, so no epoch exceeds the revision at which it
+        was written, nor any later revision.
         """
         if item is None:
             return 0
@@ -276,57 +283,61 @@
         return number
 
     async def _find_claim(self, value: bytes) -> int | None:
-        """Look up whether a claim without an answer was carried out."""
+        """Return the revision of an unanswered claim, or None if it had no effect."""
         item = await self._store.get(keys.owner_key(keys.SHARD))
         if item is None or item.value != value:
             return None
         return item.revision
 
-    async def _serve(self, tenure: Tenure) -> None:
+    async def _run_ownership(self, ownership: Ownership) -> None:
         log_event(
-            Event.SHARD_CLAIMED, epoch=tenure.epoch, revision=tenure.owner_revision
+            Event.SHARD_CLAIMED,
+            epoch=ownership.epoch,
+            revision=ownership.owner_revision,
         )
-        self._tenure = tenure
+        self._ownership = ownership
         if self._resigned:
-            tenure.over.set()
+            ownership.ended.set()
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._renew, tenure)
-                await self._lead(tenure)
+                nursery.start_soon(self._renew, ownership)
+                await self._run_owner(ownership)
                 nursery.cancel_scope.cancel()
         finally:
-            self._tenure = None
-            self._rest_until_ms = self._clock.monotonic_ms() + _REST_MS
-        log_event(Event.SHARD_RELEASED, epoch=tenure.epoch, wanted=tenure.released)
-        self._left_lease = tenure.lease
-        await self._end_left_lease()
-
-    async def _end_left_lease(self) -> None:
-        """End the lease of a tenure that is over.
-
-        Guards against a shard without an owner after an outage of the store: leases
-        may pause meanwhile, and the key of a tenure that ended for lack of renewals
-        would keep others out for the rest of its lease, 2 s of no starts for anybody.
+            self._ownership = None
+            self._no_claim_before_ms = self._clock.monotonic_ms() + _CLAIM_BACKOFF_MS
+        log_event(
+            Event.SHARD_RELEASED, epoch=ownership.epoch, wanted=ownership.released
+        )
+        self._stale_lease = ownership.lease
+        await self._revoke_stale_lease()
+
+    async def _revoke_stale_lease(self) -> None:
+        """Revoke the lease of an ownership that has ended.
+
+        The store may suspend leases during an outage. After it, the key of an ownership
+        that ended for lack of renewals would block claims for the rest of its lease:
+        2 s in which no task can be started.
         """
-        if self._left_lease:
-            await self._store.end_lease(self._left_lease)
-            self._left_lease = 0
-
-    async def _renew(self, tenure: Tenure) -> None:
-        """Renew the lease; end the tenure once it can have run out."""
-        while not tenure.over.is_set():
-            left_ms = tenure.valid_until_ms - self._clock.monotonic_ms()
-            if left_ms <= 0:
-                log_event(Event.LEASE_LOST, epoch=tenure.epoch, why="not renewed")
-                tenure.over.set()
+        if self._stale_lease:
+            await self._store.revoke_lease(self._stale_lease)
+            self._stale_lease = 0
+
+    async def _renew(self, ownership: Ownership) -> None:
+        """Renew the lease, and end the ownership once the lease may have expired."""
+        while not ownership.ended.is_set():
+            remaining_ms = ownership.valid_until_ms - self._clock.monotonic_ms()
+            if remaining_ms <= 0:
+                log_event(Event.LEASE_LOST, epoch=ownership.epoch, why="not renewed")
+                ownership.ended.set()
                 return
             sent_ms = self._clock.monotonic_ms()
             try:
-                await self._store.keep_lease(tenure.lease)
-                tenure.valid_until_ms = sent_ms + OWNER_LEASE_MS
-                await self._clock.sleep_ms(_RENEW_MS)
+                await self._store.renew_lease(ownership.lease)
+                ownership.valid_until_ms = sent_ms + OWNER_LEASE_MS
+                await self._clock.sleep_ms(_RENEWAL_PERIOD_MS)
             except LeaseLostError:
-                log_event(Event.LEASE_LOST, epoch=tenure.epoch, why="gone")
-                tenure.over.set()
+                log_event(Event.LEASE_LOST, epoch=ownership.epoch, why="gone")
+                ownership.ended.set()
             except StoreError:
-                await self._clock.sleep_ms(_PAUSE_MS)
+                await self._clock.sleep_ms(_RETRY_PAUSE_MS)
--- a/trefoilhook/runtime/polling.py
+++ b/trefoilhook/runtime/polling.py
@@ -1,4 +1,4 @@
-"""Looking at workers: what runs there, what has ended, and the lease on it all."""
+"""Polls workers for running and ended tasks, and renews the leases of their tasks."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,11 @@
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import DecodeError
 from trefoilhook.logs import DependencyLog, Event, log_event
-from trefoilhook.platform import LookRequest, WorkerClient
+from trefoilhook.platform import PollRequest, WorkerClient
 from trefoilhook.runtime.commits import Committer
 from trefoilhook.runtime.losses import log_restart, log_unlisted
-from trefoilhook.runtime.metrics import Figures
-from trefoilhook.runtime.ownership import Tenure
+from trefoilhook.runtime.metrics import ProcessMetrics
+from trefoilhook.runtime.ownership import Ownership
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
     Look,
@@ -26,50 +26,51 @@
     take_look,
 )
 
-__all__ = ["WorkerWatch"]
+__all__ = ["WorkerPoller"]
 
-_LOOK_WAIT_MS = 1500
-"""How long a look waits for an end, in ms. An end is acknowledged with the next look,
-so this and the progress window stay under the 4 s in which that has to happen."""
+_POLL_WAIT_MS = 1500
+"""Time for which a poll waits for a task to end, in ms. An end is acknowledged by the
+next poll, so the sum of this and the progress window must stay below 4 s, the limit for
+acknowledgements."""
 
-_CLOSE_LOOK_WAIT_MS = 500
-"""The same where fillers run beside service tasks, whose tail latency is a figure of
-the last half second."""
+_SHARED_POLL_WAIT_MS = 500
+"""Wait of a poll if fillers share the worker with service tasks, in ms. The tail
+latency that services report covers the last half second."""
 
-_ISOLATED_LOOK_WAIT_MS = 150
-"""The same where a suspected task keeps a worker for itself: that ends once it is seen
-to run on."""
+_ISOLATED_POLL_WAIT_MS = 150
+"""Wait of a poll of a worker reserved for a task suspected of crashing workers, in ms.
+The reservation ends once the task is seen to keep running."""
 
-_SAVING_WAIT_MS = 200.0
-"""How long the next look at a worker waits for its ends to be in the store, in ms; then
-they are listed once more, with what has ended since."""
+_COMMIT_WAIT_MS = 200.0
+"""Maximum delay of the next poll until a worker's ends are stored, in ms. After it,
+they are listed again, together with later ends."""
 
-_LOOK_RETRY_MS = 200.0
-"""Pause after a look that failed, in ms."""
+_POLL_RETRY_PAUSE_MS = 200.0
+"""Pause after a failed poll, in ms."""
 
 
-class WorkerWatch:
-    """Looks at workers for one tenure, each in a task of its own.
+class WorkerPoller:
+    """Polls workers during one ownership.
 
     Parameters
     ----------
     clock : Clock
-        Where time comes from.
-    tenure : Tenure
-        The ownership.
+        Time source.
+    ownership : Ownership
+        Ownership whose epoch is sent as the fencing token.
     scheduler : Scheduler
-        The shard's state.
+        State of the shard.
     committer : Committer
-        Tells when ends are in the store.
-    figures : Figures
-        Where looks and ends are counted.
+        Signals when ends have been stored.
+    metrics : ProcessMetrics
+        Counts polls and ended attempts.
     rejections : Rejections
-        Told of answers, and of rows of them, that can't be read.
+        Receives unreadable answers and rows of answers.
     notify : callable
-        Called with each news.
-    depose : callable
-        Called when a worker has seen a later owner.
-    meet : callable
+        Called after each change.
+    on_ownership_lost : callable
+        Called when a worker has been polled by a later owner.
+    on_first_answer : callable
         Called when a worker has answered for the first time.
     """
 
@@ -77,27 +78,27 @@
         self,
         *,
         clock: Clock,
-        tenure: Tenure,
+        ownership: Ownership,
         scheduler: Scheduler,
         committer: Committer,
-        figures: Figures,
+        metrics: ProcessMetrics,
         rejections: Rejections,
         notify: Callable[[], None],
-        depose: Callable[[], None],
-        meet: Callable[[], None],
+        on_ownership_lost: Callable[[], None],
+        on_first_answer: Callable[[], None],
     ) -> None:
         self._clock = clock
-        self._tenure = tenure
+        self._ownership = ownership
         self._scheduler = scheduler
         self._committer = committer
-        self._figures = figures
+        self._metrics = metrics
         self._rejections = rejections
         self._notify = notify
-        self._depose = depose
-        self._meet = meet
+        self._on_ownership_lost = on_ownership_lost
+        self._on_first_answer = on_first_answer
 
     async def run(self, worker: Worker, client: WorkerClient) -> None:
-        """Look at a worker again and again, until it is gone."""
+        """Poll a worker repeatedly until it is removed."""
         worker_id = worker.report.worker_id
         outages = DependencyLog(
             clock=self._clock,
@@ -107,8 +108,8 @@
         )
         while self._scheduler.workers.get(worker_id) is worker:
             sent_ms = self._clock.monotonic_ms()
-            result = await self._look(worker, client, sent_ms)
-            self._figures.count("looks")
+            result = await self._poll(worker, client, sent_ms)
+            self._metrics.count("looks")
             if isinstance(result, Look):
                 outages.record_answer(sent_ms=sent_ms)
                 self._log_ends(worker, result)
@@ -124,11 +125,11 @@
                 log_unlisted(worker, held, result)
                 self._notify()
                 if is_first:
-                    self._meet()
-                await self._wait_for_saving(worker)
+                    self._on_first_answer()
+                await self._wait_for_commit(worker)
                 continue
             if result is OrderOutcome.FENCED:
-                self._depose()
+                self._on_ownership_lost()
                 return
             if result is OrderOutcome.OTHER_LIFE:
                 log_restart(worker, self._clock.monotonic_ms())
@@ -137,15 +138,15 @@
                 break
             outages.record_failure("look", result, sent_ms=sent_ms)
             worker.note_silence(result, self._clock.monotonic_ms())
-            await self._clock.sleep_ms(_LOOK_RETRY_MS)
+            await self._clock.sleep_ms(_POLL_RETRY_PAUSE_MS)
 
-    async def _look(
+    async def _poll(
         self, worker: Worker, client: WorkerClient, sent_ms: float
     ) -> Look | OrderOutcome:
-        """Look once; an answer that can't be read proves nothing, as none does."""
+        """Poll once; an unreadable answer counts as no answer."""
         worker_id = worker.report.worker_id
         try:
-            result = await client.look(self._build_look(worker, sent_ms))
+            result = await client.poll(self._build_poll_request(worker, sent_ms))
         except DecodeError as error:
             self._rejections.report(Event.ANSWER_INVALID, worker_id, str(error))
             return OrderOutcome.NO_ANSWER
@@ -157,10 +158,10 @@
             self._rejections.report(Event.ANSWER_INVALID, worker_id, row.reason)
         return result
 
-    def _log_ends(self, worker: Worker, look: Look) -> None:
-        for end in look.ends:
+    def _log_ends(self, worker: Worker, poll_result: Look) -> None:
+        for end in poll_result.ends:
             if worker.is_new_end(end.number):
-                self._figures.count("ends", end.kind.value)
+                self._metrics.count("ends", end.kind.value)
                 log_event(
                     Event.TASK_ENDED,
                     task=str(end.task),
@@ -172,7 +173,7 @@
                 )
 
     def _describe_run(self, run: Run | None) -> dict[str, int]:
-        """Return how long a run took and was to take, and what its pace cost."""
+        """Return the actual and estimated duration of a run, and its slowdown."""
         state = self._scheduler.jobs.get(run.task.job_id) if run is not None else None
         task = state.find_task(run.task) if run is not None and state else None
         if run is None or task is None:
@@ -186,40 +187,40 @@
             **slowed,
         }
 
-    async def _wait_for_saving(self, worker: Worker) -> None:
+    async def _wait_for_commit(self, worker: Worker) -> None:
         """Wait until the ends that a worker listed can be acknowledged.
 
-        A worker that has ends to list answers a look at once: without this pause it
-        would be looked at again and again until they are in the store; one end that
-        can't be read, and so is never acknowledged, would have it so for good.
+        A worker with unacknowledged ends answers polls immediately. Without this wait,
+        it would be polled in a busy loop until the ends are stored, and forever if one
+        of them is unreadable and therefore never acknowledged.
         """
-        with trio.move_on_after(_SAVING_WAIT_MS / 1000.0):
+        with trio.move_on_after(_COMMIT_WAIT_MS / 1000.0):
             while worker.unacknowledged or worker.unread_from is not None:
                 acknowledge(worker)
                 if worker.unacknowledged or worker.unread_from is not None:
-                    await self._committer.saved.wait()
+                    await self._committer.committed.wait()
 
-    def _build_look(self, worker: Worker, now_ms: float) -> LookRequest:
+    def _build_poll_request(self, worker: Worker, now_ms: float) -> PollRequest:
         if not worker.fenced:
-            return LookRequest(
-                token=self._tenure.epoch, acknowledged=0, deadline_ms=None, wait_ms=0
+            return PollRequest(
+                token=self._ownership.epoch, acknowledged=0, deadline_ms=None, wait_ms=0
             )
         if worker.silence is not None:
-            # No new deadline: a look without an answer may be carried out late, so
-            # each would put off the time from which its tasks may run elsewhere.
-            return LookRequest(
-                token=self._tenure.epoch,
+            # No new deadline: an unanswered poll may take effect late, so each one
+            # would postpone the time from which the tasks may be started elsewhere.
+            return PollRequest(
+                token=self._ownership.epoch,
                 acknowledged=worker.acknowledged,
                 deadline_ms=None,
                 wait_ms=0,
             )
-        wait_ms = _LOOK_WAIT_MS
+        wait_ms = _POLL_WAIT_MS
         if worker.is_reserved:
-            wait_ms = _ISOLATED_LOOK_WAIT_MS
+            wait_ms = _ISOLATED_POLL_WAIT_MS
         elif shares_with_services(self._scheduler, worker):
-            wait_ms = _CLOSE_LOOK_WAIT_MS
-        return LookRequest(
-            token=self._tenure.epoch,
+            wait_ms = _SHARED_POLL_WAIT_MS
+        return PollRequest(
+            token=self._ownership.epoch,
             acknowledged=acknowledge(worker),
             deadline_ms=extend_lease(self._scheduler, worker, now_ms),
             wait_ms=wait_ms,
--- a/trefoilhook/runtime/rejections.py
+++ b/trefoilhook/runtime/rejections.py
@@ -1,56 +1,58 @@
-"""What was read from outside and can't be used: logged once, counted each time."""
+"""Invalid external data, which is logged once and counted each time."""
 
 from trefoilhook.logs import Event, log_event
-from trefoilhook.runtime.metrics import Figures
+from trefoilhook.runtime.metrics import ProcessMetrics
 
 __all__ = ["Rejections"]
 
-_MOST_REMEMBERED = 2000
-"""Keys known to be bad, past which the oldest is forgotten and logged anew if it still
-is: over the keys that one day's workers take, at some 200 bytes each."""
+_MAX_INVALID_KEYS = 2000
+"""Maximum number of tracked invalid keys, about 200 bytes each. It exceeds the number
+of worker keys of a day. Beyond it, the oldest key is dropped, and logged again if it is
+still invalid."""
 
-_MOST_REASON = 200
-"""Longest reason in a line; reasons name fields, so only a path of many is longer."""
+_MAX_REASON_LENGTH = 200
+"""Maximum length of a logged reason, in characters. Reasons name fields, so only a path
+of many fields is longer."""
 
 
 class Rejections:
-    """Tells each bad entry once, until it is sound again.
+    """Logs each invalid entry once, until it is valid again.
 
-    Guards against a log that an entry fills which stays bad: a worker's is written anew
-    with each heartbeat, and by another writer as often as it likes.
+    An entry that stays invalid must not flood the log: worker entries are rewritten
+    with each heartbeat, and foreign entries at any rate.
 
     Parameters
     ----------
-    figures : Figures
-        Where every one is counted, by event.
+    metrics : ProcessMetrics
+        Counts all rejections by event.
     """
 
-    def __init__(self, *, figures: Figures) -> None:
-        self._figures = figures
-        self._bad: dict[tuple[Event, str], None] = {}
+    def __init__(self, *, metrics: ProcessMetrics) -> None:
+        self._metrics = metrics
+        self._invalid: dict[tuple[Event, str], None] = {}
 
     def report(self, event: Event, key: str, reason: str, *, revision: int = 0) -> None:
-        """Count an entry that can't be used, and log it if it was sound before.
+        """Count an invalid entry, and log it unless it is already known as invalid.
 
         Parameters
         ----------
         event : Event
-            What kind of entry it is.
+            Event to log, which depends on the kind of entry.
         key : str
-            Which one; for what is no key of the store, who sent it.
+            Key in the store, or the sender of data that isn't in the store.
         reason : str
-            What is wrong with it; no values.
+            Why the entry is invalid, without any of its values.
         revision : int, optional
-            The store's revision of it; 0 for what isn't in the store.
+            Revision of the entry, or 0 for data that isn't in the store.
         """
-        self._figures.count("rejected", event.name.lower())
-        if (event, key) in self._bad:
+        self._metrics.count("rejected", event.name.lower())
+        if (event, key) in self._invalid:
             return
-        if len(self._bad) >= _MOST_REMEMBERED:
-            del self._bad[next(iter(self._bad))]
-        self._bad[event, key] = None
-        log_event(event, key=key, revision=revision, error=reason[:_MOST_REASON])
+        if len(self._invalid) >= _MAX_INVALID_KEYS:
+            del self._invalid[next(iter(self._invalid))]
+        self._invalid[event, key] = None
+        log_event(event, key=key, revision=revision, error=reason[:_MAX_REASON_LENGTH])
 
     def accept(self, event: Event, key: str) -> None:
-        """Note that an entry is sound, or gone."""
-        self._bad.pop((event, key), None)
+        """Record that an entry is valid or has been removed."""
+        self._invalid.pop((event, key), None)
--- a/trefoilhook/runtime/roster.py
+++ b/trefoilhook/runtime/roster.py
@@ -1,9 +1,9 @@
-"""The workers on which a shard's owner may have started a task.
+"""Roster: the workers on which a shard's owner may have started a task.
 
 The roster is written before the first start on a worker, so that the next owner knows
-where to look, also for a worker that the platform lists no more. It names only workers
-that have answered this owner: nothing is started on others, and an entry of the list
-that never answers would keep the next owner waiting for it.
+which workers to poll, including those that the platform no longer lists. It contains
+only workers that have answered this owner: nothing is started on others, and the next
+owner would wait for a listed worker that never answers.
 """
 
 import json
@@ -15,25 +15,25 @@
 from trefoilhook.decoding import check_text, parse_json
 from trefoilhook.exceptions import DecodeError, StoreError
 from trefoilhook.platform import (
-    Expectation,
     Item,
     KeyValueStore,
+    Precondition,
     PreconditionError,
     Put,
     Transaction,
 )
 from trefoilhook.runtime import keys
-from trefoilhook.runtime.ownership import Tenure
+from trefoilhook.runtime.ownership import Ownership
 from trefoilhook.scheduling import Scheduler
 
 __all__ = ["Roster"]
 
 _RETRY_PAUSE_MS = 200.0
-"""Pause after a write that failed, in ms."""
+"""Pause after a failed write, in ms."""
 
-_GATHER_MS = 10.0
-"""How long a write waits for more workers, in ms: a new owner's first looks are
-answered within some 10 ms of each other, and one write names them all."""
+_BATCH_WINDOW_MS = 10.0
+"""Time to collect more workers before a write, in ms. The first polls of a new owner
+are answered within about 10 ms of each other, so that one write covers them all."""
 
 
 def _decode_roster(data: bytes) -> tuple[str, ...]:
@@ -44,25 +44,25 @@
 
 
 class Roster:
-    """Keeps the roster in the store.
+    """Keeps the roster in the store up to date.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where it is kept.
+        Store of the roster.
     clock : Clock
-        Where time comes from.
-    tenure : Tenure
-        The ownership.
+        Time source.
+    ownership : Ownership
+        Ownership under which the roster is written.
     scheduler : Scheduler
-        Whose workers are meant.
+        State of the shard, with its workers.
     notify : callable
-        Called once workers were added.
+        Called after the roster has been written.
 
     Attributes
     ----------
     workers : tuple of str
-        The roster as it stands in the store.
+        Roster in the store.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
         *,
         store: KeyValueStore,
         clock: Clock,
-        tenure: Tenure,
+        ownership: Ownership,
         scheduler: Scheduler,
         notify: Callable[[], None],
     ) -> None:
         self._store = store
         self._clock = clock
-        self._tenure = tenure
+        self._ownership = ownership
         self._scheduler = scheduler
         self._notify = notify
         self.workers: tuple[str, ...] = ()
@@ -84,30 +84,30 @@
         self._settled = False
         self._wake = trio.Event()
 
-    def take(self, item: Item | None) -> None:
-        """Take in what the earlier owner left.
+    def load(self, item: Item | None) -> None:
+        """Load the roster of the previous owner.
 
         Raises
         ------
         DecodeError
-            If it can't be read. It is written anew then, in place of what stands there.
+            If the value is unreadable. The next write then replaces it.
         """
         if item is None:
             return
         self._revision = item.revision
         self.workers = _decode_roster(item.value)
 
-    def wake(self) -> None:
-        """Have it compared with the workers that have answered."""
+    def notify_change(self) -> None:
+        """Request a comparison of the roster with the workers that have answered."""
         self._wake.set()
 
-    def settle(self) -> None:
-        """Let go of workers that are gone: all that the earlier owner did is known."""
+    def mark_settled(self) -> None:
+        """Allow removals, once all effects of the previous owner are known."""
         self._settled = True
-        self.wake()
+        self.notify_change()
 
-    async def keep(self) -> None:
-        """Write the workers as they answer, and go once it is settled, for good."""
+    async def run(self) -> None:
+        """Add workers as they answer and, once settled, remove those that are gone."""
         while True:
             workers = self._scheduler.workers
             wanted = tuple(sorted(i for i, worker in workers.items() if worker.fenced))
@@ -120,7 +120,7 @@
                     await self._clock.sleep_ms(_RETRY_PAUSE_MS)
                     continue
             await self._wake.wait()
-            await self._clock.sleep_ms(_GATHER_MS)
+            await self._clock.sleep_ms(_BATCH_WINDOW_MS)
             self._wake = trio.Event()
 
     async def _write(self, roster: tuple[str, ...]) -> bool:
@@ -128,20 +128,20 @@
         owner = keys.owner_key(keys.SHARD)
         value = json.dumps(roster).encode()
         change = Transaction(
-            expectations=(
-                Expectation(key=owner, revision=self._tenure.owner_revision),
-                Expectation(key=key, revision=self._revision),
+            preconditions=(
+                Precondition(key=owner, revision=self._ownership.owner_revision),
+                Precondition(key=key, revision=self._revision),
             ),
             puts=(Put(key=key, value=value),),
         )
         try:
             self._revision = await self._store.commit(change)
         except PreconditionError as error:
-            standing = {item.key: item for item in error.items}
-            if owner not in standing:
-                self._tenure.over.set()
+            current_items = {item.key: item for item in error.items}
+            if owner not in current_items:
+                self._ownership.ended.set()
                 return False
-            item = standing.get(key)
+            item = current_items.get(key)
             self._revision = item.revision if item is not None else 0
             return False
         except StoreError:
