--- a/trefoilhook/runtime/shard.py
+++ b/trefoilhook/runtime/shard.py
@@ -1,4 +1,4 @@
-"""The work of a shard's owner: what the scheduler decides, carried out."""
+"""Runs the scheduler of an owned shard and executes its orders."""
 
 import contextlib
 import functools
@@ -17,17 +17,17 @@
     KeyValueStore,
     WorkerClient,
 )
-from trefoilhook.runtime.advice import ask_for_advice
+from trefoilhook.runtime.advice import run_advice_requests
 from trefoilhook.runtime.commits import Committer
 from trefoilhook.runtime.jobfeed import JobFeed
 from trefoilhook.runtime.lag import LoopLag
 from trefoilhook.runtime.loading import ShardContents, load_shard
 from trefoilhook.runtime.losses import log_lapse, log_loss
-from trefoilhook.runtime.maintenance import Upkeep
-from trefoilhook.runtime.metrics import Figures
-from trefoilhook.runtime.orders import carry_out
-from trefoilhook.runtime.ownership import OWNER_LEASE_MS, Tenure
-from trefoilhook.runtime.polling import WorkerWatch
+from trefoilhook.runtime.maintenance import Maintenance
+from trefoilhook.runtime.metrics import ProcessMetrics
+from trefoilhook.runtime.orders import execute_order
+from trefoilhook.runtime.ownership import OWNER_LEASE_MS, Ownership
+from trefoilhook.runtime.polling import WorkerPoller
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.roster import Roster
 from trefoilhook.runtime.workerfeed import WorkerFeed
@@ -52,31 +52,33 @@
 __all__ = ["ShardOwner", "ShardSettings"]
 
 _WORKER_TIMEOUT_MS = 600.0
-"""Longest time for an answer of a worker, in ms: the round trip is 2 ms, and a worker
-that is six times slower than usual still answers at once."""
+"""Timeout of a call to a worker, without its waiting time, in ms. The round trip takes
+2 ms, and a worker at a sixth of its usual speed still answers well within the limit."""
 
-_MOST_NAMED = 5
-"""Workers named in one line: enough to look at, and a line stays under 400 bytes."""
+_MAX_LOGGED_WORKERS = 5
+"""Maximum number of workers named in a log line, which keeps it under 400 bytes."""
 
-_GATHER_MS = 6.0
-"""How long a plan waits for more news, in ms: news come in bursts, as the tasks of a
-step end together, and one plan for all is cheaper."""
+_BATCH_WINDOW_MS = 6.0
+"""Time to collect more changes before planning, in ms. The tasks of a step end
+together, and a single plan for all of them is cheaper."""
 
-_TICK_MS = 100.0
-"""Longest pause between two plans, in ms; each repeats orders without an answer."""
+_MAX_PLAN_INTERVAL_MS = 100.0
+"""Maximum time between two plans, in ms. Each plan repeats unanswered orders."""
 
-_MOST_STARTS_IN_FLIGHT = 64
-"""Starts on their way at the same time. Hundreds sent at once kept a small owner busy
-for longer than it waited for the first answers, and its looks timed out beside them. 64
-take it some 0.1 s, and answers come in 2 ms: this doesn't bound the rate."""
+_MAX_STARTS_IN_FLIGHT = 64
+"""Maximum number of concurrent start orders. Sending hundreds at once blocks a small
+owner for longer than the timeout of the first orders and of concurrent polls. Sending
+64 takes about 0.1 s; with answers after 2 ms, the limit doesn't bound the start
+rate."""
 
-_LEASE_SLACK_MS = 300.0
-"""Added to the longest time for which orders of an earlier owner can have effect: what
-was on its way when its machine froze, and clocks that are 2 % slow."""
+_LEASE_MARGIN_MS = 300.0
+"""Safety margin added to the time for which orders of a previous owner can take effect,
+in ms. Covers orders in flight when its machine froze and clocks that run 2 % slow."""
 
 
 _UNKNOWN_WORKER = ""
-"""Stands for the workers of a roster that can't be read: never known to be fenced."""
+"""Placeholder for the workers of an unreadable roster. It is never known to be
+fenced."""
 
 
 @attrs.frozen(kw_only=True)
@@ -86,19 +88,20 @@
     Parameters
     ----------
     task_lease_ms : float
-        Lease that each look gives to what runs on a worker.
+        Lease that each poll grants to the tasks on a worker.
     longest_stop_ms : float
-        Longest time that a task takes to stop.
+        Maximum time that a task takes to stop.
     overload_ms : float
-        How long a service task may be over its latency limit at most.
+        Maximum time for which a service task may exceed its latency limit.
     status_ms : float
-        How long the state of an ended job must be told.
+        Time for which the state of an ended job must remain readable.
     drain_notice_ms : float
-        A worker announces in the store that it leaves at least so long before.
+        Minimum time between a worker's announcement in the store that it is draining
+        and its end.
     entry_life_ms : float
-        How long the entry of a dead worker stays in the store.
+        Time for which the entry of a dead worker stays in the store.
     advice_address : (str, int) or None
-        Where the service listens that tells which workers a step may run on.
+        Address of the advice service, which allows workers for a step.
     """
 
     task_lease_ms: float
@@ -111,26 +114,26 @@
 
 
 class ShardOwner:
-    """Carries out one tenure.
+    """Manages the shard for the duration of one ownership.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where jobs, workers and progress are.
+        Store of jobs, workers and progress.
     clock : Clock
-        Where time comes from.
-    tenure : Tenure
-        The ownership.
+        Time source.
+    ownership : Ownership
+        Ownership under which to write and send orders.
     settings : ShardSettings
         Time limits.
     read_configuration : callable
         Returns the configuration in force.
     evacuations : Evacuations
         Evacuations in force, updated by the caller.
-    figures : Figures
-        Where orders and ends are counted.
+    metrics : ProcessMetrics
+        Counts orders, ended attempts and lost workers.
     rejections : Rejections
-        Told of what can't be read.
+        Receives unreadable entries and answers.
     """
 
     def __init__(
@@ -138,27 +141,27 @@
         *,
         store: KeyValueStore,
         clock: Clock,
-        tenure: Tenure,
+        ownership: Ownership,
         settings: ShardSettings,
         read_configuration: Callable[[], Configuration],
         evacuations: Evacuations,
-        figures: Figures,
+        metrics: ProcessMetrics,
         rejections: Rejections,
     ) -> None:
-        self._figures = figures
+        self._metrics = metrics
         self._rejections = rejections
         self._store = store
         self._clock = clock
-        self._tenure = tenure
+        self._ownership = ownership
         self._settings = settings
         self._read_configuration = read_configuration
         reach_ms = OWNER_LEASE_MS + settings.task_lease_ms / SLOWEST_CLOCK
         self._scheduler = Scheduler(
-            epoch=tenure.epoch,
+            epoch=ownership.epoch,
             limits=SchedulerLimits(
                 task_lease_ms=settings.task_lease_ms,
                 longest_stop_ms=settings.longest_stop_ms,
-                settled_at_ms=tenure.claimed_ms + reach_ms + _LEASE_SLACK_MS,
+                settled_at_ms=ownership.claimed_ms + reach_ms + _LEASE_MARGIN_MS,
                 overload_ms=settings.overload_ms,
                 drain_notice_ms=settings.drain_notice_ms,
                 entry_life_ms=settings.entry_life_ms,
@@ -170,58 +173,59 @@
             store=store,
             clock=clock,
             scheduler=self._scheduler,
-            owner_revision=tenure.owner_revision,
-            depose=tenure.over.set,
+            owner_revision=ownership.owner_revision,
+            on_ownership_lost=ownership.ended.set,
             notify=self.wake,
         )
         self._roster = Roster(
             store=store,
             clock=clock,
-            tenure=tenure,
+            ownership=ownership,
             scheduler=self._scheduler,
             notify=self.wake,
         )
-        self._watch_worker = WorkerWatch(
+        self._poll_worker = WorkerPoller(
             clock=clock,
-            tenure=tenure,
+            ownership=ownership,
             scheduler=self._scheduler,
             committer=self._committer,
-            figures=figures,
+            metrics=metrics,
             rejections=rejections,
             notify=self._wake_all,
-            depose=self._depose,
-            meet=self._roster.wake,
+            on_ownership_lost=self._on_ownership_lost,
+            on_first_answer=self._roster.notify_change,
         ).run
         self._job_feed = JobFeed(
             store=store,
             clock=clock,
-            tenure=tenure,
+            ownership=ownership,
             scheduler=self._scheduler,
             rejections=rejections,
             notify=self._wake_all,
         )
         self._clients: dict[str, WorkerClient] = {}
-        self._earlier_roster: tuple[str, ...] = ()
+        self._previous_roster: tuple[str, ...] = ()
         self._settled = False
         self._lag = LoopLag()
         lag = self._lag
-        # Not through this owner, which would outlive its tenure in the gauges.
-        figures.gauges["loop_lag_ms"] = lambda: lag.read(clock.monotonic_ms())
-        self._starts = trio.CapacityLimiter(_MOST_STARTS_IN_FLIGHT)
+        # Captures no reference to this owner, which the gauge would keep alive after
+        # the end of its ownership.
+        metrics.gauges["loop_lag_ms"] = lambda: lag.read(clock.monotonic_ms())
+        self._start_limiter = trio.CapacityLimiter(_MAX_STARTS_IN_FLIGHT)
         self._wake = trio.Event()
 
     def wake(self) -> None:
-        """Have the next plan made soon."""
+        """Request a new plan."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Work until the tenure is over."""
+        """Run until the ownership has ended."""
         try:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._work, nursery)
-                await self._tenure.over.wait()
+                await self._ownership.ended.wait()
                 nursery.cancel_scope.cancel()
-            if self._tenure.released:
+            if self._ownership.released:
                 with trio.move_on_after(OWNER_LEASE_MS / 4000.0):
                     await self._committer.flush()
         finally:
@@ -238,30 +242,30 @@
             scheduler=self._scheduler,
             rejections=self._rejections,
             read_configuration=self._read_configuration,
-            meet=functools.partial(self._meet, nursery),
+            on_new_worker=functools.partial(self._add_worker, nursery),
             notify=self._wake_for_workers,
         )
         nursery.start_soon(worker_feed.follow, contents.workers)
         nursery.start_soon(self._committer.run)
-        nursery.start_soon(self._roster.keep)
-        upkeep = Upkeep(
+        nursery.start_soon(self._roster.run)
+        maintenance = Maintenance(
             store=self._store,
             clock=self._clock,
-            tenure=self._tenure,
+            ownership=self._ownership,
             scheduler=self._scheduler,
             committer=self._committer,
             status_ms=self._settings.status_ms,
         )
-        nursery.start_soon(upkeep.keep_learned)
-        nursery.start_soon(upkeep.keep_retention)
-        nursery.start_soon(upkeep.forget_ended)
-        nursery.start_soon(upkeep.tell_backlogs)
-        nursery.start_soon(upkeep.tell_shortfalls)
-        nursery.start_soon(upkeep.tell_evacuations)
+        nursery.start_soon(maintenance.save_interference)
+        nursery.start_soon(maintenance.renew_retention_lease)
+        nursery.start_soon(maintenance.remove_ended_jobs)
+        nursery.start_soon(maintenance.log_backlogs)
+        nursery.start_soon(maintenance.log_shortfalls)
+        nursery.start_soon(maintenance.log_evacuations)
         if self._settings.advice_address is not None:
             advice = AdviceClient(address=self._settings.advice_address)
             nursery.start_soon(
-                ask_for_advice,
+                run_advice_requests,
                 advice,
                 self._clock,
                 self._scheduler,
@@ -270,17 +274,17 @@
             )
         await self._plan(nursery, worker_feed)
 
-    # What stands in the store.
+    # State in the store.
 
     async def _load(self) -> ShardContents:
-        """Take in all that earlier owners left."""
+        """Load the state written by previous owners."""
         contents = await load_shard(self._store, self._clock)
         self._take_roster(contents.roster)
-        self._take_learned(contents.learned)
-        self._job_feed.take_loaded(contents.jobs, contents.progress)
+        self._take_interference(contents.interference)
+        self._job_feed.load(contents.jobs, contents.progress)
         log_event(
             Event.SHARD_LOADED,
-            epoch=self._tenure.epoch,
+            epoch=self._ownership.epoch,
             jobs=len(contents.jobs.items),
             workers=len(contents.workers.items),
         )
@@ -288,16 +292,19 @@
 
     def _take_roster(self, item: Item | None) -> None:
         try:
-            self._roster.take(item)
-            self._earlier_roster = self._roster.workers
+            self._roster.load(item)
+            self._previous_roster = self._roster.workers
         except DecodeError as error:
-            # Any worker may run tasks of the earlier owner: only its leases tell when
-            # they are over.
+            # Any worker may run tasks of the previous owner, so only the expiry of
+            # their leases proves that they have ended.
             self._reject(item, error)
-            self._earlier_roster = (_UNKNOWN_WORKER,)
+            self._previous_roster = (_UNKNOWN_WORKER,)
 
-    def _take_learned(self, item: Item | None) -> None:
-        """Take in what earlier owners learned; it only guides choices."""
+    def _take_interference(self, item: Item | None) -> None:
+        """Load the interference estimates of previous owners, if they are readable.
+
+        They only guide placement, so a shard works without them.
+        """
         try:
             if item is not None:
                 self._scheduler.interference = decode_interference(item.value)
@@ -315,81 +322,85 @@
         self._committer.wake()
 
     def _wake_for_workers(self) -> None:
-        self._roster.wake()
+        self._roster.notify_change()
         self.wake()
 
-    # What runs on the workers.
+    # Workers.
 
-    def _meet(self, nursery: trio.Nursery, report: WorkerReport) -> None:
+    def _add_worker(self, nursery: trio.Nursery, report: WorkerReport) -> None:
         client = WorkerClient(report=report, read_timeout=self._read_timeout)
         self._clients[report.worker_id] = client
         worker = self._scheduler.workers[report.worker_id]
         worker.rostered = report.worker_id in self._roster.workers
-        nursery.start_soon(self._watch, worker, client)
+        nursery.start_soon(self._run_poller, worker, client)
 
-    async def _watch(self, worker: Worker, client: WorkerClient) -> None:
-        await self._watch_worker(worker, client)
+    async def _run_poller(self, worker: Worker, client: WorkerClient) -> None:
+        await self._poll_worker(worker, client)
         worker_id = worker.report.worker_id
         if self._clients.get(worker_id) is client:
             del self._clients[worker_id]
         await client.close()
 
-    def _depose(self) -> None:
-        log_event(Event.SHARD_FENCED, epoch=self._tenure.epoch)
-        self._tenure.over.set()
+    def _on_ownership_lost(self) -> None:
+        log_event(Event.SHARD_FENCED, epoch=self._ownership.epoch)
+        self._ownership.ended.set()
 
     def _read_timeout(self) -> float:
         return self._lag.extend(_WORKER_TIMEOUT_MS, self._clock.monotonic_ms())
 
-    async def _gather(self) -> None:
-        """Wait for more news, and note how late that wait ends."""
+    async def _wait_for_batch(self) -> None:
+        """Wait for more changes, and record how late the timer fired."""
         began_ms = self._clock.monotonic_ms()
-        await self._clock.sleep_ms(_GATHER_MS)
+        await self._clock.sleep_ms(_BATCH_WINDOW_MS)
         now_ms = self._clock.monotonic_ms()
-        self._lag.note(now_ms - began_ms - _GATHER_MS, now_ms)
+        self._lag.note(now_ms - began_ms - _BATCH_WINDOW_MS, now_ms)
 
     async def _plan(self, nursery: trio.Nursery, worker_feed: WorkerFeed) -> None:
         while True:
-            with trio.move_on_after(_TICK_MS / 1000.0):
+            with trio.move_on_after(_MAX_PLAN_INTERVAL_MS / 1000.0):
                 await self._wake.wait()
-            # Outside of the pause: within it, a wait that ends late is given up.
-            await self._gather()
+            # Not inside the timeout above, which would cancel a late wait, so that its
+            # lag would not be recorded.
+            await self._wait_for_batch()
             self._wake = trio.Event()
             began_ms = self._clock.monotonic_ms()
             self._plan_once(nursery, worker_feed)
             now_ms = self._clock.monotonic_ms()
-            # No timer tells of the plan itself: everything else waits meanwhile.
+            # Planning blocks the event loop, which no timer measures.
             self._lag.note(now_ms - began_ms, now_ms)
 
     def _plan_once(self, nursery: trio.Nursery, worker_feed: WorkerFeed) -> None:
         now_ms = self._clock.monotonic_ms()
-        if now_ms >= self._tenure.valid_until_ms:
-            # The lease may have run out while the machine was frozen: another owner
-            # may have started what seems to wait here.
+        if now_ms >= self._ownership.valid_until_ms:
+            # The lease may have expired while the machine was frozen. Another owner may
+            # have started the tasks that are still queued here.
             return
         scheduler = self._scheduler
         if scheduler.deposed:
-            self._depose()
+            self._on_ownership_lost()
             return
         configuration = self._read_configuration()
         if configuration.version != scheduler.configuration.version:
             scheduler.set_configuration(configuration)
-            worker_feed.take_unnamed()
+            worker_feed.retry_unknown_services()
         for lapse in release_lapsed(scheduler, now_ms):
             log_lapse(lapse)
         if self._settled and len(scheduler.workers) < len(self._roster.workers):
-            # A worker is gone. No change of the list tells so, only its leases did.
-            self._roster.wake()
-        self._tell_losses()
-        if not self._settled and is_settled(scheduler, self._earlier_roster, now_ms):
+            # A worker was removed because its leases expired, which changes no entry in
+            # the store.
+            self._roster.notify_change()
+        self._log_losses()
+        if not self._settled and is_settled(scheduler, self._previous_roster, now_ms):
             self._settled = True
-            self._roster.settle()
-            self._figures.observe("takeover_ms", now_ms - self._tenure.claimed_ms)
+            self._roster.mark_settled()
+            self._metrics.observe("takeover_ms", now_ms - self._ownership.claimed_ms)
             log_event(
                 Event.SHARD_SETTLED,
-                epoch=self._tenure.epoch,
-                after_ms=round(now_ms - self._tenure.claimed_ms),
-                unheard=list_unheard(scheduler, self._earlier_roster)[:_MOST_NAMED],
+                epoch=self._ownership.epoch,
+                after_ms=round(now_ms - self._ownership.claimed_ms),
+                unheard=list_unheard(scheduler, self._previous_roster)[
+                    :_MAX_LOGGED_WORKERS
+                ],
             )
         orders = plan_orders(
             scheduler,
@@ -398,28 +409,28 @@
             wall_ms=self._clock.wall_ms(),
         )
         for order in orders:
-            nursery.start_soon(self._carry_out, order)
+            nursery.start_soon(self._execute_order, order)
         if scheduler.dirty:
             self._committer.wake()
 
-    def _tell_losses(self) -> None:
-        """Log the workers that were lost since the last plan."""
+    def _log_losses(self) -> None:
+        """Log the workers lost since the last plan."""
         for loss in self._scheduler.suspects.losses:
-            self._figures.count("losses", loss.cause.value)
+            self._metrics.count("losses", loss.cause.value)
             log_loss(loss)
         self._scheduler.suspects.losses.clear()
 
-    async def _carry_out(self, order: Order) -> None:
-        turn: contextlib.AbstractAsyncContextManager[None] = contextlib.nullcontext()
+    async def _execute_order(self, order: Order) -> None:
+        slot: contextlib.AbstractAsyncContextManager[None] = contextlib.nullcontext()
         if isinstance(order, StartOrder):
-            turn = self._starts
-        async with turn:
-            outcome = await carry_out(
+            slot = self._start_limiter
+        async with slot:
+            outcome = await execute_order(
                 order,
                 self._clients.get(order.worker_id),
                 scheduler=self._scheduler,
                 clock=self._clock,
-                figures=self._figures,
+                metrics=self._metrics,
             )
         if outcome is not OrderOutcome.DONE:
             self.wake()
--- a/trefoilhook/runtime/tests/cluster.py
+++ b/trefoilhook/runtime/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Instances, workers and the store in one event loop, over real sockets."""
+"""Runs instances, workers and the store in one event loop, over real sockets."""
 
 import json
 import math
@@ -20,7 +20,7 @@
 HOST = "shop.example"
 PREFIX = "/checks/"
 _TIMEOUT_S = 40.0
-"""Generous: the longest test takes 9 s by itself."""
+"""Timeout of a scenario, in s. The longest takes 9 s on an idle machine."""
 
 
 BOUNDS = Bounds(
@@ -31,22 +31,22 @@
     overload_ms=4000.0,
 )
 
-_REBIRTH_MS = 400.0
-"""A crashed worker is back after so long, in ms."""
+_RESTART_MS = 400.0
+"""Time after which a crashed worker restarts, in ms."""
 
-_UNLISTED_MS = 600.0
-"""Its entry goes so much later, in ms."""
+_ENTRY_REMOVAL_DELAY_MS = 600.0
+"""Time between the restart and the removal of the old entry, in ms."""
 
 
 def build_configuration(version: int, *prefixes: str) -> dict:
-    """Build what the operator writes."""
+    """Build the operator's configuration."""
     return platform_documents.build_configuration(
         version, *(prefixes or (PREFIX,)), host=HOST
     )
 
 
 def build_body(*counts: int) -> bytes:
-    """Build a job of small steps, each after the one before."""
+    """Build a job of small steps with ``counts`` tasks, each after the previous one."""
     steps = [
         {
             "count": count,
@@ -62,7 +62,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Instance:
-    """One process of the system, and the means to end it."""
+    """A process under test, with the events and scope to end it."""
 
     process: Process
     stop: trio.Event
@@ -71,7 +71,7 @@
 
 
 class Cluster:
-    """The store, its workers and the instances of one test."""
+    """The store, the workers and the instances of one test."""
 
     def __init__(self, nursery: trio.Nursery, *, task_ms: float) -> None:
         self._nursery = nursery
@@ -83,11 +83,11 @@
         self.advice: PlatformAdvice | None = None
         self.crashes: dict[str, float] = {}
         self.crashed: list[str] = []
-        self.rebirth_ms = _REBIRTH_MS
+        self.restart_ms = _RESTART_MS
         self._scopes: dict[str, trio.CancelScope] = {}
 
     async def start_advice(self, *allowed: str) -> None:
-        """Start the advice service, and have the queue need its word."""
+        """Start the advice service, and configure the queue to require its advice."""
         self.advice = PlatformAdvice(allowed=allowed)
         await self._nursery.start(self.advice.server.run)
         configuration = build_configuration(2)
@@ -96,7 +96,7 @@
         self.store.write("op/config", configuration)
 
     async def start_store(self) -> None:
-        """Start the store with a first configuration."""
+        """Start the store with an initial configuration."""
         await self._nursery.start(self.store.server.run)
         self._nursery.start_soon(self.store.expire_leases)
         self.store.write("op/config", build_configuration(1))
@@ -109,9 +109,9 @@
         checks_token: bool = True,
         port: int = 0,
     ) -> PlatformWorker:
-        """Start a worker, and list it if not told otherwise.
+        """Start a worker, with an entry in the store if ``listed``.
 
-        Tasks of ``crashes`` end its process; another life takes its address then.
+        Tasks of jobs in ``crashes`` end its process, which restarts at its address.
         """
         worker = PlatformWorker(
             worker_id=worker_id,
@@ -139,18 +139,18 @@
             await worker.run(task_status=task_status)
 
     def crash_worker(self, worker_id: str) -> None:
-        """End a worker's process; its entry goes later than its next life comes."""
+        """End a worker's process; its old entry is removed only after the restart."""
         self.crashed.append(worker_id)
         self.workers[worker_id].power_off()
         self._scopes[worker_id].cancel()
         self._nursery.start_soon(self._replace_worker, worker_id)
 
     async def _replace_worker(self, worker_id: str) -> None:
-        await self.clock.sleep_ms(self.rebirth_ms)
+        await self.clock.sleep_ms(self.restart_ms)
         place, _, life = worker_id.partition("-")
         port = self.workers[worker_id].server.port
         await self.start_worker(f"{place}-{int(life or 0) + 1}", port=port)
-        await self.clock.sleep_ms(_UNLISTED_MS)
+        await self.clock.sleep_ms(_ENTRY_REMOVAL_DELAY_MS)
         self.store.remove(f"servers/{worker_id}")
 
     async def start_instance(
@@ -160,7 +160,7 @@
         clock: Clock | None = None,
         bounds: Bounds = BOUNDS,
     ) -> Instance:
-        """Start an instance, on a clock of its own if given, and wait for it."""
+        """Start an instance, on ``clock`` if given, and wait until it is ready."""
         settings = ProcessSettings(
             name=f"i{len(self.instances)}",
             entry_address=("127.0.0.1", 0),
@@ -202,7 +202,7 @@
         *,
         timeout_ms: float = 3000.0,
     ) -> HttpResponse:
-        """Send a client's request; status 0 stands for no answer."""
+        """Send a client request; the status is 0 if there is no answer."""
         request = HttpRequest(
             method=method,
             target=target,
@@ -221,7 +221,7 @@
             await client.close()
 
     async def read_state(self, instance: Instance, job_id: str) -> str:
-        """Return a job's state, or the status if it isn't told."""
+        """Return a job's state, or the HTTP status if it is not 200."""
         answer = await self.send(instance, "GET", PREFIX + job_id)
         if answer.status != 200:
             return str(answer.status)
@@ -257,8 +257,8 @@
         """Return every run on every worker."""
         return [r for worker in self.workers.values() for r in worker.records]
 
-    def find_doubles(self) -> list[str]:
-        """Return the tasks that ran at the same time twice, or again after an end."""
+    def find_duplicate_runs(self) -> list[str]:
+        """Return the tasks with overlapping runs, or with a run after a done one."""
         found = []
         runs = sorted(self.list_runs(), key=lambda run: run.started_ms)
         for number, run in enumerate(runs):
@@ -272,7 +272,7 @@
 
 
 class _PlainClient(HttpClient):
-    """A client that keeps the host that a request names."""
+    """A client that sends the ``host`` header of the request unchanged."""
 
     def _encode(self, connection, request):
         host = dict(request.headers).get("host", "none")
@@ -291,7 +291,7 @@
     workers: int = 2,
     task_ms: float = 100.0,
 ) -> None:
-    """Run a test's scenario, bounded in time."""
+    """Run a scenario with a timeout."""
 
     async def main() -> None:
         with trio.fail_after(_TIMEOUT_S):
--- a/trefoilhook/runtime/tests/test_advice.py
+++ b/trefoilhook/runtime/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""A queue with advice, from submission to result, over sockets."""
+"""End-to-end tests of a queue with advice."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class AdviceTest(unittest.TestCase):
-    """The service allows one worker of three."""
+    """Steps that run only on workers that the advice service allows."""
 
     def test_only_the_allowed_worker_runs_the_steps(self):
         async def scenario(cluster: Cluster) -> None:
@@ -26,8 +26,8 @@
         run_cluster(scenario, instances=0, workers=3)
 
     def test_busy_service_is_asked_again(self):
-        # Other instances' calls fill the service's queue; it turns ours away. Asked
-        # only once, the job would never start.
+        # The service rejects the call because its queue is full. Without a retry, the
+        # job would never start.
         async def scenario(cluster: Cluster) -> None:
             await cluster.start_advice("w0")
             cluster.advice.is_busy = True
--- a/trefoilhook/runtime/tests/test_evacuations.py
+++ b/trefoilhook/runtime/tests/test_evacuations.py
@@ -11,7 +11,7 @@
 from trefoilhook.logs.tests.lines import capture_lines, count_lines, find_line
 from trefoilhook.platform import Change, Item, Listing
 from trefoilhook.runtime.evacuations import EvacuationFeed
-from trefoilhook.runtime.metrics import Figures
+from trefoilhook.runtime.metrics import ProcessMetrics
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.runtime.tests.cluster import (
     BOUNDS,
@@ -46,10 +46,10 @@
 
     def setUp(self):
         self.time = ManualTime()
-        self.figures = Figures()
+        self.metrics = ProcessMetrics()
         self.feed = EvacuationFeed(
             clock=build_manual_clock(self.time),
-            rejections=Rejections(figures=self.figures),
+            rejections=Rejections(metrics=self.metrics),
             evacuation_ms=5000.0,
             failure_domains=(EAST, "west"),
         )
@@ -86,7 +86,7 @@
             self.feed.take_change(build_change(key))
             self.feed.take_change(build_change(key, removed=True))
         self.assertEqual(self.in_force, set())
-        self.assertFalse(self.figures.counters)
+        self.assertFalse(self.metrics.counters)
 
     def test_listing_ends_missing_evacuations(self):
         # Guards against an evacuation that never ends because its removal is in
@@ -141,7 +141,7 @@
                 self.assertEqual(self.in_force, {key.removeprefix(EVACUATION_PREFIX)})
                 self.assertIn(reason, find_line(lines, "EVACUATION_INVALID")["error"])
                 self.assertEqual(
-                    self.figures.counters["rejected", "evacuation_invalid"], 3
+                    self.metrics.counters["rejected", "evacuation_invalid"], 3
                 )
 
     def test_entry_invalid_again_after_correction_is_logged_again(self):
@@ -160,7 +160,7 @@
     def test_names_are_not_checked_without_known_domains(self):
         self.feed.configure(evacuation_ms=5000.0, failure_domains=())
         self.list_items(build_item(EVACUATION_PREFIX + "nowhere"))
-        self.assertFalse(self.figures.counters)
+        self.assertFalse(self.metrics.counters)
 
 
 _EVACUATION_BOUNDS = attrs.evolve(BOUNDS, evacuation_ms=2000.0)
@@ -180,7 +180,7 @@
         for instance in cluster.instances:
             if instance.ended.is_set():
                 continue
-            gauge = instance.process.figures.gauges["evacuations"]
+            gauge = instance.process.metrics.gauges["evacuations"]
             await cluster.wait_until(lambda gauge=gauge: gauge() == count)
 
     def test_evacuation_begins_and_ends(self):
@@ -237,7 +237,7 @@
             cluster.store.write_bytes(EVACUATION_PREFIX, b"{}")
             cluster.store.write("op/wave/1", {"wave": 1})
             cluster.store.write("op/config", build_configuration(9, PREFIX, "/new/"))
-            version = instance.process.figures.gauges["configuration_version"]
+            version = instance.process.metrics.gauges["configuration_version"]
             await cluster.wait_until(lambda: version() == 9)
             await self.submit(cluster, JOB)
             await cluster.wait_for_state(instance, JOB, "completed")
--- a/trefoilhook/runtime/tests/test_fitness.py
+++ b/trefoilhook/runtime/tests/test_fitness.py
@@ -1,9 +1,9 @@
-"""Which of several instances owns the shard."""
+"""Tests of the preference for large instances as owners."""
 
 import unittest
 
 from trefoilhook.platform import InstanceSize
-from trefoilhook.runtime.fitness import compute_deference, rate_instance
+from trefoilhook.runtime.fitness import compute_claim_delay, compute_fitness
 from trefoilhook.runtime.tests.cluster import Cluster, run_cluster
 
 LARGE = InstanceSize(cores=2.15, link_mbps=200.0)
@@ -11,9 +11,9 @@
 
 
 class FitnessTest(unittest.TestCase):
-    """Sizes, and how long the small ones wait."""
+    """Fitness of instances, and the claim delay of less fit ones."""
 
-    def test_scarcest_need_decides(self):
+    def test_scarcest_resource_decides(self):
         table = (
             ("all that an owner needs", LARGE, 1.0),
             ("half of the processor", InstanceSize(cores=0.8, link_mbps=200.0), 0.5),
@@ -21,9 +21,9 @@
         )
         for name, size, expected in table:
             with self.subTest(name):
-                self.assertAlmostEqual(rate_instance(size), expected)
+                self.assertAlmostEqual(compute_fitness(size), expected)
 
-    def test_only_the_less_fit_wait(self):
+    def test_only_less_fit_instances_wait(self):
         table = (
             (1.0, 1.0, False),
             (0.3, 1.0, True),
@@ -32,15 +32,15 @@
         )
         for fitness, best, waits in table:
             with self.subTest(fitness=fitness, best=best):
-                self.assertEqual(compute_deference(fitness, best) > 0, waits)
+                self.assertEqual(compute_claim_delay(fitness, best) > 0, waits)
 
 
 class OwnershipTest(unittest.TestCase):
-    """A small instance owns the shard only where no larger one is left.
+    """A small instance owns the shard only if there is no larger one.
 
-    An owner on half a core and 10 Mbit/s heard some of 246 sound workers for 5 s not at
-    all when a few hundred tasks came at once; four instances with four times its size
-    stood by.
+    Guards against an undersized owner: with half a core and 10 Mbit/s, an owner of 246
+    workers missed the answers of healthy ones for 5 s after a burst of a few hundred
+    tasks, while four instances of four times its size were idle.
     """
 
     def test_shard_goes_to_a_large_instance_while_there_is_one(self):
--- a/trefoilhook/runtime/tests/test_foreign.py
+++ b/trefoilhook/runtime/tests/test_foreign.py
@@ -1,4 +1,4 @@
-"""Entries of other writers beside a fleet that works, over real sockets."""
+"""Tests of invalid data from foreign writers and newer workers, over real sockets."""
 
 import unittest
 
@@ -20,27 +20,27 @@
 LATER = "00000000000000a2"
 
 
-class ForeignCase(unittest.TestCase):
-    """Helpers of the tests below."""
+class ForeignDataCase(unittest.TestCase):
+    """Base class with helpers."""
 
     async def start_unlisted(self, cluster: Cluster) -> PlatformWorker:
-        """Start a worker that no sound entry names."""
+        """Start a worker without a valid entry in the store."""
         return await cluster.start_worker("w-unlisted", listed=False)
 
     async def submit(self, cluster: Cluster, job: str, *counts: int) -> None:
-        """Submit a job to any instance that still runs."""
+        """Submit a job to the first running instance."""
         here = next(i for i in cluster.instances if not i.ended.is_set())
         answer = await cluster.send(here, "POST", PREFIX + job, build_body(*counts))
         self.assertEqual(answer.status, 200)
 
 
-class WorkerEntriesTest(ForeignCase):
-    """Entries under the workers' prefix."""
+class WorkerEntriesTest(ForeignDataCase):
+    """Foreign entries under the prefix of the workers."""
 
-    def test_entries_beside_a_fleet(self):
-        # Somebody else's tool writes entries that look like workers', five times each
-        # as a heartbeat would. One that was taken as far as it goes drew starts to an
-        # executor that isn't one; one that couldn't be read ended the owner's tenure.
+    def test_foreign_entries_beside_workers(self):
+        # Guards against foreign entries that resemble worker entries. Partly decoded,
+        # they would attract starts to an address that is no worker; an unreadable one
+        # would end the ownership. They are written repeatedly, as with heartbeats.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             unlisted = await self.start_unlisted(cluster)
@@ -54,19 +54,19 @@
                 await cluster.wait_for_state(cluster.instances[0], JOB, "completed")
             self.assertEqual(unlisted.calls, 0)
             self.assertEqual(len(cluster.list_runs()), 12)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
             self.assertIs(await cluster.wait_for_owner(), owner)
             names = [line["event_name"] for line in lines]
             self.assertEqual(names.count("REPORT_INVALID"), len(entries))
             self.assertNotIn("SHARD_CLAIMED", names)
-            rejected = owner.process.figures.counters["rejected", "report_invalid"]
+            rejected = owner.process.metrics.counters["rejected", "report_invalid"]
             self.assertEqual(rejected, 5 * len(entries))
 
         run_cluster(scenario)
 
-    def test_entries_at_a_takeover(self):
-        # The owner dies while such entries stand in the store. The next one reads them
-        # with the rest, and has to know what runs on the workers all the same.
+    def test_foreign_entries_at_takeover(self):
+        # The owner dies while the store contains foreign entries. The next owner reads
+        # them with the valid ones, and must still find the running tasks.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             unlisted = await self.start_unlisted(cluster)
@@ -84,13 +84,14 @@
                 await cluster.wait_for_state(later, job, "completed")
             self.assertEqual(len(cluster.list_runs()), 6)
             self.assertEqual(unlisted.calls, 0)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=2500.0)
 
-    def test_entry_in_place_of_a_worker_with_tasks(self):
-        # A worker's own entry is overwritten while its tasks run. What runs there runs
-        # on and is looked after, and nothing new goes there until its next heartbeat.
+    def test_overwritten_entry_of_worker_with_tasks(self):
+        # A worker's entry is overwritten while its tasks run. The tasks must continue
+        # under the owner's control, and no task is started there until the next
+        # heartbeat restores the entry.
         async def check(cluster: Cluster, entry: bytes, number: int) -> None:
             worker = cluster.workers["w0"]
             key = "servers/w0"
@@ -107,7 +108,7 @@
             for each in (job, later):
                 await cluster.wait_for_state(cluster.instances[0], each, "completed")
             self.assertEqual(len(worker.records), held)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
@@ -120,9 +121,9 @@
 
         run_cluster(scenario, instances=1, workers=2, task_ms=400.0)
 
-    def test_entry_in_place_of_a_worker_that_is_cut_off(self):
-        # A worker's entry is overwritten, and then the worker can't be reached. Its
-        # task is started elsewhere only once its lease is sure to be over.
+    def test_overwritten_entry_of_unreachable_worker(self):
+        # A worker's entry is overwritten, and then the worker becomes unreachable. Its
+        # task must be started elsewhere only after its lease has certainly expired.
         async def scenario(cluster: Cluster) -> None:
             await cluster.wait_for_owner()
             await self.submit(cluster, JOB, 1)
@@ -133,14 +134,14 @@
             self.assertEqual(len(cluster.list_runs()), 1)
             lost.fault = WorkerFault.SILENT
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 2)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=60_000.0)
 
-    def test_entry_in_place_of_a_worker_at_a_takeover(self):
-        # A worker's entry is overwritten, and then the owner dies. The next one knows
-        # by the roster that tasks may run there, and not where it is: it starts them
-        # elsewhere once their leases are sure to be over.
+    def test_overwritten_entry_at_takeover(self):
+        # A worker's entry is overwritten, and then the owner dies. The next owner knows
+        # from the roster that tasks may run there, but not the worker's address, and
+        # must start them elsewhere only after their leases have certainly expired.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             await self.submit(cluster, JOB, 1)
@@ -153,12 +154,12 @@
             await cluster.wait_for_owner()
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 2)
             self.assertEqual(lost.records[0].how, "lapsed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=60_000.0)
 
-    def test_service_that_is_named_later(self):
-        # Workers of a new service come before the configuration that names it.
+    def test_service_added_later(self):
+        # Workers of a new service are listed before the configuration that adds it.
         async def scenario(cluster: Cluster) -> None:
             await cluster.wait_for_owner()
             worker = await self.start_unlisted(cluster)
@@ -174,12 +175,12 @@
         run_cluster(scenario, instances=1, workers=1)
 
 
-class OwnKeysTest(ForeignCase):
-    """The system's own keys, overwritten."""
+class OwnKeysTest(ForeignDataCase):
+    """Overwritten keys of the scheduler."""
 
-    def test_keys_of_ownership_at_a_takeover(self):
-        # Another writer overwrites the epoch, the roster and what was learned, and
-        # the owner dies. A shard that couldn't read its epoch had no owner any more.
+    def test_overwritten_shard_keys_at_takeover(self):
+        # Guards against a shard that can't be claimed. A foreign writer overwrites the
+        # epoch, the roster and the interference estimates, and then the owner dies.
         shard = keys.SHARD
         table = (b"", b"\xff", NESTED, b"[1]", b'{"epoch": "1"}', b'{"epoch": 1e30}')
 
@@ -191,13 +192,13 @@
             await cluster.wait_until(lambda: len(cluster.list_runs()) == runs)
             for key in (keys.epoch_key(shard), keys.roster_key(shard)):
                 cluster.store.write_bytes(key, data)
-            cluster.store.write_bytes(keys.learned_key(shard), data)
+            cluster.store.write_bytes(keys.interference_key(shard), data)
             await cluster.start_instance()
             owner.scope.cancel()
             await owner.ended.wait()
             later = await cluster.wait_for_owner()
             await cluster.wait_for_state(later, job, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         async def scenario(cluster: Cluster) -> None:
             for number, data in enumerate(table):
@@ -207,10 +208,10 @@
 
         run_cluster(scenario, instances=1, task_ms=700.0)
 
-    def test_records_of_jobs_at_a_takeover(self):
-        # One job's record and another's progress can't be read when a new owner loads
-        # them. Both are left as they are: what was done of them isn't known, so a start
-        # could be a second one. All other jobs go on.
+    def test_unreadable_job_records_at_takeover(self):
+        # A new owner finds the record of one job and the progress of another one
+        # unreadable. It must start none of their tasks, as they may already have run.
+        # All other jobs continue.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             jobs = [f"{number:016x}" for number in range(3)]
@@ -238,7 +239,7 @@
         run_cluster(scenario, task_ms=1500.0)
 
     def test_record_overwritten_while_its_job_runs(self):
-        # The owner knows the job, and writes its end in place of what stands there.
+        # The owner has the job in memory, and replaces the invalid value at its end.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             await self.submit(cluster, JOB, 2)
@@ -249,9 +250,9 @@
 
         run_cluster(scenario, instances=1, task_ms=500.0)
 
-    def test_configuration_with_a_bad_route(self):
-        # The operator's tool writes one route with a text for a number: the others
-        # are in force at once, that one isn't, and one line names it.
+    def test_configuration_with_an_invalid_route(self):
+        # One route of a new configuration has a string in place of a number. The other
+        # routes must be applied immediately, and the invalid one must be logged.
         async def scenario(cluster: Cluster) -> None:
             instance = cluster.instances[0]
 
@@ -276,12 +277,12 @@
         run_cluster(scenario, instances=1)
 
 
-class WorkerAnswersTest(ForeignCase):
-    """Rows of a worker's lists that can't be read."""
+class WorkerAnswersTest(ForeignDataCase):
+    """Unreadable rows in the answers of workers."""
 
-    def test_odd_rows_do_not_lose_the_worker(self):
-        # A worker lists rows of another format beside its own. Its whole answer was
-        # thrown away without a line in the log, its leases lapsed, its tasks ran again.
+    def test_unreadable_rows_do_not_lose_the_worker(self):
+        # Guards against an answer that is discarded as a whole because of one row in an
+        # unknown format: the worker's leases would expire and its tasks run again.
         async def scenario(cluster: Cluster) -> None:
             await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
@@ -298,10 +299,10 @@
 
         run_cluster(scenario, workers=1, instances=1)
 
-    def test_end_that_cannot_be_read(self):
-        # A worker of a newer version tells of an end with a word that isn't known. It
-        # may mean that the task is done: the task isn't started again and the end isn't
-        # acknowledged. Ends beside it count. Once the word is known, the job is done.
+    def test_unreadable_end(self):
+        # A worker of a newer version reports an end of an unknown kind. The task may be
+        # done, so it must not be started again, and the end must not be acknowledged.
+        # Once the end is readable, the job completes.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
@@ -322,9 +323,9 @@
 
         run_cluster(scenario, workers=1, instances=1)
 
-    def test_end_that_cannot_be_read_at_a_takeover(self):
-        # The owner dies after a worker told of an end with a word that isn't known. The
-        # next owner knows the attempt by that row alone, and must not start the task.
+    def test_unreadable_end_at_takeover(self):
+        # The owner dies after a worker has reported an end of an unknown kind. The next
+        # owner knows the attempt only from that row, and must not start the task again.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
@@ -344,7 +345,7 @@
 
         run_cluster(scenario, workers=1)
 
-    def test_ends_after_one_that_cannot_be_read(self):
+    def test_ends_after_unreadable_end(self):
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
--- a/trefoilhook/runtime/tests/test_lag.py
+++ b/trefoilhook/runtime/tests/test_lag.py
@@ -1,4 +1,4 @@
-"""Whether one's own slowness is taken for another's silence."""
+"""Tests that a slow owner does not treat healthy workers as unresponsive."""
 
 import json
 import threading
@@ -10,7 +10,7 @@
 
 from trefoilhook.clock import Clock, build_boot_clock
 from trefoilhook.http import JsonClient
-from trefoilhook.platform import LookRequest, WorkerClient
+from trefoilhook.platform import PollRequest, WorkerClient
 from trefoilhook.runtime import shard
 from trefoilhook.runtime.lag import LoopLag
 from trefoilhook.runtime.tests.cluster import PREFIX, Cluster, build_body, run_cluster
@@ -21,14 +21,14 @@
 JOB = "00000000000000a1"
 
 BUSY_S = 0.07
-"""How long the process is busy at a time, in s."""
+"""Time for which the event loop is blocked at once, in s."""
 
 TIMEOUT_MS = 150.0
-"""Two busy times: a single turn of the event loop fits in, seven don't."""
+"""Timeout that allows one iteration of the blocked event loop, but not seven, in ms."""
 
 
 class LoopLagTest(unittest.TestCase):
-    """Lags, and the timeouts that follow from them."""
+    """Lag measurement, and timeouts extended by the lag."""
 
     def test_timeouts_follow_the_lag(self):
         table = (
@@ -50,48 +50,49 @@
         lag.note(1.0, 5100.0)
         self.assertGreater(lag.read(5100.0), 350.0)
 
-    def test_busy_owner_still_hears_a_sound_worker(self):
-        # An owner is busy for 70 ms at a time. The worker answers
-        # within milliseconds, but the owner comes to connect, send and read only in
-        # between. With the bare timeout it took the worker for silent, each time.
+    def test_blocked_owner_still_polls_a_healthy_worker(self):
+        # Guards against a timeout caused by the owner itself: its event loop is blocked
+        # for 70 ms at a time, so connecting, sending and reading take longer than the
+        # unextended timeout, although the worker answers within milliseconds.
         worker = _WorkerThread()
         self.addCleanup(worker.stop)
-        self.assertNotIsInstance(trio.run(_look, worker, LoopLag()), Look)
+        self.assertNotIsInstance(trio.run(_poll, worker, LoopLag()), Look)
         lag = LoopLag()
         lag.note(BUSY_S * 1000.0, build_boot_clock().monotonic_ms())
-        self.assertIsInstance(trio.run(_look, worker, lag), Look)
+        self.assertIsInstance(trio.run(_poll, worker, lag), Look)
 
-    def test_owner_notes_its_own_lag(self):
-        # The timer that the lag is read from was given up with the pause around it,
-        # just when it was late: an owner that stood still for 200 ms noted nothing.
+    def test_owner_records_its_own_lag(self):
+        # Guards against a lag that is not recorded because the timer that measures it
+        # is cancelled by a surrounding timeout when it fires late.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             await cluster.send(owner, "POST", PREFIX + JOB, build_body())
             await cluster.wait_for_state(owner, JOB, "completed")
-            read_lag = owner.process.figures.gauges["loop_lag_ms"]
+            read_lag = owner.process.metrics.gauges["loop_lag_ms"]
             with trio.move_on_after(1.0):
-                await _be_busy(0.2)
+                await _block_loop(0.2)
             self.assertGreater(read_lag(), 100.0)
 
         run_cluster(scenario, instances=1)
 
-    def test_owner_notes_the_time_of_its_plans(self):
-        # Plans over many tasks took half a second each, and no timer ran meanwhile: the
-        # owner gave sound workers the bare time for their answers and lost them.
+    def test_owner_records_planning_time(self):
+        # Guards against planning time that is missing from the lag. No timer runs while
+        # a plan blocks the event loop, so timeouts would not be extended, and healthy
+        # workers would be lost.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             with mock.patch.object(shard, "plan_orders", _plan_slowly):
                 await cluster.send(owner, "POST", PREFIX + JOB, build_body())
                 await cluster.wait_for_state(owner, JOB, "completed")
-                read_lag = owner.process.figures.gauges["loop_lag_ms"]
-                # Half of a lag is forgotten in a second: looked at after each turn.
+                read_lag = owner.process.metrics.gauges["loop_lag_ms"]
+                # The lag decays by half within 1 s, so it is checked continuously.
                 with trio.fail_after(10.0):
                     await cluster.wait_until(lambda: read_lag() > 200.0)
 
         run_cluster(scenario, instances=1)
 
-    def test_orders_and_looks_follow_the_owners_lag(self):
-        # The lag was read and nothing was given more time for it.
+    def test_timeouts_of_orders_and_polls_include_the_lag(self):
+        # Guards against a lag that is measured but not added to the timeouts of calls.
         timeouts = []
 
         async def exchange(client, method, path, *, timeout_ms, **fields):
@@ -108,18 +109,19 @@
 
         plain = JsonClient.exchange
         run_cluster(scenario, instances=1)
-        told = {path: ms for path, ms in timeouts if "kv-" not in path}
-        self.assertEqual(set(told.values()), {1200.0})
-        self.assertEqual(len(told), 2)
+        logged = {path: ms for path, ms in timeouts if "kv-" not in path}
+        self.assertEqual(set(logged.values()), {1200.0})
+        self.assertEqual(len(logged), 2)
 
-    def test_lag_does_not_keep_an_owner_that_is_over(self):
-        # The gauge held the scheduler of each tenure that had ended, with all its jobs.
+    def test_lag_gauge_does_not_keep_a_former_owner_alive(self):
+        # Guards against a memory leak: a gauge that refers to the owner keeps the
+        # scheduler with all its jobs alive after the ownership has ended.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             await cluster.wait_until(
-                lambda: "loop_lag_ms" in owner.process.figures.gauges
+                lambda: "loop_lag_ms" in owner.process.metrics.gauges
             )
-            read_lag = owner.process.figures.gauges["loop_lag_ms"]
+            read_lag = owner.process.metrics.gauges["loop_lag_ms"]
             held = [cell.cell_contents for cell in read_lag.__closure__]
             self.assertEqual({type(value) for value in held}, {LoopLag, Clock})
 
@@ -127,21 +129,22 @@
 
 
 class StartsInFlightTest(unittest.TestCase):
-    """How many starts an owner sends at the same time."""
+    """Limit on concurrent start orders."""
 
-    def test_burst_of_starts_is_sent_in_turns(self):
-        # A small owner sent 600 starts at once. The first answers timed out before it
-        # came to read them, looks beside them, too, and 24 sound workers were given up.
+    def test_concurrent_starts_are_limited(self):
+        # Guards against a burst of start orders that blocks a small owner until the
+        # first orders and concurrent polls time out: 600 starts at once caused the loss
+        # of 24 healthy workers.
         counts = []
-        under_way = []
+        in_flight = []
 
         async def count(order, *args, **fields):
-            under_way.append(order)
-            counts.append(len(under_way))
+            in_flight.append(order)
+            counts.append(len(in_flight))
             try:
                 return await plain(order, *args, **fields)
             finally:
-                under_way.remove(order)
+                in_flight.remove(order)
 
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
@@ -150,8 +153,8 @@
             await cluster.send(owner, "POST", PREFIX + JOB, body)
             await cluster.wait_for_state(owner, JOB, "completed")
 
-        plain = shard.carry_out
-        with mock.patch.object(shard, "carry_out", count):
+        plain = shard.execute_order
+        with mock.patch.object(shard, "execute_order", count):
             run_cluster(scenario, instances=1)
         self.assertLessEqual(max(counts), 64)
         self.assertEqual(len(counts), 300)
@@ -163,7 +166,7 @@
 
 
 class _WorkerThread:
-    """A worker with an event loop of its own, which a busy owner doesn't slow."""
+    """A worker with its own event loop, which is not blocked with the owner's."""
 
     def __init__(self) -> None:
         self.worker = PlatformWorker(
@@ -187,16 +190,16 @@
         self._thread.join()
 
 
-async def _look(thread: _WorkerThread, lag: LoopLag) -> object:
+async def _poll(thread: _WorkerThread, lag: LoopLag) -> object:
     clock = build_boot_clock()
     client = WorkerClient(
         report=_describe(thread.worker),
         read_timeout=lambda: lag.extend(TIMEOUT_MS, clock.monotonic_ms()),
     )
-    request = LookRequest(token=1, acknowledged=0, deadline_ms=None, wait_ms=0)
+    request = PollRequest(token=1, acknowledged=0, deadline_ms=None, wait_ms=0)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_be_busy, BUSY_S)
-        answer = await client.look(request)
+        nursery.start_soon(_block_loop, BUSY_S)
+        answer = await client.poll(request)
         nursery.cancel_scope.cancel()
     await client.close()
     return answer
@@ -213,7 +216,7 @@
     )
 
 
-async def _be_busy(busy_s: float) -> None:
+async def _block_loop(busy_s: float) -> None:
     while True:
-        time.sleep(busy_s)  # The event loop stands still: that is what is tested.
+        time.sleep(busy_s)  # Blocks the event loop on purpose.
         await trio.lowlevel.checkpoint()
--- a/trefoilhook/runtime/tests/test_logs.py
+++ b/trefoilhook/runtime/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""What a process logs while something that it depends on is away."""
+"""Tests of the log lines for outages, jobs, queues, takeovers and abandoned runs."""
 
 import json
 import unittest
@@ -32,17 +32,16 @@
     return count_lines(lines)[name] > 0
 
 
-class StoreAwayTest(unittest.TestCase):
-    """The store is away for a while, for a process that owns the shard."""
+class StoreOutageLinesTest(unittest.TestCase):
+    """Log lines of an owner during a store outage."""
 
-    def _play(self, fault: StoreFault) -> list[dict]:
-        # On-call engineers keep the last lines of each process. While the store was
-        # away every follower of a process logged each of its failing calls, five a
-        # second each, and pushed claims and ends of ownership out of what was kept.
+    def _record_lines(self, fault: StoreFault) -> list[dict]:
+        # Guards against lines for each failing call, five per second from each watch,
+        # which displace the lines on ownership from the retained log.
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
-            # Started here, so that nothing that it logs is missed.
+            # Started here to capture all of its log lines.
             with capture_lines() as captured:
                 await cluster.start_instance()
                 await cluster.wait_until(lambda: _has(captured, "SHARD_SETTLED"))
@@ -56,8 +55,8 @@
         run_cluster(scenario, instances=0)
         return lines
 
-    def test_silent_store_takes_two_lines(self):
-        lines = self._play(StoreFault.SILENT)
+    def test_unresponsive_store_takes_two_lines(self):
+        lines = self._record_lines(StoreFault.SILENT)
         counts = count_lines(lines)
         self.assertEqual((counts["STORE_DOWN"], counts["STORE_BACK"]), (1, 1))
         self.assertEqual(find_line(lines, "STORE_DOWN")["why"], "no answer")
@@ -66,27 +65,27 @@
         self.assertIn("watch", back["calls"])
         self.assertGreater(back["silent_ms"], 2500)
 
-    def test_store_that_turns_calls_away_takes_two_lines(self):
-        lines = self._play(StoreFault.BUSY)
+    def test_rejecting_store_takes_two_lines(self):
+        lines = self._record_lines(StoreFault.BUSY)
         counts = count_lines(lines)
         self.assertEqual((counts["STORE_DOWN"], counts["STORE_BACK"]), (1, 1))
         back = find_line(lines, "STORE_BACK")
         self.assertEqual(set(back["why"]), {"turned away"})
         self.assertGreater(back["failed"], 10)
 
-    def test_what_decides_keeps_its_lines(self):
-        counts = count_lines(self._play(StoreFault.SILENT))
+    def test_ownership_changes_are_logged_during_outage(self):
+        counts = count_lines(self._record_lines(StoreFault.SILENT))
         for name in ("LEASE_LOST", "SHARD_RELEASED", "SHARD_CLAIMED"):
             self.assertEqual(counts[name], 1, name)
 
 
-class WorkerAwayTest(unittest.TestCase):
-    """A worker answers no look for a while."""
+class WorkerOutageLinesTest(unittest.TestCase):
+    """Log lines of an owner while a worker does not answer polls."""
 
-    def test_silent_worker_takes_two_lines(self):
-        # A worker is cut off for less than its lease, and goes on. That it is back,
-        # how long it was silent and how many looks failed was told nowhere: its
-        # WORKER_LOST read as if it had been lost for good.
+    def test_unresponsive_worker_takes_two_lines(self):
+        # Guards against a log that shows only WORKER_LOST for a worker that was
+        # unreachable for less than its lease: WORKER_BACK must follow, with the
+        # duration and the number of failed polls.
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -112,9 +111,9 @@
 
 
 class JobLinesTest(unittest.TestCase):
-    """What is told of a job, for stories and for the report on burn."""
+    """Log lines of a job that ``story`` and ``burn`` reports are built from."""
 
-    def _play(self, body: bytes, *, submissions: int = 1) -> list[dict]:
+    def _record_lines(self, body: bytes, *, submissions: int = 1) -> list[dict]:
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -129,8 +128,8 @@
         run_cluster(scenario, instances=1, workers=1)
         return lines
 
-    def test_objective_is_told_at_both_ends(self):
-        lines = self._play(build_body(1, 1))
+    def test_objective_is_logged_at_acceptance_and_end(self):
+        lines = self._record_lines(build_body(1, 1))
         accepted = find_line(lines, "JOB_ACCEPTED")
         finished = find_line(lines, "JOB_FINISHED")
         self.assertGreater(accepted["objective_ms"], 0)
@@ -157,10 +156,10 @@
         self.assertTrue(wrong["queue"])
         self.assertEqual(wrong["queue"], refused["queue"])
 
-    def test_submission_of_a_known_job_is_told(self):
-        # The answer to a transaction is lost; the next try finds the record and is
-        # answered with success. No line said that the job had been accepted.
-        lines = self._play(build_body(), submissions=2)
+    def test_submission_of_a_known_job_is_logged(self):
+        # Guards against a job without a JOB_ACCEPTED line: the answer to its
+        # transaction is lost, and the retry finds the record and reports success.
+        lines = self._record_lines(build_body(), submissions=2)
         known = [
             line.get("known", False)
             for line in lines
@@ -170,11 +169,11 @@
 
 
 class BacklogLineTest(unittest.TestCase):
-    """Tasks that no worker has a place for."""
+    """Log lines on tasks that wait for a worker."""
 
-    def test_tasks_that_wait_are_told_with_the_room_that_is_left(self):
-        # A user's job doesn't begin for seconds. Its only line was that it had been
-        # accepted; whether workers were full or avoided stood nowhere.
+    def test_waiting_tasks_are_logged_with_free_capacity(self):
+        # Guards against a log that doesn't show why a job does not start: whether
+        # workers lack capacity or are excluded.
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -185,17 +184,17 @@
                 lines.extend(captured)
 
         run_cluster(scenario, instances=1, workers=1, task_ms=60_000.0)
-        told = find_line(lines, "QUEUE_WAITS")
-        self.assertEqual(told["oldest_job"], JOB)
-        self.assertEqual((told["workers"], told["open_workers"]), (1, 1))
+        logged = find_line(lines, "QUEUE_WAITS")
+        self.assertEqual(logged["oldest_job"], JOB)
+        self.assertEqual((logged["workers"], logged["open_workers"]), (1, 1))
         started = count_lines(lines)["TASK_STARTED"]
-        self.assertEqual(told["tasks"], 500 - started)
-        self.assertEqual((told["oldest_cpu"], told["oldest_mb"]), (500, 10))
-        self.assertLess(min(told["most_cpu"] / 500, told["most_mb"] / 10), 1)
+        self.assertEqual(logged["tasks"], 500 - started)
+        self.assertEqual((logged["oldest_cpu"], logged["oldest_mb"]), (500, 10))
+        self.assertLess(min(logged["most_cpu"] / 500, logged["most_mb"] / 10), 1)
 
-    def test_tasks_that_are_put_behind_are_told(self):
-        # A small job of an urgent queue has not begun after 24 s while later ones of
-        # the queue do: past three times its objective it comes after all others.
+    def test_late_tasks_are_logged(self):
+        # A job that has missed its objective by a factor of three is placed after all
+        # others, so later jobs of the queue start first. The log must show this.
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -208,10 +207,10 @@
                 lines.extend(captured)
 
         run_cluster(scenario, instances=1, workers=1, task_ms=60_000.0)
-        told = [line for line in lines if line["event_name"] == "QUEUE_WAITS"]
-        self.assertEqual(told[-1]["too_late"], told[-1]["tasks"])
+        logged = [line for line in lines if line["event_name"] == "QUEUE_WAITS"]
+        self.assertEqual(logged[-1]["too_late"], logged[-1]["tasks"])
 
-    def test_queue_whose_tasks_start_at_once_takes_no_line(self):
+    def test_queue_without_waiting_tasks_is_not_logged(self):
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -226,18 +225,20 @@
 
 
 class TakeoverLineTest(unittest.TestCase):
-    """An instance takes the shard over and can't start tasks for a while."""
+    """Log lines of a takeover."""
 
-    def test_worker_that_a_takeover_waited_for_is_named(self):
-        # Jobs stood still for 7 s after a takeover although workers were free: one that
-        # had left a moment earlier stood in the roster, and no line named it.
+    def test_unheard_worker_is_logged_at_takeover(self):
+        # Guards against a takeover whose delay is unexplained: the roster contains a
+        # worker that has just left, so no task is started for 7 s. The log must name
+        # it.
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
             first = await cluster.wait_for_owner()
             await cluster.send(first, "POST", PREFIX + JOB, build_body(2))
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 2)
-            # The roster names a worker once it has answered, maybe after the starts.
+            # A worker is added to the roster once it has answered, possibly after the
+            # starts.
             roster = keys.roster_key(keys.SHARD)
             await cluster.wait_until(lambda: "w0" in cluster.store.read(roster))
             cluster.workers["w0"].fault = WorkerFault.SILENT
@@ -251,8 +252,8 @@
         self.assertEqual(find_line(lines, "SHARD_SETTLED")["unheard"], ["w0"])
 
 
-class GivenUpLineTest(unittest.TestCase):
-    """Runs that are given up without an end of theirs."""
+class AbandonedRunLineTest(unittest.TestCase):
+    """Log lines of runs that are abandoned without a reported end."""
 
     def _build_worker(self) -> tuple[Worker, TaskId]:
         report = WorkerReport(
@@ -276,9 +277,9 @@
         )
         return worker, task
 
-    def test_given_up_table(self):
-        # A user's task ran twice. What was logged of its worker read the same whether
-        # the worker had been silent, had restarted or had not listed the task.
+    def test_abandoned_run_table(self):
+        # Guards against a log that gives the same reason for a second run of a task,
+        # whether the worker was unresponsive, restarted or did not list the task.
         look = Look(clock_ms=0.0, running=(), ends=())
         lapse = Lapse(
             worker_id="w",
@@ -301,7 +302,7 @@
             with self.subTest(why), capture_lines() as lines:
                 worker, task = self._build_worker()
                 act(worker)
-                told = find_line(lines, "TASK_GIVEN_UP")
+                logged = find_line(lines, "TASK_GIVEN_UP")
                 expected = {
                     "task": str(task),
                     "attempt": 7,
@@ -310,10 +311,11 @@
                     "silent_ms": silent_ms,
                     "listed": True,
                 }
-                self.assertEqual({**told, **expected}, told)
+                self.assertEqual({**logged, **expected}, logged)
 
-    def test_restart_tells_how_the_silence_began(self):
-        # Guards against a log in which a crash, a cut and a planned stop read the same.
+    def test_restart_line_shows_first_failure(self):
+        # Guards against a log that does not distinguish a crash, a network partition
+        # and a planned stop.
         worker, _ = self._build_worker()
         worker.note_silence(OrderOutcome.CONNECTION_LOST, 410.0)
         worker.note_silence(OrderOutcome.CONNECTION_REFUSED, 610.0)
@@ -329,7 +331,7 @@
         self.assertEqual({**lost, **expected}, lost)
         self.assertEqual(find_line(lines, "TASK_GIVEN_UP")["ran_ms"], 410)
 
-    def test_run_whose_end_is_listed_is_not_given_up(self):
+    def test_run_with_listed_end_is_not_abandoned(self):
         worker, task = self._build_worker()
         held = list(worker.runs)
         worker.runs.clear()
@@ -338,7 +340,7 @@
             log_unlisted(worker, held, Look(clock_ms=0.0, running=(), ends=(end,)))
         self.assertEqual(lines, [])
 
-    def test_runs_that_a_look_does_not_list_are_told(self):
+    def test_unlisted_runs_are_logged(self):
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
@@ -359,16 +361,16 @@
         self.assertEqual(count_lines(lines)["WORKER_LOST"], 0)
 
 
-class WhereTimeGoesTest(unittest.TestCase):
-    """Lines tell what a job's time went into, and what a service lacked."""
+class TimingLinesTest(unittest.TestCase):
+    """Log lines on the waiting and run times of tasks, and on short services."""
 
-    def test_wait_and_run_are_told(self):
+    def test_wait_and_run_times_are_logged(self):
         lines: list[dict] = []
 
         async def scenario(cluster: Cluster) -> None:
             with capture_lines() as captured:
                 instance = await cluster.wait_for_owner()
-                # The owner has met its worker once a first job is done.
+                # Once a first job has completed, the owner has polled its worker.
                 await cluster.send(instance, "POST", PREFIX + FIRST, build_body(1))
                 await cluster.wait_for_state(instance, FIRST, "completed")
                 captured.clear()
@@ -385,7 +387,7 @@
         self.assertGreaterEqual(ended["ran_ms"], 190)
         self.assertEqual(ended["estimate_ms"], 200)
 
-    def test_service_that_lacks_a_task_is_told(self):
+    def test_service_with_a_missing_task_is_logged(self):
         lines: list[dict] = []
         step = {"count": 2, "cpu": 500, "mem_mb": 10, "long_running": True}
         body = json.dumps({"spec": "x", "steps": [step]}).encode()
@@ -399,5 +401,5 @@
 
         run_cluster(scenario, instances=1, workers=1, task_ms=60_000.0)
         short = find_line(lines, "SERVICE_SHORT")
-        # The stand-in's tasks never get past their start.
+        # Tasks of the simulated worker never complete their start.
         self.assertEqual((short["job"], short["tasks"], short["away"]), (JOB, 2, 2.0))
--- a/trefoilhook/runtime/tests/test_metrics.py
+++ b/trefoilhook/runtime/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a process counts, and how it shows it."""
+"""Tests of process metrics and their text format."""
 
 import unittest
 
@@ -6,21 +6,21 @@
 
 from trefoilhook.http import HttpRequest
 from trefoilhook.runtime.core import METRICS_PATH
-from trefoilhook.runtime.metrics import Figures, render
+from trefoilhook.runtime.metrics import ProcessMetrics, render
 from trefoilhook.runtime.tests.cluster import PREFIX, Cluster, build_body, run_cluster
 
 
-class FiguresTest(unittest.TestCase):
+class ProcessMetricsTest(unittest.TestCase):
     """Counters, histograms and gauges."""
 
     def test_text_format(self):
-        figures = Figures()
-        figures.count("ends", "done")
-        figures.count("ends", "done")
-        figures.observe("accept_ms", 7.0)
-        figures.observe("accept_ms", 99_000.0)
-        figures.gauges["is_owner"] = lambda: 1.0
-        text = render(figures).decode()
+        metrics = ProcessMetrics()
+        metrics.count("ends", "done")
+        metrics.count("ends", "done")
+        metrics.observe("accept_ms", 7.0)
+        metrics.observe("accept_ms", 99_000.0)
+        metrics.gauges["is_owner"] = lambda: 1.0
+        text = render(metrics).decode()
         for line in (
             'trefoilhook_ends_total{kind="done"} 2.0',
             'trefoilhook_accept_ms_bucket{le="5"} 0.0',
--- a/trefoilhook/runtime/tests/test_process.py
+++ b/trefoilhook/runtime/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The whole path with several instances: clients, store, workers, and their faults."""
+"""End-to-end tests with several instances, including faults of stores and workers."""
 
 import unittest
 
@@ -18,8 +18,8 @@
 JOB = "00000000000000a1"
 
 
-class WholePathTest(unittest.TestCase):
-    """Jobs are accepted, run and told of."""
+class EndToEndTest(unittest.TestCase):
+    """Jobs are accepted, run and reported."""
 
     def test_job_of_two_steps(self):
         async def scenario(cluster: Cluster) -> None:
@@ -28,13 +28,13 @@
             self.assertEqual(answer.status, 200)
             await cluster.wait_for_state(there, JOB, "completed")
             self.assertEqual(len(cluster.list_runs()), 5)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario)
 
     def test_same_id_is_the_same_job(self):
-        # The answer to a submission is lost on its way. The client sends it again, to
-        # another instance, and once more after the job has ended.
+        # Guards against a job that runs twice because its client retries the submission
+        # at another instance, or after the end of the job.
         async def scenario(cluster: Cluster) -> None:
             for instance in cluster.instances:
                 answer = await cluster.send(
@@ -99,13 +99,13 @@
             instance = cluster.instances[0]
             await cluster.send(instance, "POST", PREFIX + JOB, build_body(4))
             await cluster.wait_for_state(instance, JOB, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario)
 
     def test_configuration_in_force(self):
-        # The operator adds a queue and drops another. An older version that comes
-        # late, out of a stale answer, changes nothing.
+        # The operator replaces a queue. An older configuration from an outdated answer
+        # must not be applied after it.
         async def scenario(cluster: Cluster) -> None:
             instance = cluster.instances[0]
 
@@ -126,11 +126,11 @@
 
 
 class FaultTest(unittest.TestCase):
-    """Jobs neither lost nor done twice, whatever fails."""
+    """No job is lost or run twice under faults."""
 
     def test_owner_is_killed(self):
-        # The owner dies while tasks run. Its lease lapses, another instance takes over,
-        # finds the tasks at their workers and starts what comes after them.
+        # The owner dies while tasks run. After its lease has expired, another instance
+        # takes over, finds the running tasks on the workers and starts the next step.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             (other,) = [i for i in cluster.instances if i is not owner]
@@ -139,14 +139,14 @@
             owner.scope.cancel()
             await cluster.wait_for_state(other, JOB, "completed")
             self.assertEqual(len(cluster.list_runs()), 5)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
             self.assertEqual(len({run.token for run in cluster.list_runs()}), 2)
 
         run_cluster(scenario, task_ms=700.0)
 
     def test_all_instances_die(self):
-        # Every instance loses power right after a submission was accepted. The job
-        # is in the store, so those that start next run it.
+        # All instances end right after a submission has been accepted. The job is in
+        # the store, so that the next instance runs it.
         async def scenario(cluster: Cluster) -> None:
             first = cluster.instances[0]
             await cluster.send(first, "POST", PREFIX + JOB, build_body(2))
@@ -154,13 +154,13 @@
                 instance.scope.cancel()
             later = await cluster.start_instance()
             await cluster.wait_for_state(later, JOB, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario)
 
     def test_graceful_stop_hands_over_at_once(self):
-        # A rolling restart stops the owner. It gives its key up, so that the next one
-        # needn't wait for the lease of 2 s.
+        # A rolling restart stops the owner. It must release its key, so that the next
+        # owner does not wait for the lease of 2 s to expire.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             began_ms = cluster.clock.monotonic_ms()
@@ -178,8 +178,8 @@
         run_cluster(scenario)
 
     def test_store_loses_answers(self):
-        # The store carries calls out and their answers are lost. Told that its
-        # submission was refused, the client would find it run all the same.
+        # The store executes calls, but their answers are lost. The submission must not
+        # be reported as refused, because the job will run.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             cluster.store.fault = StoreFault.LOSES_ANSWERS
@@ -196,13 +196,13 @@
                 cluster.store.fault = StoreFault.NONE
             self.assertEqual(answers[0].status, 200)
             await cluster.wait_for_state(instance, JOB, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, instances=1)
 
-    def test_store_away_refuses_at_once(self):
-        # The store turns every call away. The client is told so at once, and when to
-        # come back; what was refused never runs.
+    def test_rejecting_store_refuses_submission_at_once(self):
+        # The store rejects all calls. The client must get an immediate refusal with a
+        # time to retry, and the refused job must never run.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             cluster.store.fault = StoreFault.BUSY
@@ -218,10 +218,10 @@
 
         run_cluster(scenario, instances=1)
 
-    def test_silent_store_is_not_called_a_refusal(self):
-        # A submission goes out and nothing comes back. It may have been carried out:
-        # neither 200 nor 503 would be true. Held until its deadline, the client could
-        # not ask another instance any more.
+    def test_unresponsive_store_is_not_reported_as_refusal(self):
+        # The store doesn't answer a submission, which may have taken effect, so neither
+        # 200 nor 503 would be correct. The answer must come before the client's
+        # deadline, so that it can still try another instance.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             cluster.store.fault = StoreFault.SILENT
@@ -243,14 +243,14 @@
             await trio.sleep(3.0)
             cluster.store.fault = StoreFault.NONE
             await cluster.wait_for_state(instance, JOB, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=400.0)
 
     def test_shard_has_an_owner_soon_after_an_outage(self):
-        # The store is away for longer than the owner may go on without it, and leases
-        # pause meanwhile. Once it is back, the key of the tenure that has ended keeps
-        # every instance from claiming the shard until its lease of 2 s has run out.
+        # The store is unavailable for longer than the owner's lease, and suspends
+        # leases meanwhile. Guards against a claim that is delayed after the outage
+        # until the previous lease of 2 s has expired.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             cluster.store.fault = StoreFault.BUSY
@@ -263,9 +263,9 @@
 
         run_cluster(scenario, instances=3)
 
-    def test_store_forgets_its_history(self):
-        # While a watch waits the store drops its history. A job accepted meanwhile
-        # must not be overlooked.
+    def test_store_compacts_its_history(self):
+        # The store compacts its history while a watch waits. A job accepted in the
+        # meantime must not be missed.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             cluster.store.forget_history()
@@ -275,9 +275,9 @@
 
         run_cluster(scenario)
 
-    def test_worker_carries_starts_out_late(self):
-        # A worker leaves starts unanswered and carries them out 0.6 s later, while the
-        # same start has been sent again.
+    def test_worker_executes_starts_late(self):
+        # Workers don't answer starts and execute them 0.6 s later, when the same starts
+        # have been sent again.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             for worker in cluster.workers.values():
@@ -289,13 +289,13 @@
             await cluster.wait_for_state(instance, JOB, "completed")
             await trio.sleep(0.8)
             self.assertEqual(len(cluster.list_runs()), 4)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=300.0)
 
-    def test_worker_is_cut_off_and_runs_on(self):
-        # A worker can't be reached, and its task runs on until the lease of 5 s ends.
-        # Only then may it be started elsewhere.
+    def test_unreachable_worker_keeps_running(self):
+        # A worker is unreachable, and its task runs until its lease of 5 s expires.
+        # Only then may the task be started elsewhere.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             await cluster.send(instance, "POST", PREFIX + JOB, build_body(1))
@@ -304,31 +304,31 @@
             lost.fault = WorkerFault.SILENT
             cluster.store.remove(f"servers/{lost.worker_id}")
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 2)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=60_000.0)
 
-    def test_done_task_of_a_silent_worker_is_not_started_again(self):
-        # A worker's answers don't reach the owner for 7 s, though the store lists it.
-        # Its task is done meanwhile, and its lease of 5 s runs out. Taken for one that
-        # was never finished, it was started again on the other worker.
+    def test_completed_task_of_unresponsive_worker_is_not_restarted(self):
+        # Guards against a second run of a completed task. A listed worker is
+        # unreachable for 7 s, longer than its lease of 5 s, and its task completes in
+        # that time.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             await cluster.send(instance, "POST", PREFIX + JOB, build_body(1))
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 1)
-            (silent,) = [w for w in cluster.workers.values() if w.records]
-            silent.fault = WorkerFault.SILENT
+            (unresponsive,) = [w for w in cluster.workers.values() if w.records]
+            unresponsive.fault = WorkerFault.SILENT
             await trio.sleep(7.0)
-            silent.fault = WorkerFault.NONE
+            unresponsive.fault = WorkerFault.NONE
             await cluster.wait_for_state(instance, JOB, "completed")
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
             self.assertEqual([run.how for run in cluster.list_runs()], ["done"])
 
         run_cluster(scenario, task_ms=1000.0)
 
-    def test_takeover_does_not_wait_for_an_entry_that_never_answered(self):
-        # The store lists a worker that never answers anybody. Named in the roster, it
-        # kept every later owner from starting what had been accepted before.
+    def test_takeover_does_not_wait_for_worker_that_never_answered(self):
+        # Guards against a listed worker that never answers. If it were in the roster,
+        # every later owner would wait for it before it starts previously accepted jobs.
         async def scenario(cluster: Cluster) -> None:
             ghost = await cluster.start_worker("ghost")
             ghost.fault = WorkerFault.SILENT
@@ -340,13 +340,13 @@
             with trio.fail_after(8.0):
                 await cluster.wait_for_state(other, JOB, "completed")
             self.assertEqual(len(cluster.list_runs()), 2)
-            self.assertEqual(cluster.find_doubles(), [])
+            self.assertEqual(cluster.find_duplicate_runs(), [])
 
         run_cluster(scenario, task_ms=500.0)
 
-    def test_roster_forgets_a_worker_that_left(self):
-        # Guards against a takeover that waits out the longest lease for a worker which
-        # had left long before: nothing else changed in the list after it.
+    def test_roster_drops_worker_that_left(self):
+        # Guards against a takeover that waits for the longest lease of a worker that
+        # left long before, because no later change of the list updated the roster.
         async def scenario(cluster: Cluster) -> None:
             roster = keys.roster_key(keys.SHARD)
 
@@ -362,23 +362,23 @@
 
         run_cluster(scenario, instances=1)
 
-    def test_silent_worker_is_known_to_the_owner_after_the_next(self):
-        # A worker with a task that is done is silent over two takeovers in a row. The
-        # first new owner wrote a roster of the workers that it had heard; the second
-        # one then didn't know of the silent worker, and started its task again.
+    def test_roster_keeps_unresponsive_worker_over_two_takeovers(self):
+        # Guards against a second run of a completed task whose worker is unreachable
+        # during two successive takeovers. If the first new owner removes the worker
+        # from the roster, the second one doesn't know of it.
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             await cluster.send(owner, "POST", PREFIX + JOB, build_body(1))
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 1)
-            (silent,) = [w for w in cluster.workers.values() if w.records]
-            silent.fault = WorkerFault.SILENT
+            (unresponsive,) = [w for w in cluster.workers.values() if w.records]
+            unresponsive.fault = WorkerFault.SILENT
             for _ in range(2):
                 owner.scope.cancel()
                 await owner.ended.wait()
                 owner = await cluster.wait_for_owner()
                 await cluster.start_worker(f"new-{owner.process.entry_port}")
                 await trio.sleep(1.0)
-            silent.fault = WorkerFault.NONE
+            unresponsive.fault = WorkerFault.NONE
             await cluster.wait_for_state(owner, JOB, "completed")
             self.assertEqual([run.how for run in cluster.list_runs()], ["done"])
 
--- a/trefoilhook/runtime/tests/test_program.py
+++ b/trefoilhook/runtime/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own: settings, signals, exit codes."""
+"""Tests of the program in a subprocess: settings, signals and exit codes."""
 
 import contextlib
 import json
@@ -23,14 +23,14 @@
 
 
 def build_settings(**fields) -> dict:
-    """Build a settings file whose store answers nobody."""
+    """Build a settings file with an unreachable store."""
     return platform_documents.build_settings(
         name="i0", port=0, readiness_port=0, store_port=1, **fields
     )
 
 
 class ProgramTest(unittest.TestCase):
-    """One process."""
+    """Start, reload and stop of a process."""
 
     def setUp(self) -> None:
         self._folder = tempfile.TemporaryDirectory()
@@ -56,8 +56,8 @@
         self.fail(f"no line {name}")
 
     def test_reload_and_graceful_stop(self):
-        # The platform sends SIGHUP after changing the settings. Unhandled, the signal
-        # ends the process, and with it every request in progress.
+        # The platform sends SIGHUP after changing the settings. An unhandled SIGHUP
+        # would end the process with all requests in progress.
         process = self._start()
         self._read_until(process, "STARTED")
         changed = build_settings(platform={"address": "127.0.0.1:2"})
@@ -69,16 +69,16 @@
         self.assertEqual(process.wait(timeout=_TIMEOUT_S), 0)
 
     def test_signal_before_the_settings_are_read(self):
-        # Settings change while an instance is being restarted, and SIGHUP reaches it
-        # before its handler is there: the instance ends, and is missing for the time of
-        # another restart. A pipe in place of the file holds the process at that point.
+        # Guards against a SIGHUP that ends a starting instance because its handler is
+        # not installed yet. A named pipe in place of the settings file blocks the
+        # process at that point.
         process = self._start_with_signal(signal.SIGHUP)
         self._read_until(process, "STARTED")
         self.assertIsNone(process.poll())
 
     def test_stop_before_the_settings_are_read(self):
-        # A rolling restart overtakes an instance that is only starting. Ended by the
-        # signal itself it would look crashed.
+        # Guards against a starting instance that appears to have crashed because
+        # SIGTERM ends it before its handler is installed.
         process = self._start_with_signal(signal.SIGTERM)
         self.assertEqual(process.wait(timeout=_TIMEOUT_S), 0)
 
@@ -87,16 +87,16 @@
         self.path.unlink()
         os.mkfifo(self.path)
         process = self._start()
-        # Opening the pipe waits until the process opens it to read its settings.
+        # Opening the pipe blocks until the process opens it to read its settings.
         with contextlib.suppress(BrokenPipeError), self.path.open("w") as pipe:
             process.send_signal(number)
-            fresh = self.path.with_suffix(".new")
-            fresh.write_text(settings, encoding="utf-8")
-            fresh.replace(self.path)
+            updated = self.path.with_suffix(".new")
+            updated.write_text(settings, encoding="utf-8")
+            updated.replace(self.path)
             pipe.write(settings)
         return process
 
-    def test_bad_settings_are_not_put_in_force(self):
+    def test_invalid_settings_are_not_applied(self):
         process = self._start()
         self._read_until(process, "STARTED")
         self.path.write_text("{", encoding="utf-8")
--- a/trefoilhook/runtime/tests/test_unfenced.py
+++ b/trefoilhook/runtime/tests/test_unfenced.py
@@ -1,7 +1,7 @@
-"""What holds an earlier owner's orders off where workers don't check fencing tokens.
+"""Tests of protection from a former owner's orders without checks of fencing tokens.
 
-An owner freezes, another takes over, and the first wakes up or an order of its comes
-late. Were tokens all that kept them apart, tasks would run twice on such workers.
+After a takeover, the former owner resumes, or one of its orders arrives late. Workers
+that don't check fencing tokens would run tasks twice without other protection.
 """
 
 import unittest
@@ -20,7 +20,8 @@
 _JOB = "00000000000000c1"
 _TASK = _JOB + ".0.0.0"
 _FREEZE_MS = 2200.0
-"""Longer than the lease of an owner, and short of what makes workers seem silent."""
+"""Longer than the owner's lease, but too short for workers to seem unresponsive, in
+ms."""
 
 
 async def _call(worker: PlatformWorker, name: str, **body) -> HttpResponse:
@@ -50,11 +51,11 @@
 
 
 class UnfencedTest(unittest.TestCase):
-    """Workers that take any token."""
+    """Workers that accept any token."""
 
-    def test_frozen_owner_orders_nothing_on_waking(self):
-        # Its machine freezes for longer than its lease. What waits on waking may have
-        # been started by another owner meanwhile, on workers that would start it again.
+    def test_frozen_owner_sends_no_orders_on_resuming(self):
+        # The owner's machine freezes for longer than its lease. Another owner may have
+        # started the tasks that are still queued when it resumes.
         frozen_ms = 0.0
 
         async def scenario(cluster: Cluster) -> None:
@@ -77,7 +78,7 @@
         run_cluster(scenario, instances=0, workers=0)
 
     def test_late_start_is_refused_by_its_deadline(self):
-        # A start is carried out seconds after it was sent, when it may run elsewhere.
+        # A start takes effect after its deadline, when the task may run elsewhere.
         async def scenario(cluster: Cluster) -> None:
             worker = await cluster.start_worker("w0", checks_token=False)
             answer = await _call(worker, "hold", fencing_token=2, acked=0)
@@ -88,8 +89,8 @@
 
         run_cluster(scenario, instances=0, workers=0)
 
-    def test_earlier_attempt_is_refused_where_a_later_one_ended(self):
-        # The next owner's attempt of the task has ended there before it comes.
+    def test_older_attempt_is_refused_after_end_of_newer_one(self):
+        # A start arrives after the next owner's attempt of the task has ended there.
         async def scenario(cluster: Cluster) -> None:
             worker = await cluster.start_worker("w0", checks_token=False)
             await _start(worker, 2_000_001, fencing_token=2)
--- a/trefoilhook/runtime/workerfeed.py
+++ b/trefoilhook/runtime/workerfeed.py
@@ -1,4 +1,4 @@
-"""The workers that the store lists, taken into the state of a shard's owner."""
+"""Applies the worker entries in the store to the scheduler of the shard's owner."""
 
 from collections.abc import Callable
 
@@ -21,22 +21,22 @@
 
 
 class WorkerFeed:
-    """Reads the entries of workers for one tenure.
+    """Reads worker entries during one ownership.
 
     Parameters
     ----------
     store : KeyValueStore
-        Where they are.
+        Store of the entries.
     clock : Clock
-        Where time comes from.
+        Time source.
     scheduler : Scheduler
-        Where they go.
+        Receives the workers.
     rejections : Rejections
-        Told of what can't be read.
+        Receives unreadable entries.
     read_configuration : callable
         Returns the configuration in force.
-    meet : callable
-        Called with the report of each worker that wasn't known.
+    on_new_worker : callable
+        Called with the report of each new worker.
     notify : callable
         Called after each change.
     """
@@ -49,7 +49,7 @@
         scheduler: Scheduler,
         rejections: Rejections,
         read_configuration: Callable[[], Configuration],
-        meet: Callable[[WorkerReport], None],
+        on_new_worker: Callable[[WorkerReport], None],
         notify: Callable[[], None],
     ) -> None:
         self._store = store
@@ -57,12 +57,12 @@
         self._scheduler = scheduler
         self._rejections = rejections
         self._read_configuration = read_configuration
-        self._meet = meet
+        self._on_new_worker = on_new_worker
         self._notify = notify
-        self._unnamed: dict[str, Item] = {}
+        self._unknown_service_items: dict[str, Item] = {}
 
     async def follow(self, listing: Listing) -> None:
-        """Take a listing in, and every change after it, for good."""
+        """Apply a listing and every change after it, until cancelled."""
         self._take_listing(listing)
         await follow(
             self._store,
@@ -78,15 +78,15 @@
     def _note_read(self) -> None:
         self._scheduler.entries.note_read(self._clock.monotonic_ms())
 
-    def take_unnamed(self) -> None:
-        """Look again at workers of services that the configuration didn't name."""
-        for item in list(self._unnamed.values()):
+    def retry_unknown_services(self) -> None:
+        """Reconsider workers whose service was missing from the configuration."""
+        for item in list(self._unknown_service_items.values()):
             self._take_worker(item)
         self._notify()
 
     def _take_listing(self, listing: Listing) -> None:
         listed = set()
-        self._unnamed.clear()
+        self._unknown_service_items.clear()
         for item in listing.items:
             listed.add(item.key.removeprefix(WORKER_PREFIX))
             self._take_worker(item)
@@ -101,18 +101,18 @@
         else:
             worker_id = change.key.removeprefix(WORKER_PREFIX)
             self._rejections.accept(Event.REPORT_INVALID, change.key)
-            self._unnamed.pop(change.key, None)
+            self._unknown_service_items.pop(change.key, None)
             if worker_id in self._scheduler.workers:
                 self._scheduler.unlist_worker(worker_id)
                 log_event(Event.WORKER_LOST, worker=worker_id, why="unlisted")
         self._notify()
 
     def _take_worker(self, item: Item) -> None:
-        self._unnamed.pop(item.key, None)
+        self._unknown_service_items.pop(item.key, None)
         try:
             report = decode_worker_report(item.key, item.value)
             if report.service not in self._read_configuration().services:
-                self._unnamed[item.key] = item
+                self._unknown_service_items[item.key] = item
                 raise DecodeError("service: not in the configuration")
         except DecodeError as error:
             self._rejections.report(
@@ -124,4 +124,4 @@
         is_new = report.worker_id not in self._scheduler.workers
         self._scheduler.update_worker(report)
         if is_new:
-            self._meet(report)
+            self._on_new_worker(report)
