--- a/trefoilhook/platform/settings.py
+++ b/trefoilhook/platform/settings.py
@@ -47,7 +47,7 @@
     shutdown_ms : float
         Time between SIGTERM and SIGKILL.
     max_task_lease_ms : float
-        Maximum lease of tasks on a worker; workers shorten longer leases to it.
+        Maximum lease of tasks on a worker; longer leases are shortened to it.
     longest_stop_ms : float
         Maximum time that a task takes to stop.
     status_ms : float
--- a/trefoilhook/runtime/tests/cluster.py
+++ b/trefoilhook/runtime/tests/cluster.py
@@ -147,9 +147,9 @@
 
     async def _replace_worker(self, worker_id: str) -> None:
         await self.clock.sleep_ms(self.restart_ms)
-        place, _, life = worker_id.partition("-")
+        base_id, _, restarts = worker_id.partition("-")
         port = self.workers[worker_id].server.port
-        await self.start_worker(f"{place}-{int(life or 0) + 1}", port=port)
+        await self.start_worker(f"{base_id}-{int(restarts or 0) + 1}", port=port)
         await self.clock.sleep_ms(_ENTRY_REMOVAL_DELAY_MS)
         self.store.remove(f"servers/{worker_id}")
 
--- a/trefoilhook/runtime/tests/test_lag.py
+++ b/trefoilhook/runtime/tests/test_lag.py
@@ -98,7 +98,7 @@
         async def exchange(client, method, path, *, timeout_ms, **fields):
             body = fields.get("body") or {}
             timeouts.append((path, timeout_ms - body.get("wait_ms", 0)))
-            return await plain(client, method, path, timeout_ms=timeout_ms, **fields)
+            return await original(client, method, path, timeout_ms=timeout_ms, **fields)
 
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
@@ -107,7 +107,7 @@
                 await cluster.send(owner, "POST", PREFIX + JOB, build_body())
                 await cluster.wait_for_state(owner, JOB, "completed")
 
-        plain = JsonClient.exchange
+        original = JsonClient.exchange
         run_cluster(scenario, instances=1)
         logged = {path: ms for path, ms in timeouts if "kv-" not in path}
         self.assertEqual(set(logged.values()), {1200.0})
@@ -142,7 +142,7 @@
             in_flight.append(order)
             counts.append(len(in_flight))
             try:
-                return await plain(order, *args, **fields)
+                return await original(order, *args, **fields)
             finally:
                 in_flight.remove(order)
 
@@ -153,7 +153,7 @@
             await cluster.send(owner, "POST", PREFIX + JOB, body)
             await cluster.wait_for_state(owner, JOB, "completed")
 
-        plain = shard.execute_order
+        original = shard.execute_order
         with mock.patch.object(shard, "execute_order", count):
             run_cluster(scenario, instances=1)
         self.assertLessEqual(max(counts), 64)
--- a/trefoilhook/runtime/tests/test_process.py
+++ b/trefoilhook/runtime/tests/test_process.py
@@ -330,8 +330,8 @@
         # Guards against a listed worker that never answers. If it were in the roster,
         # every later owner would wait for it before it starts previously accepted jobs.
         async def scenario(cluster: Cluster) -> None:
-            ghost = await cluster.start_worker("ghost")
-            ghost.fault = WorkerFault.SILENT
+            unresponsive = await cluster.start_worker("ghost")
+            unresponsive.fault = WorkerFault.SILENT
             owner = await cluster.wait_for_owner()
             (other,) = [i for i in cluster.instances if i is not owner]
             await cluster.send(other, "POST", PREFIX + JOB, build_body(1, 1))
