--- a/trefoilhook/jobs/__init__.py
+++ b/trefoilhook/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""The life of a job: accepted, placed, run once in one place, ended."""
+"""Job lifecycle: acceptance, placement, execution on one worker, and completion."""
 
 from trefoilhook.jobs.book import JobBook
 from trefoilhook.jobs.core import Attempt, Job, JobSpec, JobState
--- a/trefoilhook/jobs/book.py
+++ b/trefoilhook/jobs/book.py
@@ -1,7 +1,8 @@
-"""The jobs of one worker shard, as their owner knows them.
+"""In-memory state of the jobs of one worker shard.
 
-Pure state: it takes in what operators, workers and the journal say, and leaves orders
-for workers and records for the journal to be fetched. The shard's task owns it.
+Performs no I/O: inputs are operator requests, worker updates and journal records;
+outputs are orders to workers and records for the journal, which the caller fetches.
+Accessed only by the task that runs the shard.
 """
 
 from collections import deque
@@ -33,22 +34,22 @@
 
 @attrs.define(kw_only=True)
 class JobBook:
-    """Jobs, attempts and what is to be told and recorded about them.
+    """Jobs and attempts of a shard, with pending orders and journal records.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the shard's claim, in front of each attempt's number.
+        Epoch of the shard's claim, used as the epoch of new attempts.
     placement : ShardState
-        Workers and reservations.
+        Workers and their reservations.
     jobs : dict of str to Job
-        Jobs by id, ended ones included for as long as the journal keeps them.
+        Jobs by id, including the most recent ended ones.
     workers : dict of str to WorkerAddress
-        Workers that may hold tasks of the shard, as the journal says.
+        Workers that may run tasks of the shard, according to the journal.
     kept_ended : int
-        Ended jobs that are remembered.
+        Maximum number of ended jobs kept in memory.
     starts, evictions : int
-        Starts and evictions ordered since the claim.
+        Number of starts and evictions ordered since the claim.
     """
 
     epoch: int
@@ -61,15 +62,15 @@
     _sequence: int = 0
     _outbox: Outbox = attrs.field(factory=Outbox)
     _ended: deque[str] = attrs.field(factory=deque)
-    # Jobs by the worker of their active attempt: after a takeover every worker asks for
-    # its own, which over all jobs would grow with the square of the shard.
-    _placed: dict[str, dict[str, None]] = attrs.field(factory=dict)
+    # Index of jobs by the worker of their active attempt. After a takeover the jobs of
+    # every worker are looked up; scanning all jobs each time would be quadratic.
+    _active_by_worker: dict[str, dict[str, None]] = attrs.field(factory=dict)
 
     def restore(self, records: Iterable[JobRecord]) -> None:
-        """Take over what the journal holds.
+        """Restore the state from the records of the journal.
 
-        Jobs that have not ended are held: a former owner may have started them, and
-        the workers have not been asked yet.
+        Jobs that have not ended are held, because a previous owner may have started
+        them and the workers have not been queried yet.
         """
         for record in records:
             replay_record(record, jobs=self.jobs, workers=self.workers)
@@ -78,11 +79,11 @@
         )
 
     def accept(self, spec: JobSpec) -> None:
-        """Queue a job whose acceptance has been committed."""
+        """Queue a job whose acceptance record has been committed."""
         self.jobs.setdefault(spec.job_id, Job(spec=spec, state=JobState.QUEUED))
 
     def cancel(self, job_id: str, now_ms: float, wall_ms: float) -> None:
-        """Stop a job, or end it when it isn't running."""
+        """Cancel a job: stop its active attempt, or end it if it is queued."""
         job = self.jobs.get(job_id)
         if job is None or job.state is JobState.ENDED or job.is_cancelled:
             return
@@ -96,20 +97,21 @@
             self._outbox.record(JobRecord(kind=RecordKind.CANCELLED, job_id=job_id))
 
     def number_attempt(self, job: Job, worker_id: str) -> TaskRef:
-        """Give a number to a new attempt of a job at a worker."""
+        """Create a new attempt of a job on a worker."""
         self._sequence += 1
         job.attempt = Attempt(epoch=self.epoch, sequence=self._sequence)
-        self._note_place(job, worker_id)
+        self._assign_worker(job, worker_id)
         job.state = JobState.STARTING
         return TaskRef(worker_id=worker_id, job_id=job.spec.job_id, attempt=job.attempt)
 
     def start(self, job: Job, worker_id: str, wall_ms: float) -> None:
-        """Order a job's next attempt; its resources are reserved already.
+        """Order the next attempt of a job, whose resources are already reserved.
 
-        An idempotent job is started at once: should the owner die, the next one finds
-        the attempt at the worker or waits out the worker's lease. Any other job is
-        started once the journal says so, else a later owner could not tell a job that
-        never started from one whose worker is gone.
+        An idempotent job is started immediately: if the owner fails, its successor
+        finds the attempt on the worker or waits until the worker's lease has lapsed.
+        Any other job is started only after its start record is committed; otherwise a
+        later owner could not tell a job that was never started from one whose worker
+        was lost.
         """
         ref = self.number_attempt(job, worker_id)
         self.starts += 1
@@ -130,77 +132,80 @@
         self._outbox.record(record, order)
 
     def order_eviction(self, job: Job) -> None:
-        """Order a running attempt to checkpoint and leave its worker."""
+        """Order a running attempt to write a checkpoint and stop."""
         if job.attempt is None:
             return
         job.state = JobState.STOPPING
         self.evictions += 1
-        self._outbox.order(OrderKind.EVICT, self._name_attempt(job))
+        self._outbox.order(OrderKind.EVICT, self._build_ref(job))
 
-    def order_speed(self, job: Job, speed: float) -> None:
-        """Order a running attempt to run at a part of its full speed."""
-        ref = self._name_attempt(job)
+    def order_throttle(self, job: Job, speed: float) -> None:
+        """Order a running attempt to run at a fraction of its full speed."""
+        ref = self._build_ref(job)
         order = Order(kind=OrderKind.THROTTLE, ref=ref, speed=speed)
         self._outbox.send(order)
 
     def apply_inventory(
         self,
         worker_id: str,
-        news: Iterable[TaskNews],
+        updates: Iterable[TaskNews],
         *,
         now_ms: float,
         wall_ms: float,
     ) -> None:
-        """Take in everything that a worker holds, after its lease was taken.
+        """Apply the complete task list of a worker, after acquiring its lease.
 
-        An attempt that the worker does not name never started there or went with a
-        restart of the worker. Commands still on their way are fenced by the new lease,
-        so it will not start later either.
+        An attempt missing from the list either never started on the worker or was lost
+        in a restart of the worker. Commands still in flight are fenced by the new
+        lease, so the attempt cannot start later either.
         """
-        named = list(news)
-        for item in named:
+        received = list(updates)
+        for item in received:
             self.apply_news(item, now_ms=now_ms, wall_ms=wall_ms)
-        present = {item.ref.job_id for item in named}
-        for job in self._list_active(worker_id):
+        present = {item.ref.job_id for item in received}
+        for job in self._list_active_jobs(worker_id):
             if job.spec.job_id not in present:
-                self._lose(job, now_ms=now_ms, wall_ms=wall_ms)
+                self._handle_lost(job, now_ms=now_ms, wall_ms=wall_ms)
 
-    def apply_news(self, news: TaskNews, *, now_ms: float, wall_ms: float) -> None:
-        """Take in what a worker says of one attempt.
+    def apply_news(self, update: TaskNews, *, now_ms: float, wall_ms: float) -> None:
+        """Apply the state of one attempt as reported by its worker.
 
-        A worker repeats its news until they are acknowledged, which waits for the
-        journal; in between they have been taken in already.
+        A worker repeats an update until it is acknowledged, which happens only after
+        the journal commit. Repetitions received in between are ignored.
         """
-        if self._outbox.is_unrecorded(news.ref):
+        if self._outbox.is_uncommitted(update.ref):
             return
-        job = self.jobs.get(news.ref.job_id)
+        job = self.jobs.get(update.ref.job_id)
         if job is None or job.state is JobState.ENDED:
-            self._dismiss(news)
+            self._discard_attempt(update)
             return
-        if news.status is TaskStatus.FINISHED:
-            self._finish(job, news, now_ms=now_ms, wall_ms=wall_ms)
+        if update.status is TaskStatus.FINISHED:
+            self._finish(job, update, now_ms=now_ms, wall_ms=wall_ms)
             return
-        if job.attempt is not None and news.ref.attempt < job.attempt:
-            self._dismiss(news)
+        if job.attempt is not None and update.ref.attempt < job.attempt:
+            self._discard_attempt(update)
             return
-        if news.status is TaskStatus.RUNNING:
-            self._adopt(job, news.ref, now_ms)
+        if update.status is TaskStatus.RUNNING:
+            self._adopt_attempt(job, update.ref, now_ms)
             return
-        self._leave(job, news, now_ms=now_ms, wall_ms=wall_ms)
+        self._handle_stopped(job, update, now_ms=now_ms, wall_ms=wall_ms)
 
     def lose_worker(self, worker_id: str, *, now_ms: float, wall_ms: float) -> None:
-        """Give up on a worker whose leases have surely lapsed: its tasks stopped."""
-        for job in self._list_active(worker_id):
-            self._lose(job, now_ms=now_ms, wall_ms=wall_ms)
+        """Handle the loss of a worker whose leases have all lapsed.
+
+        Its tasks have stopped by then.
+        """
+        for job in self._list_active_jobs(worker_id):
+            self._handle_lost(job, now_ms=now_ms, wall_ms=wall_ms)
 
     def release_held(self, wall_ms: float) -> None:
-        """Free jobs that no worker named, once none can be running them."""
+        """Requeue held jobs that no worker reported, once none can be running them."""
         for job in list(self.jobs.values()):
             if job.state is JobState.HELD:
                 self._requeue(job, wall_ms)
 
-    def note_worker(self, address: WorkerAddress) -> None:
-        """Record a worker before its first start, so that a later owner asks it."""
+    def add_worker(self, address: WorkerAddress) -> None:
+        """Record a worker before its first start, so that a later owner queries it."""
         self.workers[address.worker_id] = address
         record = JobRecord(
             kind=RecordKind.WORKER_ADDED,
@@ -211,8 +216,8 @@
         )
         self._outbox.record(record)
 
-    def forget_worker(self, worker_id: str) -> None:
-        """Record that a worker is gone and nothing runs on it."""
+    def remove_worker(self, worker_id: str) -> None:
+        """Record the removal of a worker on which no task is running."""
         self.workers.pop(worker_id, None)
         record = JobRecord(
             kind=RecordKind.WORKER_REMOVED, job_id="", worker_id=worker_id
@@ -220,29 +225,29 @@
         self._outbox.record(record)
 
     def release_unstarted(self) -> None:
-        """Free at once the held jobs that are proved never to have been started."""
+        """Queue held jobs that have provably never been started."""
         for job in self.jobs.values():
             is_unstarted = not job.spec.is_idempotent and not job.is_start_recorded
             if job.state is JobState.HELD and is_unstarted:
                 job.state = JobState.QUEUED
 
     def refuse(self, job: Job, code: ResultCode, detail: str, wall_ms: float) -> None:
-        """End a queued job that can never run."""
+        """End a queued job that no worker can ever run."""
         self._end(job, code, wall_ms, detail=detail)
 
     def take_orders(self) -> dict[str, list[Order]]:
-        """Fetch the orders to be sent, by worker."""
+        """Return and clear the pending orders, by worker."""
         return self._outbox.take_orders()
 
     def take_commits(self) -> tuple[Commit, ...]:
-        """Fetch the records to be committed."""
+        """Return and clear the pending commits."""
         return self._outbox.take_commits()
 
     def confirm(self, commits: Iterable[Commit]) -> None:
-        """Release what waited for records that are now committed.
+        """Release the orders that were waiting for records that are now committed.
 
-        Ended jobs are remembered up to a bound, the latest the longest: an owner that
-        stays for months would else keep every job that it ever ran.
+        Only the most recent ended jobs are kept. Otherwise the memory of an owner that
+        holds a shard for months would grow with every job it has run.
         """
         committed = tuple(commits)
         self._outbox.confirm(committed)
@@ -254,22 +259,22 @@
         while len(self._ended) > self.kept_ended:
             self.jobs.pop(self._ended.popleft(), None)
 
-    def _dismiss(self, news: TaskNews) -> None:
-        """Stop an attempt that nobody waits for, or let its worker forget it."""
-        is_running = news.status is TaskStatus.RUNNING
+    def _discard_attempt(self, update: TaskNews) -> None:
+        """Stop an obsolete attempt, or acknowledge it if it has already ended."""
+        is_running = update.status is TaskStatus.RUNNING
         kind = OrderKind.STOP if is_running else OrderKind.ACKNOWLEDGE
-        self._outbox.order(kind, news.ref)
+        self._outbox.order(kind, update.ref)
 
-    def _adopt(self, job: Job, ref: TaskRef, now_ms: float) -> None:
-        """Take a running attempt as the job's present one."""
+    def _adopt_attempt(self, job: Job, ref: TaskRef, now_ms: float) -> None:
+        """Adopt a running attempt as the current attempt of its job."""
         if job.attempt is not None and ref.attempt > job.attempt and job.is_active:
-            # Two workers run the job, which only an owner that was fenced too late can
-            # have caused; the higher attempt stays.
-            self._outbox.order(OrderKind.STOP, self._name_attempt(job))
-            self._free(job, now_ms, StopOutcome.LOST)
+            # Two workers run the job, which can only be caused by an owner that was
+            # fenced too late. The attempt with the higher number is kept.
+            self._outbox.order(OrderKind.STOP, self._build_ref(job))
+            self._release_resources(job, now_ms, StopOutcome.LOST)
         is_new = not job.is_active
         job.attempt = ref.attempt
-        self._note_place(job, ref.worker_id)
+        self._assign_worker(job, ref.worker_id)
         if job.state is not JobState.STOPPING:
             job.state = JobState.RUNNING
         if is_new and ref.job_id not in self.placement.tasks:
@@ -280,76 +285,76 @@
             self._stop(job, now_ms)
 
     def _finish(
-        self, job: Job, news: TaskNews, *, now_ms: float, wall_ms: float
+        self, job: Job, update: TaskNews, *, now_ms: float, wall_ms: float
     ) -> None:
         """End a job with the result of any of its attempts.
 
-        A worker that was cut off may come back with a result after its job was started
-        anew elsewhere. The work is done, so the later attempt is stopped.
+        A worker that was partitioned may reconnect with a result after the job was
+        restarted on another worker. The later attempt is then redundant and stopped.
         """
-        is_elsewhere = job.is_active and job.attempt != news.ref.attempt
+        is_elsewhere = job.is_active and job.attempt != update.ref.attempt
         if is_elsewhere:
-            self._outbox.order(OrderKind.STOP, self._name_attempt(job))
-        self._free(job, now_ms, StopOutcome.FINISHED)
-        self._end(job, ResultCode.OK, wall_ms, result=news.result, news=news)
+            self._outbox.order(OrderKind.STOP, self._build_ref(job))
+        self._release_resources(job, now_ms, StopOutcome.FINISHED)
+        self._end(job, ResultCode.OK, wall_ms, result=update.result, update=update)
 
-    def _leave(
-        self, job: Job, news: TaskNews, *, now_ms: float, wall_ms: float
+    def _handle_stopped(
+        self, job: Job, update: TaskNews, *, now_ms: float, wall_ms: float
     ) -> None:
-        """Take in that an attempt no longer runs and did not finish."""
+        """Handle an attempt that stopped running without finishing."""
         outcomes = {
             TaskStatus.FAILED: StopOutcome.FAILED,
             TaskStatus.EVICTED: StopOutcome.EVICTED,
             TaskStatus.STOPPED: StopOutcome.LOST,
             TaskStatus.REFUSED: StopOutcome.CANCELLED,
         }
-        self._free(job, now_ms, outcomes[news.status])
-        job.attempt = news.ref.attempt
-        if news.status is TaskStatus.REFUSED:
+        self._release_resources(job, now_ms, outcomes[update.status])
+        job.attempt = update.ref.attempt
+        if update.status is TaskStatus.REFUSED:
             job.is_start_recorded = False
             self._requeue(job, wall_ms)
         elif job.is_cancelled:
-            self._end_cancelled(job, wall_ms, news=news)
-        elif news.status is TaskStatus.EVICTED:
-            self._keep_checkpoint(job, news, wall_ms)
+            self._end_cancelled(job, wall_ms, update=update)
+        elif update.status is TaskStatus.EVICTED:
+            self._requeue_evicted(job, update, wall_ms)
         elif job.spec.is_idempotent:
-            self._outbox.order(OrderKind.ACKNOWLEDGE, news.ref)
+            self._outbox.order(OrderKind.ACKNOWLEDGE, update.ref)
             job.state = JobState.QUEUED
-        elif news.status is TaskStatus.FAILED:
+        elif update.status is TaskStatus.FAILED:
             self._end(
                 job,
                 ResultCode.BACKEND_FAILED,
                 wall_ms,
                 detail=_FAILED_DETAIL,
-                news=news,
+                update=update,
             )
         else:
-            self._end(job, ResultCode.OUTCOME_UNKNOWN, wall_ms, news=news)
+            self._end(job, ResultCode.OUTCOME_UNKNOWN, wall_ms, update=update)
 
-    def _keep_checkpoint(self, job: Job, news: TaskNews, wall_ms: float) -> None:
-        """Queue an evicted job to resume, and record where from.
+    def _requeue_evicted(self, job: Job, update: TaskNews, wall_ms: float) -> None:
+        """Requeue an evicted job and record the checkpoint to resume from.
 
-        The next attempt does not wait for the record: until it is acknowledged the
-        worker keeps the checkpoint, so a later owner finds it there.
+        The next attempt need not wait for the commit: the worker keeps the checkpoint
+        until it is acknowledged, so a later owner can still retrieve it.
         """
-        job.checkpoint = news.checkpoint
+        job.checkpoint = update.checkpoint
         job.state = JobState.QUEUED
         job.is_start_recorded = False
         record = JobRecord(
             kind=RecordKind.EVICTED,
             job_id=job.spec.job_id,
-            attempt=news.ref.attempt,
-            checkpoint=news.checkpoint,
+            attempt=update.ref.attempt,
+            checkpoint=update.checkpoint,
             at_ms=wall_ms,
         )
-        self._outbox.record_and_acknowledge(record, news)
+        self._outbox.record_and_acknowledge(record, update)
 
-    def _lose(self, job: Job, *, now_ms: float, wall_ms: float) -> None:
-        self._free(job, now_ms, StopOutcome.LOST)
+    def _handle_lost(self, job: Job, *, now_ms: float, wall_ms: float) -> None:
+        self._release_resources(job, now_ms, StopOutcome.LOST)
         self._requeue(job, wall_ms)
 
     def _requeue(self, job: Job, wall_ms: float) -> None:
-        """Queue a job that runs nowhere, unless running it again could repeat it."""
+        """Requeue a job that is not running, unless it might be executed twice."""
         if job.is_cancelled:
             self._end_cancelled(job, wall_ms)
         elif job.spec.is_idempotent or not job.is_start_recorded:
@@ -359,29 +364,31 @@
 
     def _stop(self, job: Job, now_ms: float) -> None:
         job.state = JobState.STOPPING
-        ref = self._name_attempt(job)
+        ref = self._build_ref(job)
         if ref.job_id in self.placement.tasks:
             self.placement.begin_stop(ref.job_id)
         self._outbox.order(OrderKind.STOP, ref)
 
-    def _note_place(self, job: Job, worker_id: str) -> None:
+    def _assign_worker(self, job: Job, worker_id: str) -> None:
         job.worker_id = worker_id
-        self._placed.setdefault(worker_id, {})[job.spec.job_id] = None
-
-    def _list_active(self, worker_id: str) -> list[Job]:
-        """Return the jobs whose active attempt is at a worker."""
-        return [self.jobs[job_id] for job_id in self._placed.get(worker_id, ())]
-
-    def _free(self, job: Job, now_ms: float, outcome: StopOutcome) -> None:
-        placed = self._placed.get(job.worker_id)
-        if placed is not None:
-            placed.pop(job.spec.job_id, None)
-            if not placed:
-                del self._placed[job.worker_id]
+        self._active_by_worker.setdefault(worker_id, {})[job.spec.job_id] = None
+
+    def _list_active_jobs(self, worker_id: str) -> list[Job]:
+        """Return the jobs whose active attempt is on a worker."""
+        return [
+            self.jobs[job_id] for job_id in self._active_by_worker.get(worker_id, ())
+        ]
+
+    def _release_resources(self, job: Job, now_ms: float, outcome: StopOutcome) -> None:
+        active = self._active_by_worker.get(job.worker_id)
+        if active is not None:
+            active.pop(job.spec.job_id, None)
+            if not active:
+                del self._active_by_worker[job.worker_id]
         if job.spec.job_id in self.placement.tasks:
             self.placement.confirm_stopped(job.spec.job_id, now_ms, outcome)
 
-    def _name_attempt(self, job: Job) -> TaskRef:
+    def _build_ref(self, job: Job) -> TaskRef:
         if job.attempt is None:
             raise ValueError(f"job {job.spec.job_id} has no attempt")
         return TaskRef(
@@ -389,11 +396,11 @@
         )
 
     def _end_cancelled(
-        self, job: Job, wall_ms: float, *, news: TaskNews | None = None
+        self, job: Job, wall_ms: float, *, update: TaskNews | None = None
     ) -> None:
         was_started = job.attempt is not None
         code = ResultCode.CANCELLED if was_started else ResultCode.CANCELLED_UNSTARTED
-        self._end(job, code, wall_ms, news=news)
+        self._end(job, code, wall_ms, update=update)
 
     def _end(
         self,
@@ -403,7 +410,7 @@
         *,
         detail: str = "",
         result: str = "",
-        news: TaskNews | None = None,
+        update: TaskNews | None = None,
     ) -> None:
         job.state = JobState.ENDED
         job.result_number = code.number
@@ -419,7 +426,7 @@
             result=result,
             at_ms=wall_ms,
         )
-        if news is None:
+        if update is None:
             self._outbox.record(record)
         else:
-            self._outbox.record_and_acknowledge(record, news)
+            self._outbox.record_and_acknowledge(record, update)
--- a/trefoilhook/jobs/bounds.py
+++ b/trefoilhook/jobs/bounds.py
@@ -1,40 +1,40 @@
-"""How much of what a worker tells is kept."""
+"""Size limits for results and checkpoints reported by workers."""
 
 import attrs
 
 from trefoilhook.jobs.messages import TaskNews, TaskStatus
 
-__all__ = ["MAX_KEPT_CHARACTERS", "bound_news"]
+__all__ = ["MAX_STORED_CHARACTERS", "limit_update_size"]
 
-# Twelve bytes a character at worst, as the journal encodes them: below the megabyte
-# that the store holds in a value, with room for the records beside it.
-MAX_KEPT_CHARACTERS = 65_536
+# The journal encodes a character in at most 12 bytes. The limit keeps a page below the
+# store's maximum value size of 1 MB, with room for the other records of the page.
+MAX_STORED_CHARACTERS = 65_536
 
-_CUT_MARK = " [cut]"
-_REFUSED_CHECKPOINT = "the checkpoint is too large to keep"
+_TRUNCATION_MARK = " [cut]"
+_CHECKPOINT_TOO_LARGE = "the checkpoint is too large to keep"
 
 
-def bound_news(news: TaskNews) -> TaskNews:
-    """Return news that the journal can hold.
+def limit_update_size(update: TaskNews) -> TaskNews:
+    """Return an update that is small enough for the journal.
 
-    Guards against one job that stops a whole shard: a result or checkpoint larger than
-    a value of the store can never be recorded, and since the worker keeps it until it
-    is, every later owner would fail on it as well. A long result is cut and says so. A
-    checkpoint is worth nothing in part, so its attempt counts as failed.
+    A result or checkpoint larger than the maximum value size of the store could never
+    be recorded. Since the worker keeps it until it is acknowledged, it would block the
+    whole shard, also under every later owner. A long result is truncated and marked as
+    such. A partial checkpoint is useless, so its attempt counts as failed.
 
     Parameters
     ----------
-    news : TaskNews
-        What the worker said.
+    update : TaskNews
+        Update received from the worker.
     """
-    if len(news.checkpoint) > MAX_KEPT_CHARACTERS:
+    if len(update.checkpoint) > MAX_STORED_CHARACTERS:
         return attrs.evolve(
-            news,
+            update,
             status=TaskStatus.FAILED,
             checkpoint="",
-            result=_REFUSED_CHECKPOINT,
+            result=_CHECKPOINT_TOO_LARGE,
         )
-    if len(news.result) > MAX_KEPT_CHARACTERS:
-        kept = MAX_KEPT_CHARACTERS - len(_CUT_MARK)
-        return attrs.evolve(news, result=news.result[:kept] + _CUT_MARK)
-    return news
+    if len(update.result) > MAX_STORED_CHARACTERS:
+        kept = MAX_STORED_CHARACTERS - len(_TRUNCATION_MARK)
+        return attrs.evolve(update, result=update.result[:kept] + _TRUNCATION_MARK)
+    return update
--- a/trefoilhook/jobs/commits.py
+++ b/trefoilhook/jobs/commits.py
@@ -1,4 +1,4 @@
-"""The task that records what a shard accepts and learns."""
+"""Task that batches the records of a shard and commits them to the journal."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,16 +18,16 @@
 from trefoilhook.jobs.messages import Commit, JobRecord, RecordKind
 from trefoilhook.results import ResultCode
 
-__all__ = ["RETRY_MS", "Committer"]
+__all__ = ["STORE_RETRY_MS", "Committer"]
 
-RETRY_MS = 200.0
+STORE_RETRY_MS = 200.0
 
 OnCommitted = Callable[[Sequence[JobSpec], Sequence[Commit]], None]
 
 
 @attrs.define(kw_only=True, eq=False)
-class _Acceptance:
-    """A submitted job that waits for its commit."""
+class _PendingAcceptance:
+    """A submitted job waiting for the commit of its acceptance record."""
 
     spec: JobSpec
     done: trio.Event = attrs.field(factory=trio.Event)
@@ -35,18 +35,18 @@
 
 
 class Committer:
-    """Writes to a shard's journal, many records at a time.
+    """Writes the records of a shard to its journal in batches.
 
     Parameters
     ----------
     journal : JobJournal
-        The journal.
+        Journal of the shard.
     clock : Clock
-        Time.
+        Clock.
     window_ms : float
-        Least time between the beginnings of two writes, in ms.
+        Minimum interval between the starts of two writes, in ms.
     on_committed : callable
-        Told the jobs that are now accepted and the commits that are now durable.
+        Called with the accepted jobs and the commits that are now durable.
     """
 
     def __init__(
@@ -61,9 +61,9 @@
         self._clock = clock
         self._window_ms = window_ms
         self._on_committed = on_committed
-        self._acceptances: list[_Acceptance] = []
+        self._acceptances: list[_PendingAcceptance] = []
         self._commits: list[Commit] = []
-        self._wanted = trio.Event()
+        self._work_available = trio.Event()
 
     async def accept(self, spec: JobSpec) -> None:
         """Record a job; returns once it is durable.
@@ -71,53 +71,53 @@
         Raises
         ------
         FencedError
-            If a later owner has the shard; the job was not recorded.
+            If a later owner holds the shard; the job was not recorded.
         StoreError
-            If it could not be recorded; the code tells whether that is sure.
+            If the write failed; the result code tells whether the job may be recorded.
         """
-        acceptance = _Acceptance(spec=spec)
+        acceptance = _PendingAcceptance(spec=spec)
         self._acceptances.append(acceptance)
-        self._wanted.set()
+        self._work_available.set()
         await acceptance.done.wait()
         if acceptance.error is not None:
             raise acceptance.error
 
     def add(self, commits: Sequence[Commit]) -> None:
-        """Take commits in, to be written with the next append."""
+        """Queue commits to be written with the next append."""
         if commits:
             self._commits.extend(commits)
-            self._wanted.set()
+            self._work_available.set()
 
     async def run(self) -> None:
-        """Write what waits, all of it in one append, then what came meanwhile.
+        """Write all pending records in one append, repeatedly.
 
-        A window passes between the beginnings of two writes, so a lone record is
-        written at once and a shard never writes more often than the window allows.
+        Writes start at least one window apart, so an isolated record is written
+        immediately and the write rate of a shard is bounded.
 
         Raises
         ------
         FencedError
-            If a later owner has the shard.
+            If a later owner holds the shard.
         """
         next_ms = self._clock.monotonic_ms()
         while True:
-            await self._wanted.wait()
+            await self._work_available.wait()
             await self._clock.sleep_ms(max(0.0, next_ms - self._clock.monotonic_ms()))
             next_ms = self._clock.monotonic_ms() + self._window_ms
-            self._wanted = trio.Event()
+            self._work_available = trio.Event()
             acceptances, self._acceptances = self._acceptances, []
             commits, self._commits = self._commits, []
             if acceptances or commits:
                 await self._commit(acceptances, commits)
 
     async def _commit(
-        self, acceptances: list[_Acceptance], commits: list[Commit]
+        self, acceptances: list[_PendingAcceptance], commits: list[Commit]
     ) -> None:
-        """Append until it is done; only acceptances are given up, when surely unsaid.
+        """Append until it succeeds; only acceptances that were not written are dropped.
 
-        While the outcome of an append is not known the same records are appended again:
-        the journal takes a record once. A caller whose job may be recorded is told so
-        at once, and the job runs when it turns out to be.
+        While the outcome of an append is unknown, the same records are appended again,
+        which is safe because the journal ignores duplicates. A caller whose job may be
+        recorded is notified immediately, and the job runs if it was recorded.
         """
         while True:
             records = [_record_acceptance(a.spec) for a in acceptances]
@@ -127,35 +127,39 @@
                     await self._journal.append(records)
                 break
             except FencedError as error:
-                self._refuse(acceptances, error)
+                self._fail_acceptances(acceptances, error)
                 raise
             except (StoreRateError, StoreUnavailableError) as error:
-                acceptances = self._judge_failure(acceptances, error)
-            await self._clock.sleep_ms(RETRY_MS)
+                acceptances = self._handle_append_failure(acceptances, error)
+            await self._clock.sleep_ms(STORE_RETRY_MS)
         self._on_committed([a.spec for a in acceptances], commits)
         for acceptance in acceptances:
             acceptance.done.set()
 
-    def _judge_failure(
-        self, acceptances: list[_Acceptance], error: StoreError
-    ) -> list[_Acceptance]:
-        """Return the acceptances to append again."""
+    def _handle_append_failure(
+        self, acceptances: list[_PendingAcceptance], error: StoreError
+    ) -> list[_PendingAcceptance]:
+        """Report a failed append to the callers; return the acceptances to retry."""
         is_unsent = isinstance(error, StoreRateError) or getattr(
             error, "is_proved_unsent", False
         )
         if is_unsent:
-            self._refuse([a for a in acceptances if not a.done.is_set()], error)
+            self._fail_acceptances(
+                [a for a in acceptances if not a.done.is_set()], error
+            )
             return [a for a in acceptances if a.error is not error]
         for acceptance in acceptances:
             if not acceptance.done.is_set():
                 acceptance.error = StoreUnavailableError(
-                    "the store didn't say whether the job is recorded",
+                    "the store did not confirm whether the job was recorded",
                     code=ResultCode.COMMIT_UNKNOWN,
                 )
                 acceptance.done.set()
         return acceptances
 
-    def _refuse(self, acceptances: list[_Acceptance], error: TrefoilhookError) -> None:
+    def _fail_acceptances(
+        self, acceptances: list[_PendingAcceptance], error: TrefoilhookError
+    ) -> None:
         for acceptance in acceptances:
             acceptance.error = error
             acceptance.done.set()
--- a/trefoilhook/jobs/core.py
+++ b/trefoilhook/jobs/core.py
@@ -1,4 +1,4 @@
-"""What a job is and the states it goes through."""
+"""Job specifications, attempts and job states."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class JobState(enum.Enum):
-    """Where a job stands."""
+    """Lifecycle state of a job."""
 
     HELD = "held"
     QUEUED = "queued"
@@ -23,17 +23,17 @@
 
 @attrs.frozen(kw_only=True, order=True)
 class Attempt:
-    """Number of one try at running a job.
+    """Identifier of one attempt to run a job.
 
-    The owner's epoch stands in front, so that each owner numbers its attempts alone,
-    without the store, and every attempt of a later owner is larger.
+    Ordered by the owner's epoch first. Each owner therefore numbers its attempts
+    without access to the store, and every attempt of a later owner compares greater.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the owner that started it.
+        Epoch of the owner that started the attempt.
     sequence : int
-        Count within the epoch.
+        Sequence number within the epoch.
     """
 
     epoch: int
@@ -42,32 +42,32 @@
 
 @attrs.frozen(kw_only=True)
 class JobSpec:
-    """What an operator asked for.
+    """Specification of a job, as submitted by an operator.
 
     Parameters
     ----------
     job_id : str
-        Identity, chosen by the operator or by the instance that took the request.
+        Unique id, chosen by the operator or by the instance that accepted the request.
     team : str
         Team that the job belongs to.
     name : str
-        Name for people.
+        Human-readable name.
     kind : TaskKind
-        Batch job, long-lived watcher or service.
+        Batch job, long-running watcher or service.
     is_urgent : bool
-        Starts ahead of others, also when the workers are full.
+        Whether the job takes precedence over others and may preempt running tasks.
     is_idempotent : bool
-        May be run again when it isn't known whether an attempt ran to its end.
+        Whether the job may be run again when the outcome of an attempt is unknown.
     resources : Resources
-        Declared size.
+        Declared resource requirements.
     declared_run_ms : int
         Declared run time, in ms.
     payload : str
-        What the worker is handed.
+        Payload passed to the worker.
     task_class : str
-        Class whose usage and slowdowns are learned together.
+        Class whose resource usage and slowdowns are estimated jointly.
     submitted_ms : float
-        When it was accepted, in ms since the Unix epoch.
+        Time of acceptance, in ms since the Unix epoch.
     """
 
     job_id: str
@@ -84,12 +84,12 @@
 
     @classmethod
     def from_message(cls, message: JobSubmit, *, submitted_ms: float) -> "JobSpec":
-        """Read a submitted job.
+        """Build a specification from a submission message.
 
         Raises
         ------
         ValueError
-            If the kind is none of the known ones.
+            If the kind is unknown.
         """
         return cls(
             job_id=message.job_id,
@@ -110,7 +110,7 @@
         )
 
     def build_shape(self) -> TaskShape:
-        """Return what placement needs to know of the job."""
+        """Return the task shape that is passed to placement."""
         return TaskShape(
             task_id=self.job_id,
             team=self.team,
@@ -124,33 +124,33 @@
 
 @attrs.define(kw_only=True)
 class Job:
-    """One job as its owner knows it.
+    """State of one job, as known to the owner of its shard.
 
     Parameters
     ----------
     spec : JobSpec
-        What was asked for.
+        Specification of the job.
     state : JobState
-        Where it stands.
+        Lifecycle state.
     attempt : Attempt or None
-        Latest attempt.
+        Most recent attempt.
     worker_id : str
-        Worker of the latest attempt.
+        Worker of the most recent attempt.
     checkpoint : str
-        Where the next attempt resumes from; empty for the beginning.
+        Checkpoint from which the next attempt resumes; empty to start from scratch.
     is_cancelled : bool
-        An operator wants it stopped.
+        Whether an operator has cancelled the job.
     is_start_recorded : bool
-        The journal says that a start was about to be sent; kept only for jobs that are
-        not idempotent.
+        Whether the journal contains a start record. Only written for jobs that are not
+        idempotent.
     result_number : int
-        Number of the result code, once ended.
+        Number of the result code, once the job has ended.
     detail : str
-        Reason, once ended without success.
+        Reason for the failure, once the job has ended without success.
     result : str
-        What the worker returned.
+        Result returned by the worker.
     ended_ms : float
-        When it ended, in ms since the Unix epoch; 0 before.
+        End time, in ms since the Unix epoch; 0 while the job has not ended.
     """
 
     spec: JobSpec
@@ -167,5 +167,5 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether an attempt may be running."""
+        """Whether an attempt may be running on a worker."""
         return self.state in (JobState.STARTING, JobState.RUNNING, JobState.STOPPING)
--- a/trefoilhook/jobs/journal.py
+++ b/trefoilhook/jobs/journal.py
@@ -1,4 +1,4 @@
-"""What a shard needs of its journal."""
+"""Interface of the journal, as required by the shard runner."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,10 +9,10 @@
 
 
 class JobJournal(Protocol):
-    """The durable records of one worker shard, written by its owner alone."""
+    """Durable records of one worker shard, written only by its owner."""
 
     async def load(self) -> Sequence[JobRecord]:
-        """Fence out former writers and return every record, oldest first.
+        """Fence previous writers and return all records, oldest first.
 
         Raises
         ------
@@ -23,14 +23,14 @@
         """
 
     async def append(self, records: Sequence[JobRecord]) -> None:
-        """Commit records together; returns once they are durable.
+        """Commit records; returns once they are durable.
 
         Raises
         ------
         FencedError
             If a later owner has written; these records were not committed.
         StoreUnsentError, StoreRateError
-            If they were surely not committed.
+            If the records were certainly not committed.
         StoreUnavailableError
-            If that is not known; they may be appended again.
+            If the outcome is unknown; the records may be appended again.
         """
--- a/trefoilhook/jobs/listing.py
+++ b/trefoilhook/jobs/listing.py
@@ -1,4 +1,4 @@
-"""The listed workers, split by the shard that each belongs to."""
+"""Partitioning of the listed workers by shard."""
 
 from collections.abc import Sequence
 
@@ -13,19 +13,19 @@
 
 @attrs.define(kw_only=True)
 class WorkerSplit:
-    """Remembers how the latest listing splits.
+    """Partitions the worker list by shard and caches the latest partition.
 
     Parameters
     ----------
     shards : ShardSettings
-        Numbers of shards.
+        Numbers of request and worker shards.
 
     Notes
     -----
-    Guards against a step of a shard that takes longer than the pause between two: each
-    step asks for the shard's workers, and hashing the rack of every worker that is
-    listed takes tens of milliseconds with some ten thousands. The list is read anew
-    once a second and stays the same object in between, so it is split once.
+    Every step of a shard needs the workers of the shard. Hashing the rack of every
+    listed worker takes tens of milliseconds for tens of thousands of workers, longer
+    than the pause between two steps. The list is refreshed once per second and remains
+    the same object in between, so it is partitioned once per refresh.
     """
 
     shards: ShardSettings
@@ -35,7 +35,7 @@
     def select(
         self, listed: Sequence[WorkerRecord], shard_id: str
     ) -> tuple[WorkerRecord, ...]:
-        """Return the listed workers of one shard, in the order of the list."""
+        """Return the listed workers of a shard, in list order."""
         if listed is not self._listed:
             self._listed, self._by_shard = listed, self._split(listed)
         return self._by_shard.get(shard_id, ())
--- a/trefoilhook/jobs/messages.py
+++ b/trefoilhook/jobs/messages.py
@@ -1,4 +1,4 @@
-"""What workers tell of tasks, what they are told, and what must be recorded."""
+"""Task updates from workers, orders to workers, and journal records."""
 
 import enum
 
@@ -21,16 +21,16 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerAddress:
-    """Where a worker is reached.
+    """Network address of a worker.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     host : str
-        Its address, an IP number.
+        IP address.
     port : int
-        Its port.
+        TCP port.
     """
 
     worker_id: str
@@ -39,7 +39,7 @@
 
 
 class TaskStatus(enum.Enum):
-    """State of a task at its worker; a refused one was never started."""
+    """State of a task on its worker; a refused task was never started."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -51,16 +51,16 @@
 
 @attrs.frozen(kw_only=True)
 class TaskRef:
-    """One attempt at one worker.
+    """Reference to one attempt on one worker.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     job_id : str
-        The job.
+        Id of the job.
     attempt : Attempt
-        The attempt.
+        Attempt of the job.
     """
 
     worker_id: str
@@ -70,18 +70,18 @@
 
 @attrs.frozen(kw_only=True)
 class TaskNews:
-    """What a worker says of one attempt.
+    """State of one attempt as reported by its worker.
 
     Parameters
     ----------
     ref : TaskRef
-        The attempt.
+        Reference to the attempt.
     status : TaskStatus
-        Its state.
+        State of the task.
     checkpoint : str
-        Where it can resume from, once evicted.
+        Checkpoint to resume from, once evicted.
     result : str
-        What it returned, once finished or failed.
+        Result, once finished or failed.
     """
 
     ref: TaskRef
@@ -91,7 +91,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What a worker can be told."""
+    """Kind of an order to a worker."""
 
     START = "start"
     STOP = "stop"
@@ -102,20 +102,20 @@
 
 @attrs.frozen(kw_only=True)
 class Order:
-    """One command to a worker.
+    """Command to be sent to a worker.
 
     Parameters
     ----------
     kind : OrderKind
-        What to do.
+        Kind of the order.
     ref : TaskRef
-        The attempt it is about.
+        Attempt that the order applies to.
     spec : JobSpec or None
-        The job to start.
+        Job to start, for start orders.
     checkpoint : str
-        Where to resume from; empty for the beginning.
+        Checkpoint to resume from; empty to start from scratch.
     speed : float
-        Part of full speed to run at, from 0 to 1, when throttling.
+        Fraction of full speed to run at, from 0 to 1, for throttle orders.
     """
 
     kind: OrderKind
@@ -126,7 +126,7 @@
 
 
 class RecordKind(enum.Enum):
-    """Changes that must outlast the shard's owner."""
+    """Kind of a state change that must survive the loss of the shard's owner."""
 
     ACCEPTED = "accepted"
     STARTING = "starting"
@@ -139,32 +139,32 @@
 
 @attrs.frozen(kw_only=True)
 class JobRecord:
-    """One recorded change.
+    """Journal record of one state change.
 
     Parameters
     ----------
     kind : RecordKind
-        Which change.
+        Kind of the change.
     job_id : str
-        The job; empty when the change is about a worker.
+        Id of the job; empty if the change concerns a worker.
     spec : JobSpec or None
-        What was asked for, when accepted.
+        Specification of the job, when accepted.
     attempt : Attempt or None
-        The attempt, when starting or evicted.
+        Attempt of the job, when starting or evicted.
     worker_id : str
-        Its worker, when starting; the worker added or removed.
+        Worker of the attempt, when starting; otherwise the worker added or removed.
     host, port : str, int
         Address of the worker added.
     checkpoint : str
-        Where the next attempt resumes from, when evicted.
+        Checkpoint from which the next attempt resumes, when evicted.
     result_number : int
         Number of the result code, when ended.
     detail : str
-        Reason, when ended without success.
+        Reason for the failure, when ended without success.
     result : str
-        What the worker returned, when ended.
+        Result returned by the worker, when ended.
     at_ms : float
-        When it happened, in ms since the Unix epoch.
+        Time of the change, in ms since the Unix epoch.
     """
 
     kind: RecordKind
@@ -183,16 +183,16 @@
 
 @attrs.frozen(kw_only=True)
 class Commit:
-    """A record to be committed, and what may be sent only once it is.
+    """Record to be committed, with the orders that depend on its commit.
 
     Parameters
     ----------
     record : JobRecord
-        The record.
+        Record to commit.
     orders : tuple of Order
-        Commands that wait for the commit. A result is acknowledged only then, since
-        the worker forgets it on the acknowledgement; an attempt that must not be
-        repeated is started only then, since a later owner must know of it.
+        Orders that are sent only after the commit: acknowledgements of results, since
+        the worker discards an acknowledged result, and starts of jobs that are not
+        idempotent, since a later owner must know of them.
     """
 
     record: JobRecord
--- a/trefoilhook/jobs/pace.py
+++ b/trefoilhook/jobs/pace.py
@@ -1,55 +1,59 @@
-"""How often the waiting jobs of a shard are looked at."""
+"""Rate limiting of the placement passes of a shard."""
 
 import math
 
 import attrs
 
-__all__ = ["PlacementPace"]
+__all__ = ["PlacementTimer"]
 
-_ROUNDING_MS = 0.01
+_CLOCK_ROUNDING_MS = 0.01
 
 
 @attrs.define(kw_only=True)
-class PlacementPace:
-    """When to look at the waiting jobs again.
+class PlacementTimer:
+    """Schedules placement passes over the waiting jobs.
 
     Parameters
     ----------
-    least_ms : float
-        Least time between two looks, in ms.
-    most_ms : float
-        Most time between two looks, in ms: the passing of time alone changes the order
-        of the queue, and reports change where there is room.
+    min_interval_ms : float
+        Minimum interval between two passes, in ms.
+    max_interval_ms : float
+        Maximum interval between two passes, in ms. Passes are needed without a request
+        because the queue order depends on waiting time, and usage reports change the
+        estimates of free capacity.
 
     Notes
     -----
-    Guards against a core kept busy by workers that only renew: a look takes time with
-    all jobs of the shard, and there is a step for each worker's renewal. It would show
-    as slow requests on an instance that owns a large shard, idle or not. What can make
-    room or add a job asks for a look; all that comes within ``least_ms`` shares one.
+    The cost of a pass grows with the number of jobs in the shard, and every lease
+    renewal of a worker triggers a step. A pass in each step would occupy a CPU core and
+    slow down requests on an instance that owns a large shard, even an idle one.
+    Therefore only events that free capacity or add jobs request a pass, and requests
+    within ``min_interval_ms`` share one.
     """
 
-    least_ms: float
-    most_ms: float
-    _is_wanted: bool = True
-    _looked_ms: float = -math.inf
+    min_interval_ms: float
+    max_interval_ms: float
+    _is_requested: bool = True
+    _last_pass_ms: float = -math.inf
 
-    def want(self) -> None:
-        """Ask for a look: a job came, or room may have."""
-        self._is_wanted = True
+    def request_pass(self) -> None:
+        """Request a pass because a job was added or capacity may have been freed."""
+        self._is_requested = True
 
-    def take(self, now_ms: float) -> bool:
-        """Tell whether to look now, and count it as done if so."""
+    def start_if_due(self, now_ms: float) -> bool:
+        """Return whether a pass is due, and mark it as started if so."""
         is_due = self.compute_wait_ms(now_ms) <= 0.0
         if is_due:
-            self._is_wanted = False
-            self._looked_ms = now_ms
+            self._is_requested = False
+            self._last_pass_ms = now_ms
         return is_due
 
     def compute_wait_ms(self, now_ms: float) -> float:
-        """Return how long to wait for the next look that is due, in ms."""
-        pause_ms = self.least_ms if self._is_wanted else self.most_ms
-        wait_ms = self._looked_ms + pause_ms - now_ms
-        # A wait lost in the rounding of the clock would end before the look is due, and
-        # the shard's task would go round without a pause.
-        return wait_ms if wait_ms > _ROUNDING_MS else 0.0
+        """Return the time until the next pass is due, in ms."""
+        interval_ms = (
+            self.min_interval_ms if self._is_requested else self.max_interval_ms
+        )
+        wait_ms = self._last_pass_ms + interval_ms - now_ms
+        # A wait shorter than the rounding of the clock could end before the pass is
+        # due, and the shard's task would busy-loop.
+        return wait_ms if wait_ms > _CLOCK_ROUNDING_MS else 0.0
--- a/trefoilhook/jobs/planner.py
+++ b/trefoilhook/jobs/planner.py
@@ -1,4 +1,4 @@
-"""From the decisions of placement to orders, for one shard."""
+"""Translation of placement decisions into orders for one shard."""
 
 import numpy as np
 
@@ -25,10 +25,10 @@
 )
 from trefoilhook.results import ResultCode
 
-__all__ = ["explain_job", "find_refusal", "place_waiting", "react_to_reports"]
+__all__ = ["explain_job", "find_impossible_reason", "place_waiting", "react_to_reports"]
 
 
-def find_refusal(
+def find_impossible_reason(
     book: JobBook,
     spec: JobSpec,
     *,
@@ -36,9 +36,10 @@
     generator: np.random.Generator,
     policy: Policy,
 ) -> str:
-    """Say why a job can never run on the shard's workers; empty if it can.
+    """Return why a job can never run on the workers of the shard; empty if it can.
 
-    While no worker is known nothing is refused: they may only not have been heard yet.
+    No job is refused while no worker is known, since the workers may not have
+    responded yet.
     """
     if not book.placement.workers:
         return ""
@@ -61,24 +62,24 @@
     find_quota: FindQuota,
     limit: int,
 ) -> None:
-    """Start the waiting jobs that fit now, in the order of the queue.
+    """Start the waiting jobs that fit now, in queue order.
 
     Parameters
     ----------
     book : JobBook
-        The shard's jobs.
+        Jobs of the shard.
     now_ms : float
-        Monotonic time, in ms.
+        Current monotonic time, in ms.
     wall_ms : float
-        Time since the Unix epoch, in ms.
+        Current time since the Unix epoch, in ms.
     generator : numpy.random.Generator
-        Draws the workers that are looked at.
+        Random generator for sampling candidate workers.
     policy : Policy
-        Weights and thresholds.
+        Placement weights and thresholds.
     find_quota : callable
-        Most that a team may hold in this shard, or None.
+        Returns the quota of a team in this shard, or None for no limit.
     limit : int
-        Most jobs to look at.
+        Maximum number of jobs to consider.
     """
     waiting = [
         WaitingTask(shape=job.spec.build_shape(), queued_at_ms=job.spec.submitted_ms)
@@ -125,11 +126,11 @@
 
 
 def react_to_reports(book: JobBook, now_ms: float, policy: Policy) -> None:
-    """Throttle, evict or move what slows services, as the reports say."""
+    """Throttle, evict or move tasks that slow down services, per usage reports."""
     for reaction in decide_reactions(book.placement, now_ms, policy):
         if _is_possible(book, reaction):
             apply_reaction(book.placement, reaction, now_ms, policy)
-            _order_reaction(book, reaction)
+            _send_reaction(book, reaction)
 
 
 def _is_possible(book: JobBook, reaction: Reaction) -> bool:
@@ -139,14 +140,14 @@
     return task is not None and task.phase is TaskPhase.RUNNING
 
 
-def _order_reaction(book: JobBook, reaction: Reaction) -> None:
+def _send_reaction(book: JobBook, reaction: Reaction) -> None:
     if reaction.kind is ReactionKind.QUARANTINE:
         log_event(Event.WORKER_QUARANTINED, worker=reaction.worker_id)
     if reaction.task_id is None:
         return
     job = book.jobs[reaction.task_id]
     if reaction.kind in (ReactionKind.THROTTLE, ReactionKind.UNTHROTTLE):
-        book.order_speed(job, reaction.speed)
+        book.order_throttle(job, reaction.speed)
     else:
         book.order_eviction(job)
         log_event(Event.JOB_EVICTED, job=reaction.task_id)
@@ -160,7 +161,7 @@
     policy: Policy,
     find_quota: FindQuota,
 ) -> str:
-    """Say in words why a job waits, or where it was placed and against what."""
+    """Describe why a job is waiting, or how its worker was chosen."""
     if job.state is JobState.ENDED:
         return f"ended: {job.detail or 'see its result'}"
     shape = job.spec.build_shape()
--- a/trefoilhook/jobs/quotas.py
+++ b/trefoilhook/jobs/quotas.py
@@ -1,4 +1,4 @@
-"""What a team's tasks may hold together."""
+"""Resource quotas of teams within a shard."""
 
 from collections.abc import Callable
 
@@ -13,43 +13,43 @@
 
 @attrs.define(kw_only=True)
 class TeamUsage:
-    """What the teams hold in one shard, counted once a step.
+    """Resources in use by each team in a shard, computed once per placement pass.
 
-    Tasks that were told to stop count until they are proved stopped.
+    Tasks that are being stopped are counted until they are known to have stopped.
     """
 
     _held: dict[str, Resources] = attrs.field(factory=dict)
 
     @classmethod
     def count(cls, placement: ShardState) -> "TeamUsage":
-        """Count what every team's tasks hold now."""
+        """Compute the current usage of all teams."""
         usage = cls()
         for task in placement.tasks.values():
             usage.add(task.shape)
         return usage
 
     def add(self, shape: TaskShape) -> None:
-        """Count one more task."""
+        """Add the resources of one task."""
         self._held[shape.team] = self.get(shape.team).plus(shape.resources)
 
     def get(self, team: str) -> Resources:
-        """Return what a team holds."""
+        """Return the resources in use by a team."""
         return self._held.get(team, ZERO)
 
 
 def is_within_quota(
     usage: TeamUsage, shape: TaskShape, quota: Resources | None
 ) -> bool:
-    """Tell whether a team may hold one more task.
+    """Return whether a team may start one more task.
 
     Parameters
     ----------
     usage : TeamUsage
-        What the teams hold.
+        Current usage of the teams.
     shape : TaskShape
-        The task that wants to start.
+        Task to be started.
     quota : Resources or None
-        Most that the team may hold in this shard; None for no limit.
+        Quota of the team in this shard; None for no limit.
     """
     if quota is None:
         return True
@@ -57,7 +57,7 @@
 
 
 def split_quota(quota: Resources, shards: int) -> Resources:
-    """Return one shard's part of a quota; the parts never add up to more."""
+    """Return the share of a quota per shard; the shares never exceed the quota."""
     return Resources(
         cores=quota.cores / shards,
         memory_bytes=quota.memory_bytes // shards,
--- a/trefoilhook/jobs/replay.py
+++ b/trefoilhook/jobs/replay.py
@@ -1,4 +1,4 @@
-"""From the journal's records back to jobs and workers."""
+"""Reconstruction of jobs and workers from journal records."""
 
 from trefoilhook.jobs.core import Job, JobState
 from trefoilhook.jobs.messages import JobRecord, RecordKind, WorkerAddress
@@ -12,17 +12,17 @@
     jobs: dict[str, Job],
     workers: dict[str, WorkerAddress],
 ) -> None:
-    """Apply one record; to be called with each in the journal's order.
+    """Apply one record; must be called for all records in journal order.
 
-    Jobs that have not ended are held: a former owner may have started them, and the
-    workers have not been asked yet.
+    Jobs that have not ended are held, because a previous owner may have started them
+    and the workers have not been queried yet.
 
     Parameters
     ----------
     record : JobRecord
-        The record.
+        Record to apply.
     jobs, workers : dict
-        Changed in place.
+        Jobs and workers by id, modified in place.
     """
     if record.kind is RecordKind.WORKER_ADDED:
         workers[record.worker_id] = WorkerAddress(
--- a/trefoilhook/jobs/reports.py
+++ b/trefoilhook/jobs/reports.py
@@ -1,4 +1,4 @@
-"""From a worker's measurements to what placement learns from."""
+"""Conversion of workers' usage reports to the types used by placement."""
 
 from trefoilhook import placement, workers
 
@@ -8,14 +8,15 @@
 def read_report(
     worker_id: str, report: workers.UsageReport, now_ms: float
 ) -> placement.UsageReport:
-    """Return a worker's report with its time on the owner's clock.
+    """Convert a worker's usage report, with its time on the owner's clock.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     report : workers.UsageReport
-        What it told; it gives the age of its measurement, since its clock is its own.
+        Report to convert. It states the age of the measurement, because the clocks of
+        worker and owner are not synchronised.
     now_ms : float
         Monotonic time of arrival, in ms.
     """
--- a/trefoilhook/jobs/runner.py
+++ b/trefoilhook/jobs/runner.py
@@ -1,4 +1,4 @@
-"""The task that owns one worker shard: its jobs, its workers and its journal."""
+"""Task that runs one worker shard: its jobs, workers and journal."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeVar
@@ -14,7 +14,7 @@
 )
 from trefoilhook.instances import InstanceState, WorkerRecord
 from trefoilhook.jobs.book import JobBook
-from trefoilhook.jobs.commits import RETRY_MS, Committer
+from trefoilhook.jobs.commits import STORE_RETRY_MS, Committer
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
 from trefoilhook.jobs.messages import (
@@ -22,20 +22,20 @@
     RecordKind,
     WorkerAddress,
 )
-from trefoilhook.jobs.pace import PlacementPace
+from trefoilhook.jobs.pace import PlacementTimer
 from trefoilhook.jobs.planner import (
     explain_job,
-    find_refusal,
+    find_impossible_reason,
     place_waiting,
     react_to_reports,
 )
 from trefoilhook.jobs.quotas import FindQuota
 from trefoilhook.jobs.reports import read_report
 from trefoilhook.jobs.sessions import (
-    InventoryTaken,
-    NewsHeard,
+    InventoryReceived,
     SessionEvent,
-    WorkerLapsed,
+    UpdatesReceived,
+    WorkerLeaseLapsed,
     WorkerSession,
 )
 from trefoilhook.jobs.settings import JobSettings
@@ -50,7 +50,7 @@
 __all__ = ["ShardRunner"]
 
 _T = TypeVar("_T")
-_EVENTS_BUFFERED = 1_000
+_EVENT_BUFFER_SIZE = 1_000
 
 OpenWorker = Callable[[WorkerAddress], WorkerClient]
 
@@ -61,29 +61,29 @@
     Parameters
     ----------
     shard_id : str
-        The shard.
+        Id of the shard.
     epoch : int
-        Epoch of the claim.
+        Epoch of the shard's claim.
     owner_id : str
-        This instance.
+        Id of this instance.
     may_act : callable
-        Whether this instance may act for the shard at this moment.
+        Returns whether this instance may currently act for the shard.
     journal : JobJournal
-        The shard's journal.
+        Journal of the shard.
     list_workers : callable
-        Workers of the shard as the instance list shows them.
+        Returns the workers of the shard in the instance list.
     open_worker : callable
-        Opens the adapter to a worker.
+        Opens a client for a worker.
     policy : callable
-        Policy of the decisions now.
+        Returns the current placement policy.
     find_quota : callable
-        Most that a team may hold in this shard, or None.
+        Returns the quota of a team in this shard, or None for no limit.
     clock : Clock
-        Time.
+        Clock.
     settings : JobSettings
-        Times and bounds.
+        Timeouts, intervals and limits.
     seed : int
-        Seed of the draws that decisions make.
+        Seed of the random generator used for placement.
     """
 
     def __init__(
@@ -115,21 +115,21 @@
         self._settings = settings
         self._generator = np.random.default_rng(seed)
         self._sessions: dict[str, WorkerSession] = {}
-        self._unheard: set[str] = set()
+        self._unreported: set[str] = set()
         self._committer = Committer(
             journal=journal,
             clock=clock,
             window_ms=settings.commit_window_ms,
-            on_committed=self._take_committed,
+            on_committed=self._handle_committed,
         )
-        self._work_wanted = trio.Event()
-        self._reacted_ms = -settings.react_interval_ms
-        self._pace = PlacementPace(
-            least_ms=settings.least_pause_ms, most_ms=settings.tick_ms
+        self._work_requested = trio.Event()
+        self._last_reaction_ms = -settings.react_interval_ms
+        self._placement_timer = PlacementTimer(
+            min_interval_ms=settings.least_pause_ms, max_interval_ms=settings.tick_ms
         )
         self._is_recovered = False
         self._nursery: trio.Nursery | None = None
-        sender, receiver = trio.open_memory_channel[SessionEvent](_EVENTS_BUFFERED)
+        sender, receiver = trio.open_memory_channel[SessionEvent](_EVENT_BUFFER_SIZE)
         self._events_in = sender
         self._events = receiver
         self.book = JobBook(epoch=epoch, kept_ended=settings.kept_ended)
@@ -144,21 +144,21 @@
                 for address in self.book.workers.values():
                     self._open_session(address)
                 nursery.start_soon(self._committer.run)
-                await self._keep_working()
+                await self._run_steps()
         except* FencedError:
             log_event(Event.SHARD_FENCED, shard=self._shard_id, epoch=self._epoch)
 
     async def submit(self, spec: JobSpec) -> Job:
-        """Record a job durably; the same id again returns the job recorded first.
+        """Record a job durably; a repeated id returns the job recorded first.
 
         Raises
         ------
         RequestError
-            If no worker could ever hold it.
+            If no worker could ever run the job.
         StoreError
-            If it could not be recorded; the code tells whether that is sure.
+            If the write failed; the result code tells whether the job may be recorded.
         """
-        known = self._find_known(spec)
+        known = self._find_existing(spec)
         if known is not None:
             return known
         self._refuse_impossible(spec)
@@ -166,7 +166,7 @@
         return self.book.jobs[spec.job_id]
 
     def cancel(self, job_ids: Sequence[str]) -> None:
-        """Cancel jobs; those that run are told to stop, in one message a worker."""
+        """Cancel jobs; the stop orders are sent in one message per worker."""
         now_ms = self._clock.monotonic_ms()
         wall_ms = self._clock.wall_ms()
         for job_id in job_ids:
@@ -174,10 +174,10 @@
         self._wake()
 
     def explain(self, job: Job) -> str:
-        """Say why a job waits, or where it was placed and against what."""
+        """Describe why a job is waiting, or how its worker was chosen."""
         if not self._is_recovered and job.state is JobState.HELD:
-            silent = ", ".join(sorted(self._unheard))
-            return f"held: it may run on a worker that has not been heard: {silent}"
+            unreported = ", ".join(sorted(self._unreported))
+            return f"held: it may run on a worker that has not been heard: {unreported}"
         return explain_job(
             self.book,
             job,
@@ -188,7 +188,7 @@
         )
 
     def _refuse_impossible(self, spec: JobSpec) -> None:
-        reason = find_refusal(
+        reason = find_impossible_reason(
             self.book,
             spec,
             now_ms=self._clock.monotonic_ms(),
@@ -198,7 +198,7 @@
         if reason:
             raise RequestError(reason, code=ResultCode.IMPOSSIBLE_JOB)
 
-    def _find_known(self, spec: JobSpec) -> Job | None:
+    def _find_existing(self, spec: JobSpec) -> Job | None:
         if not self.is_loaded:
             message = "the shard is being recovered"
             raise RequestError(message, code=ResultCode.NO_OWNER)
@@ -213,46 +213,46 @@
                 raise
             except StoreError as error:
                 log_event(Event.STORE_DOWN, reason=str(error))
-                await self._clock.sleep_ms(RETRY_MS)
+                await self._clock.sleep_ms(STORE_RETRY_MS)
         self.book.restore(records)
         self.book.release_unstarted()
-        self._unheard = set(self.book.workers)
+        self._unreported = set(self.book.workers)
         self.is_loaded = True
 
-    async def _keep_working(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
-            wait_ms = self._pace.compute_wait_ms(self._clock.monotonic_ms())
+            wait_ms = self._placement_timer.compute_wait_ms(self._clock.monotonic_ms())
             with trio.move_on_after(min(wait_ms, self._settings.tick_ms) / 1000.0):
                 await self._wait_for_work()
             if self._may_act():
                 self._step()
             else:
-                # Guards against a core kept busy for a whole outage: what is wanted
-                # stays wanted until the right to act is back, so the wait above
-                # returns at once.
+                # Pending work stays pending while the instance may not act, so the wait
+                # above returns immediately. Without this sleep the task would busy-loop
+                # for the duration of a store outage.
                 await self._clock.sleep_ms(self._settings.tick_ms)
 
     async def _wait_for_work(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._wait_for_event, nursery.cancel_scope)
-            await self._work_wanted.wait()
+            await self._work_requested.wait()
             nursery.cancel_scope.cancel()
 
     async def _wait_for_event(self, scope: trio.CancelScope) -> None:
-        self._take_event(await self._events.receive())
+        self._handle_event(await self._events.receive())
         scope.cancel()
 
     def _step(self) -> None:
-        """Do once everything that the shard's state calls for."""
-        self._work_wanted = trio.Event()
+        """Process events, place jobs, and send the resulting orders and records."""
+        self._work_requested = trio.Event()
         self._drain_events()
-        self._follow_workers()
+        self._sync_workers()
         self._recover()
         now_ms = self._clock.monotonic_ms()
-        if self._pace.take(now_ms):
+        if self._placement_timer.start_if_due(now_ms):
             self._place(now_ms)
-        if now_ms - self._reacted_ms >= self._settings.react_interval_ms:
-            self._reacted_ms = now_ms
+        if now_ms - self._last_reaction_ms >= self._settings.react_interval_ms:
+            self._last_reaction_ms = now_ms
             react_to_reports(self.book, now_ms, self._policy())
         self._send_orders()
         self._committer.add(self.book.take_commits())
@@ -274,29 +274,31 @@
                 event = self._events.receive_nowait()
             except trio.WouldBlock:
                 return
-            self._take_event(event)
+            self._handle_event(event)
 
-    def _take_event(self, event: SessionEvent) -> None:
+    def _handle_event(self, event: SessionEvent) -> None:
         now_ms, wall_ms = self._clock.monotonic_ms(), self._clock.wall_ms()
-        if not isinstance(event, NewsHeard) or event.news:
-            self._pace.want()
-        if isinstance(event, WorkerLapsed):
+        if not isinstance(event, UpdatesReceived) or event.updates:
+            self._placement_timer.request_pass()
+        if isinstance(event, WorkerLeaseLapsed):
             self.book.lose_worker(event.worker_id, now_ms=now_ms, wall_ms=wall_ms)
             self._withdraw(event.worker_id)
-            self._forget_if_gone(event.worker_id)
-            self._unheard.discard(event.worker_id)
-        elif isinstance(event, InventoryTaken):
-            self._admit(event)
+            self._remove_if_unlisted(event.worker_id)
+            self._unreported.discard(event.worker_id)
+        elif isinstance(event, InventoryReceived):
+            self._add_worker(event)
             self.book.apply_inventory(
-                event.worker_id, event.news, now_ms=now_ms, wall_ms=wall_ms
+                event.worker_id, event.updates, now_ms=now_ms, wall_ms=wall_ms
             )
-            self._unheard.discard(event.worker_id)
-            self._close_to_starts(event.worker_id)
+            self._unreported.discard(event.worker_id)
+            self._withdraw_if_leaving(event.worker_id)
         else:
-            self._hear(event, now_ms, wall_ms)
+            self._apply_updates(event, now_ms, wall_ms)
 
-    def _hear(self, event: NewsHeard, now_ms: float, wall_ms: float) -> None:
-        for item in event.news:
+    def _apply_updates(
+        self, event: UpdatesReceived, now_ms: float, wall_ms: float
+    ) -> None:
+        for item in event.updates:
             self.book.apply_news(item, now_ms=now_ms, wall_ms=wall_ms)
         report = event.report
         if report is None:
@@ -305,8 +307,8 @@
             read_report(event.worker_id, report, now_ms), now_ms
         )
 
-    def _admit(self, event: InventoryTaken) -> None:
-        """Bring a worker into use, at the capacity that it states itself."""
+    def _add_worker(self, event: InventoryReceived) -> None:
+        """Make a worker available for placement, with the capacity that it reports."""
         record = self._find_record(event.worker_id)
         shape = WorkerShape(
             worker_id=event.worker_id,
@@ -318,8 +320,8 @@
         if known is None or known.withdrawn:
             self.book.placement.add_worker(shape)
 
-    def _close_to_starts(self, worker_id: str) -> None:
-        """Place nothing more on a worker that leaves or is no longer listed."""
+    def _withdraw_if_leaving(self, worker_id: str) -> None:
+        """Exclude a worker from placement if it is leaving or no longer listed."""
         record = self._find_record(worker_id)
         if record is None or record.state is InstanceState.LEAVING:
             self._withdraw(worker_id)
@@ -329,16 +331,17 @@
         if known is not None and not known.withdrawn:
             self.book.placement.remove_worker(worker_id)
 
-    def _forget_if_gone(self, worker_id: str) -> None:
+    def _remove_if_unlisted(self, worker_id: str) -> None:
         if self._find_record(worker_id) is None:
-            self.book.forget_worker(worker_id)
+            self.book.remove_worker(worker_id)
             self._sessions.pop(worker_id).scope.cancel()
 
-    def _follow_workers(self) -> None:
-        """Open sessions to new workers and place nothing more on leaving ones.
+    def _sync_workers(self) -> None:
+        """Record newly listed workers and exclude leaving ones from placement.
 
-        A worker is recorded before the first start on it: a later owner, whose list
-        may lag behind this one's, asks every worker that could hold a task.
+        A worker is recorded before the first start on it, so that a later owner, whose
+        worker list may be out of date, queries every worker that could hold a task.
+        The session is opened once the record is committed.
         """
         for record in self._list_workers():
             if record.state is InstanceState.LEAVING:
@@ -347,14 +350,14 @@
                 address = WorkerAddress(
                     worker_id=record.worker_id, host=record.host, port=record.port
                 )
-                self.book.note_worker(address)
+                self.book.add_worker(address)
 
     def _recover(self) -> None:
-        """Free the held jobs once no former owner's attempt can be running unseen."""
-        if self._is_recovered or self._unheard:
+        """Release the held jobs once no unknown attempt can still be running."""
+        if self._is_recovered or self._unreported:
             return
         self._is_recovered = True
-        self._pace.want()
+        self._placement_timer.request_pass()
         self.book.release_held(self._clock.wall_ms())
 
     def _find_record(self, worker_id: str) -> WorkerRecord | None:
@@ -386,10 +389,10 @@
                 session.send(orders)
 
     def _wake(self) -> None:
-        self._pace.want()
-        self._work_wanted.set()
+        self._placement_timer.request_pass()
+        self._work_requested.set()
 
-    def _take_committed(
+    def _handle_committed(
         self, specs: Sequence[JobSpec], commits: Sequence[Commit]
     ) -> None:
         for spec in specs:
--- a/trefoilhook/jobs/service.py
+++ b/trefoilhook/jobs/service.py
@@ -1,4 +1,4 @@
-"""Jobs as any instance offers them: each call goes to the owner of the job's shard."""
+"""Job service of an instance; calls are forwarded to the owner of the job's shard."""
 
 import heapq
 from collections.abc import Callable, Sequence
@@ -45,36 +45,36 @@
 
 _CALL_TIMEOUT_MS = 5_000.0
 _RETRY_MS = 50.0
-_NOT_HERE = frozenset({ResultCode.NO_OWNER, ResultCode.OWNER_UNREACHABLE})
+_RETRIED_CODES = frozenset({ResultCode.NO_OWNER, ResultCode.OWNER_UNREACHABLE})
 
 
 class JobService:
-    """Jobs on one instance: owner of some worker shards, way in for all of them.
+    """Runs the worker shards owned by this instance and forwards calls for the others.
 
     Parameters
     ----------
     instance_id : str
-        This instance.
+        Id of this instance.
     ownership : Ownership
-        Shards and their owners.
+        Shard table with the current owners.
     inner : InnerNode
-        Links to the peers.
+        Connections to the peer instances.
     open_journal : callable
         Opens the journal of a shard at an epoch.
     list_workers : callable
-        All workers as the instance list shows them.
+        Returns all workers in the instance list.
     open_worker : callable
-        Opens the adapter to a worker.
+        Opens a client for a worker.
     policy : callable
-        Policy of the decisions now.
+        Returns the current placement policy.
     find_quota : callable
-        Most that a team may hold over all shards, or None.
+        Returns the quota of a team over all shards, or None for no limit.
     clock : Clock
-        Time.
+        Clock.
     settings : JobSettings
-        Times and bounds.
+        Timeouts, intervals and limits.
     shards : ShardSettings
-        Numbers of shards.
+        Numbers of request and worker shards.
     """
 
     def __init__(
@@ -107,26 +107,26 @@
         self._runners: dict[str, ShardRunner] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self._changes = ownership.subscribe()
-        inner.handle(JobSubmit, self._answer_submit)
-        inner.handle(JobQuery, self._answer_query)
-        inner.handle(JobCancel, self._answer_cancel)
+        inner.handle(JobSubmit, self._handle_submit)
+        inner.handle(JobQuery, self._handle_query)
+        inner.handle(JobCancel, self._handle_cancel)
 
     async def run(self) -> None:
-        """Run the shards that this instance owns until cancelled."""
+        """Run the shards owned by this instance until cancelled."""
         async with trio.open_nursery() as nursery:
             async for change in self._changes:
                 if change.shard_id.startswith(ShardKind.WORKER.value):
-                    self._follow(change, nursery)
+                    self._apply_ownership_change(change, nursery)
 
     async def submit(self, message: JobSubmit) -> JobView:
-        """Record a job at the owner of its shard.
+        """Submit a job to the owner of its shard.
 
         Raises
         ------
         TrefoilhookError
-            If it was not recorded, or that is not known; the code tells.
+            If the job was not recorded, or may not have been; see the result code.
         """
-        page = await self._ask(self._find_shard(message.job_id), message)
+        page = await self._call_owner(self._find_shard(message.job_id), message)
         return page.jobs[0]
 
     async def read(self, *, team: str, job_id: str, is_explained: bool) -> JobView:
@@ -138,7 +138,7 @@
             If the team has no such job.
         """
         query = JobQuery(team=team, job_id=job_id, is_explained=is_explained, limit=1)
-        page = await self._ask(self._find_shard(job_id), query)
+        page = await self._call_owner(self._find_shard(job_id), query)
         if not page.jobs:
             raise RequestError(f"no job {job_id}", code=ResultCode.NOT_FOUND)
         return page.jobs[0]
@@ -146,40 +146,42 @@
     async def list_page(
         self, *, team: str, kind: str, after_job_id: str, limit: int
     ) -> JobPage:
-        """Return a page of a team's jobs over all shards, by job id."""
+        """Return a page of a team's jobs from all shards, ordered by job id."""
         pages: list[Sequence[JobView]] = []
         for index in range(self._shards.worker_shards):
             query = JobQuery(
                 team=team, kind=kind, after_job_id=after_job_id, limit=limit + 1
             )
-            page = await self._ask(name_shard(ShardKind.WORKER, index), query)
+            page = await self._call_owner(name_shard(ShardKind.WORKER, index), query)
             pages.append(list(page.jobs))
         merged = list(heapq.merge(*pages, key=lambda view: view.job_id))
-        shown = merged[:limit]
+        page_jobs = merged[:limit]
         has_more = len(merged) > limit
         return JobPage(
-            jobs=shown, next_after_job_id=shown[-1].job_id if has_more else ""
+            jobs=page_jobs, next_after_job_id=page_jobs[-1].job_id if has_more else ""
         )
 
     async def cancel(self, *, team: str, job_ids: Sequence[str]) -> list[str]:
-        """Cancel jobs, one call for each shard; returns those that exist."""
+        """Cancel jobs, with one call per shard; return the ids of those that exist."""
         by_shard: dict[str, list[str]] = {}
         for job_id in job_ids:
             by_shard.setdefault(self._find_shard(job_id), []).append(job_id)
         found: list[str] = []
         for shard_id, ids in by_shard.items():
-            page = await self._ask(shard_id, JobCancel(team=team, job_ids=ids))
+            page = await self._call_owner(shard_id, JobCancel(team=team, job_ids=ids))
             found.extend(view.job_id for view in page.jobs)
         return found
 
     def list_books(self) -> tuple[JobBook, ...]:
-        """Return the jobs of the shards that run here."""
+        """Return the job books of the shards running on this instance."""
         return tuple(runner.book for runner in self._runners.values())
 
     def _find_shard(self, job_id: str) -> str:
         return find_shard(ShardKind.WORKER, job_id.encode(), self._shards)
 
-    def _follow(self, change: OwnershipChange, nursery: trio.Nursery) -> None:
+    def _apply_ownership_change(
+        self, change: OwnershipChange, nursery: trio.Nursery
+    ) -> None:
         scope = self._scopes.pop(change.shard_id, None)
         if scope is not None:
             scope.cancel()
@@ -205,43 +207,43 @@
             list_workers=lambda: self._list_shard_workers(shard_id),
             open_worker=self._open_worker,
             policy=self._policy,
-            find_quota=self._find_part,
+            find_quota=self._find_shard_quota,
             clock=self._clock,
             settings=self._settings,
             seed=epoch,
         )
 
-    def _find_part(self, team: str) -> Resources | None:
+    def _find_shard_quota(self, team: str) -> Resources | None:
         quota = self._find_quota(team)
         return quota and split_quota(quota, self._shards.worker_shards)
 
     def _list_shard_workers(self, shard_id: str) -> Sequence[WorkerRecord]:
         return self._split.select(self._list_workers(), shard_id)
 
-    async def _ask(
+    async def _call_owner(
         self, shard_id: str, message: JobSubmit | JobQuery | JobCancel
     ) -> JobPage:
-        """Call the shard's owner, again or anew until there is an answer.
+        """Call the owner of the shard, retrying until it answers or the call times out.
 
-        Every call may be repeated: a job is recorded and cancelled once for its id.
+        All calls are idempotent: submission and cancellation are keyed by job id.
         """
         message.shard = int(shard_id.rsplit("-", 1)[1])
         deadline_ms = self._clock.monotonic_ms() + _CALL_TIMEOUT_MS
         while True:
             error: TrefoilhookError
             try:
-                return await self._ask_once(shard_id, message, deadline_ms)
+                return await self._call_owner_once(shard_id, message, deadline_ms)
             except TransportError as failure:
                 error = failure
             except OutcomeError as failure:
-                if failure.code not in _NOT_HERE:
+                if failure.code not in _RETRIED_CODES:
                     raise
                 error = failure
             if self._clock.monotonic_ms() + _RETRY_MS >= deadline_ms:
                 raise error
             await self._clock.sleep_ms(_RETRY_MS)
 
-    async def _ask_once(
+    async def _call_owner_once(
         self,
         shard_id: str,
         message: JobSubmit | JobQuery | JobCancel,
@@ -249,13 +251,13 @@
     ) -> JobPage:
         owner = self._ownership.find_owner(shard_id)
         if owner is None:
-            raise OutcomeError(f"nobody owns {shard_id}", code=ResultCode.NO_OWNER)
+            raise OutcomeError(f"{shard_id} has no owner", code=ResultCode.NO_OWNER)
         timeout_ms = deadline_ms - self._clock.monotonic_ms()
         reply = await self._inner.call(
             owner.instance_id, message, timeout_ms=timeout_ms
         )
         if not isinstance(reply, JobPage):
-            raise OutcomeError("not a page of jobs", code=ResultCode.INTERNAL)
+            raise OutcomeError("reply is not a page of jobs", code=ResultCode.INTERNAL)
         return reply
 
     def _find_runner(self, index: int) -> ShardRunner:
@@ -263,11 +265,11 @@
         runner = self._runners.get(shard_id)
         is_ready = runner is not None and runner.is_loaded
         if runner is None or not is_ready or self._ownership.owns(shard_id) is None:
-            message = f"{shard_id} is not owned here"
+            message = f"{shard_id} is not owned by this instance"
             raise RequestError(message, code=ResultCode.NO_OWNER)
         return runner
 
-    async def _answer_submit(self, call: Call) -> JobPage:
+    async def _handle_submit(self, call: Call) -> JobPage:
         message = call.message
         assert isinstance(message, JobSubmit)
         runner = self._find_runner(message.shard)
@@ -277,11 +279,11 @@
             raise RequestError(str(error)) from error
         job = await runner.submit(spec)
         if job.spec.team != spec.team:
-            text = f"the job id {spec.job_id} is taken"
+            text = f"job id {spec.job_id} is already in use"
             raise RequestError(text, code=ResultCode.KEY_REUSED)
-        return JobPage(jobs=[_view_job(job)])
+        return JobPage(jobs=[_build_view(job)])
 
-    async def _answer_query(self, call: Call) -> JobPage:
+    async def _handle_query(self, call: Call) -> JobPage:
         query = call.message
         assert isinstance(query, JobQuery)
         runner = self._find_runner(query.shard)
@@ -290,7 +292,7 @@
             if job is None or job.spec.team != query.team:
                 return JobPage()
             explanation = runner.explain(job) if query.is_explained else ""
-            return JobPage(jobs=[_view_job(job, explanation=explanation)])
+            return JobPage(jobs=[_build_view(job, explanation=explanation)])
         ids = sorted(
             job_id
             for job_id, job in runner.book.jobs.items()
@@ -299,9 +301,11 @@
             and job_id > query.after_job_id
         )
         chosen = ids[: query.limit or 1]
-        return JobPage(jobs=[_view_job(runner.book.jobs[job_id]) for job_id in chosen])
+        return JobPage(
+            jobs=[_build_view(runner.book.jobs[job_id]) for job_id in chosen]
+        )
 
-    async def _answer_cancel(self, call: Call) -> JobPage:
+    async def _handle_cancel(self, call: Call) -> JobPage:
         message = call.message
         assert isinstance(message, JobCancel)
         runner = self._find_runner(message.shard)
@@ -312,10 +316,10 @@
             and job.spec.team == message.team
         ]
         runner.cancel(found)
-        return JobPage(jobs=[_view_job(runner.book.jobs[job_id]) for job_id in found])
+        return JobPage(jobs=[_build_view(runner.book.jobs[job_id]) for job_id in found])
 
 
-def _view_job(job: Job, *, explanation: str = "") -> JobView:
+def _build_view(job: Job, *, explanation: str = "") -> JobView:
     attempt = job.attempt
     return JobView(
         job_id=job.spec.job_id,
--- a/trefoilhook/jobs/sessions.py
+++ b/trefoilhook/jobs/sessions.py
@@ -1,4 +1,4 @@
-"""The task that speaks to one worker: lease, commands and news."""
+"""Task that manages the lease on one worker and exchanges messages with it."""
 
 import math
 from collections.abc import Callable
@@ -13,7 +13,7 @@
     NotSentError,
     TrefoilhookError,
 )
-from trefoilhook.jobs.bounds import bound_news
+from trefoilhook.jobs.bounds import limit_update_size
 from trefoilhook.jobs.core import Attempt
 from trefoilhook.jobs.messages import (
     Order,
@@ -38,15 +38,15 @@
 )
 
 __all__ = [
-    "InventoryTaken",
-    "NewsHeard",
+    "InventoryReceived",
+    "UpdatesReceived",
     "SessionEvent",
-    "WorkerLapsed",
+    "WorkerLeaseLapsed",
     "WorkerSession",
     "compose_epoch",
 ]
 
-_GENERATIONS = 1 << 20
+_GENERATIONS_PER_EPOCH = 1 << 20
 _STATUSES = {
     "running": TaskStatus.RUNNING,
     "finished": TaskStatus.FINISHED,
@@ -54,99 +54,100 @@
     "evicted": TaskStatus.EVICTED,
     "stopped": TaskStatus.STOPPED,
 }
-_KINDS = {
+_COMMAND_KINDS = {
     OrderKind.START: CommandKind.START,
     OrderKind.STOP: CommandKind.STOP,
     OrderKind.EVICT: CommandKind.CHECKPOINT_EVICT,
     OrderKind.ACKNOWLEDGE: CommandKind.ACKNOWLEDGE,
 }
-_REFUSALS = frozenset({CommandStatus.NO_CAPACITY, CommandStatus.STALE_ATTEMPT})
+_REFUSED_STATUSES = frozenset({CommandStatus.NO_CAPACITY, CommandStatus.STALE_ATTEMPT})
 
 
 @attrs.frozen(kw_only=True)
-class InventoryTaken:
-    """A worker's lease was taken; here is all that it holds.
+class InventoryReceived:
+    """The lease on a worker was acquired, and the worker returned its task list.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     capacity : Resources
-        All that it has.
-    news : tuple of TaskNews
-        Its tasks.
+        Total capacity of the worker.
+    updates : tuple of TaskNews
+        State of all its tasks.
     """
 
     worker_id: str
     capacity: Resources
-    news: tuple[TaskNews, ...]
+    updates: tuple[TaskNews, ...]
 
 
 @attrs.frozen(kw_only=True)
-class NewsHeard:
+class UpdatesReceived:
     """A worker answered a renewal or commands.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
-    news : tuple of TaskNews
+        Id of the worker.
+    updates : tuple of TaskNews
         Tasks that started, ended or were refused.
     report : UsageReport or None
-        The newest measurement.
+        Latest usage report.
     """
 
     worker_id: str
-    news: tuple[TaskNews, ...]
+    updates: tuple[TaskNews, ...]
     report: UsageReport | None = None
 
 
 @attrs.frozen(kw_only=True)
-class WorkerLapsed:
-    """A worker was not reached for so long that its tasks have surely stopped.
+class WorkerLeaseLapsed:
+    """A worker was unreachable for so long that its tasks have certainly stopped.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     """
 
     worker_id: str
 
 
-SessionEvent = InventoryTaken | NewsHeard | WorkerLapsed
+SessionEvent = InventoryReceived | UpdatesReceived | WorkerLeaseLapsed
 
 
 def compose_epoch(shard_epoch: int, generation: int) -> int:
-    """Return the epoch that a worker's lease is taken at.
+    """Return the epoch for acquiring a worker's lease.
 
-    A lapsed lease is only taken anew at a higher epoch, so that no command sent under
-    it can still take effect; the generation counts the takings within one ownership.
+    A lapsed lease can only be re-acquired at a higher epoch, so that no command sent
+    under the old lease can still take effect. The generation counts the acquisitions
+    within one ownership of the shard.
     """
-    return shard_epoch * _GENERATIONS + generation
+    return shard_epoch * _GENERATIONS_PER_EPOCH + generation
 
 
 class WorkerSession:
-    """What the owner of a shard does about one worker.
+    """Session between the owner of a shard and one worker.
 
     Parameters
     ----------
     address : WorkerAddress
-        The worker.
+        Address of the worker.
     client : WorkerClient
-        Adapter to it.
+        Client for the worker.
     owner_id : str
-        This instance.
+        Id of this instance.
     shard_epoch : int
         Epoch of the shard's claim.
     may_act : callable
-        Whether this instance may still act for the shard, read before each call.
+        Returns whether this instance may act for the shard; checked before each call.
     clock : Clock
-        Time.
+        Clock.
     settings : JobSettings
-        Times.
+        Timeouts and intervals.
     events : trio.MemorySendChannel
-        Where what is heard goes.
+        Channel on which events from the worker are published.
     """
 
     def __init__(
@@ -170,110 +171,110 @@
         self._settings = settings
         self._events = events
         self._orders: list[Order] = []
-        self._wanted = trio.Event()
+        self._orders_queued = trio.Event()
         self._generation = 0
         self._last_sent_ms = -math.inf
-        self._is_lapse_told = False
+        self._is_lapse_reported = False
         self.scope = trio.CancelScope()
         self.is_held = False
 
     def send(self, orders: list[Order]) -> None:
-        """Queue orders; they are sent at once, in this order."""
+        """Queue orders, to be sent in this order without delay."""
         self._orders.extend(orders)
-        self._wanted.set()
+        self._orders_queued.set()
 
     async def run(self) -> None:
-        """Take the lease, hold it and take it anew, until cancelled or fenced."""
+        """Acquire and renew the lease, and re-acquire it, until cancelled or fenced."""
         self._last_sent_ms = self._clock.monotonic_ms()
         with self.scope:
             try:
                 while True:
-                    await self._take()
-                    await self._hold()
+                    await self._acquire_lease()
+                    await self._maintain_lease()
             except FencedError:
-                # A later owner has the worker; the table of shards will say so too.
+                # A later owner holds the worker; the shard table will show it as well.
                 log_event(Event.SHARD_FENCED, worker=self._address.worker_id)
             finally:
                 await self._client.close()
 
-    async def _take(self) -> None:
-        """Take the lease at a new generation; orders of the former one are void.
+    async def _acquire_lease(self) -> None:
+        """Acquire the lease at a new generation and drop the orders of the old one.
 
-        What the worker did of them is in the inventory, and what is still on its way
-        carries the old epoch and is refused.
+        The inventory shows which of them the worker has carried out; those still in
+        flight carry the old epoch and are refused.
         """
         self._generation += 1
-        first_try_ms = self._clock.monotonic_ms()
-        self._is_lapse_told = False
+        first_attempt_ms = self._clock.monotonic_ms()
+        self._is_lapse_reported = False
         while True:
-            await self._wait_for_right()
+            await self._wait_until_allowed()
             try:
-                inventory = await self._try_taking()
+                inventory = await self._request_lease()
             except FencedError:
                 raise
             except NotSentError:
-                await self._wait_out()
+                await self._report_lapse_if_due()
             except LeaseLostError:
                 self._generation += 1
             except TrefoilhookError:
                 self._last_sent_ms = self._clock.monotonic_ms()
-                if self._last_sent_ms - first_try_ms >= self._settings.give_up_ms:
-                    await self._fall_silent()
+                if self._last_sent_ms - first_attempt_ms >= self._settings.give_up_ms:
+                    await self._wait_for_lapse()
             else:
                 break
             await self._clock.sleep_ms(self._settings.renew_interval_ms)
         self._orders.clear()
         self._last_sent_ms = self._clock.monotonic_ms()
         self.is_held = True
-        news = tuple(self._read_task(task) for task in inventory.tasks)
+        updates = tuple(self._convert_task(task) for task in inventory.tasks)
         await self._events.send(
-            InventoryTaken(
+            InventoryReceived(
                 worker_id=self._address.worker_id,
                 capacity=inventory.capacity,
-                news=news,
+                updates=updates,
             )
         )
 
-    async def _try_taking(self) -> WorkerInventory:
+    async def _request_lease(self) -> WorkerInventory:
         epoch = compose_epoch(self._shard_epoch, self._generation)
         ttl_ms = self._settings.worker_lease_ms
         return await self._client.take_lease(self._owner_id, epoch, ttl_ms)
 
-    async def _fall_silent(self) -> None:
-        """Stop asking until the worker's tasks have surely stopped.
+    async def _wait_for_lapse(self) -> None:
+        """Send no requests until the worker's tasks have certainly stopped.
 
-        A request whose answer got lost may have taken the lease, and the tasks go on
-        under it; asking on and on would keep them running unseen, and they could never
-        be started elsewhere.
+        A request whose response was lost may have acquired the lease, under which the
+        tasks continue. Repeating it would keep the lease alive indefinitely, and the
+        jobs could never be started on another worker.
         """
-        while not self._is_lapse_told:
+        while not self._is_lapse_reported:
             await self._clock.sleep_ms(self._settings.renew_interval_ms)
-            await self._wait_out()
+            await self._report_lapse_if_due()
 
-    async def _wait_out(self) -> None:
-        """Tell once that the worker's tasks have stopped, when they surely have.
+    async def _report_lapse_if_due(self) -> None:
+        """Report once that all leases on the worker must have lapsed.
 
-        The time counts from the last message sent that could extend the lease, or from
-        the claim of the shard.
+        The time is measured from the last message that could have extended a lease, or
+        from the start of the session.
         """
         silent_ms = self._clock.monotonic_ms() - self._last_sent_ms
-        if self._is_lapse_told or silent_ms < self._settings.lapse_ms:
+        if self._is_lapse_reported or silent_ms < self._settings.lapse_ms:
             return
-        self._is_lapse_told = True
+        self._is_lapse_reported = True
         log_event(Event.WORKER_LOST, worker=self._address.worker_id)
-        await self._events.send(WorkerLapsed(worker_id=self._address.worker_id))
+        await self._events.send(WorkerLeaseLapsed(worker_id=self._address.worker_id))
 
-    async def _wait_for_right(self) -> None:
+    async def _wait_until_allowed(self) -> None:
         while not self._may_act():
             await self._clock.sleep_ms(self._settings.tick_ms)
 
-    async def _hold(self) -> None:
-        """Renew and send orders until the lease is lost or the worker falls silent."""
+    async def _maintain_lease(self) -> None:
+        """Renew the lease and send orders until it is lost or the worker times out."""
         epoch = compose_epoch(self._shard_epoch, self._generation)
         answered_ms = self._clock.monotonic_ms()
         renewed_ms = -math.inf
         while True:
-            await self._wait_for_right()
+            await self._wait_until_allowed()
             now_ms = self._clock.monotonic_ms()
             try:
                 if self._orders:
@@ -292,65 +293,67 @@
                     break
                 await self._clock.sleep_ms(self._settings.tick_ms)
                 continue
-            await self._pause()
+            await self._wait_for_orders()
         self.is_held = False
 
-    async def _pause(self) -> None:
+    async def _wait_for_orders(self) -> None:
         if self._orders:
             return
-        self._wanted = trio.Event()
+        self._orders_queued = trio.Event()
         with trio.move_on_after(self._settings.renew_interval_ms / 1000.0):
-            await self._wanted.wait()
+            await self._orders_queued.wait()
 
     async def _renew(self, epoch: int) -> None:
         heartbeat = await self._client.renew(epoch, self._settings.worker_lease_ms)
-        news = tuple(self._read_task(task) for task in heartbeat.tasks)
-        if news or heartbeat.report is not None:
-            await self._tell(news, heartbeat.report)
+        updates = tuple(self._convert_task(task) for task in heartbeat.tasks)
+        if updates or heartbeat.report is not None:
+            await self._publish_updates(updates, heartbeat.report)
 
     async def _send_orders(self, epoch: int) -> None:
-        """Send what is queued; kept until answered, since each may be repeated."""
+        """Send the queued orders; they stay queued until answered and may be resent."""
         batch = list(self._orders)
         commands = [self._build_command(order) for order in batch]
         results = await self._client.command(epoch, commands)
         del self._orders[: len(batch)]
-        news: list[TaskNews] = []
+        updates: list[TaskNews] = []
         for order, result in zip(batch, results, strict=True):
-            heard = self._read_result(order, result)
-            if heard is not None:
-                news.append(heard)
-        if news:
-            await self._tell(tuple(news), None)
-
-    async def _tell(
-        self, news: tuple[TaskNews, ...], report: UsageReport | None
+            update = self._convert_result(order, result)
+            if update is not None:
+                updates.append(update)
+        if updates:
+            await self._publish_updates(tuple(updates), None)
+
+    async def _publish_updates(
+        self, updates: tuple[TaskNews, ...], report: UsageReport | None
     ) -> None:
         await self._events.send(
-            NewsHeard(worker_id=self._address.worker_id, news=news, report=report)
+            UpdatesReceived(
+                worker_id=self._address.worker_id, updates=updates, report=report
+            )
         )
 
-    def _read_result(self, order: Order, result: CommandResult) -> TaskNews | None:
-        if order.kind is OrderKind.START and result.status in _REFUSALS:
+    def _convert_result(self, order: Order, result: CommandResult) -> TaskNews | None:
+        if order.kind is OrderKind.START and result.status in _REFUSED_STATUSES:
             return TaskNews(ref=order.ref, status=TaskStatus.REFUSED)
         if order.kind is OrderKind.ACKNOWLEDGE or result.task is None:
             return None
-        return self._read_task(result.task)
+        return self._convert_task(result.task)
 
-    def _read_task(self, task: WorkerTask) -> TaskNews:
+    def _convert_task(self, task: WorkerTask) -> TaskNews:
         attempt = Attempt(epoch=task.attempt_epoch, sequence=task.attempt_sequence)
         ref = TaskRef(
             worker_id=self._address.worker_id, job_id=task.job_id, attempt=attempt
         )
-        news = TaskNews(
+        update = TaskNews(
             ref=ref,
             status=_STATUSES[task.state.value],
             checkpoint=task.checkpoint,
             result=task.result,
         )
-        return bound_news(news)
+        return limit_update_size(update)
 
     def _build_command(self, order: Order) -> WorkerCommand:
-        kind = _KINDS.get(order.kind)
+        kind = _COMMAND_KINDS.get(order.kind)
         if kind is None:
             is_slowed = order.speed < 1.0
             kind = CommandKind.THROTTLE if is_slowed else CommandKind.UNTHROTTLE
--- a/trefoilhook/jobs/settings.py
+++ b/trefoilhook/jobs/settings.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the shards' work."""
+"""Settings of the job service."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class JobSettings:
-    """Times and bounds of jobs."""
+    """Timeouts, intervals and limits of the job service."""
 
     worker_lease_ms: float = declare(
         default=15_000.0,
@@ -60,9 +60,9 @@
 
     @property
     def lapse_ms(self) -> float:
-        """Time after which a worker that isn't reached has surely stopped, in ms.
+        """Time after which an unreachable worker has stopped all tasks, in ms.
 
-        A renewal that left before the last one was given up may arrive up to one lease
-        later and extends by one: two leases in all.
+        A renewal in flight when contact was lost may arrive up to one lease duration
+        later and extends the lease by another duration: two durations in total.
         """
         return 2.0 * self.worker_lease_ms
--- a/trefoilhook/jobs/tests/shard.py
+++ b/trefoilhook/jobs/tests/shard.py
@@ -1,4 +1,4 @@
-"""A worker shard on virtual time: workers, a journal, and owners one after another."""
+"""Worker shard on virtual time, with workers, a journal and successive owners."""
 
 import json
 
@@ -26,20 +26,20 @@
 
 @attrs.define(kw_only=True)
 class MemoryJournal:
-    """The journal's contract, in memory."""
+    """In-memory implementation of the journal."""
 
     clock: Clock
     records: list = attrs.field(factory=list)
     epoch: int = 0
     appends: int = 0
     is_down: bool = False
-    # Of appends that accept a job; a worker's record may come first and take the loss.
+    # Applies only to appends that accept a job; a worker record may precede them.
     answers_to_lose: int = 0
 
 
 @attrs.define(kw_only=True)
 class JournalWriter:
-    """One owner's way to the journal."""
+    """Journal client of one owner."""
 
     journal: MemoryJournal
     epoch: int
@@ -58,7 +58,7 @@
         is_acceptance = any(r.kind is RecordKind.ACCEPTED for r in records)
         if is_acceptance and self.journal.answers_to_lose:
             self.journal.answers_to_lose -= 1
-            raise StoreUnavailableError("the answer was lost")
+            raise StoreUnavailableError("the response was lost")
 
     async def _wait(self):
         await self.journal.clock.sleep_ms(20)
@@ -70,7 +70,7 @@
 
 @attrs.define(kw_only=True)
 class Owner:
-    """One ownership of the shard."""
+    """One period of ownership of the shard."""
 
     runner: ShardRunner
     scope: trio.CancelScope
@@ -79,7 +79,7 @@
 
 @attrs.define(kw_only=True)
 class Shard:
-    """Workers and journal of one shard, and whoever owns it."""
+    """Workers and journal of one shard, and its current owner."""
 
     clock: Clock
     nursery: trio.Nursery
@@ -137,7 +137,7 @@
         await owner.runner.submit(build_spec(job_id, **changes))
 
     def list_starts(self, job_id: str):
-        """Return every start of a job, as the workers recorded it."""
+        """Return all starts of a job, as recorded by the workers."""
         starts = [
             record
             for worker in self.workers.values()
@@ -147,7 +147,7 @@
         return sorted(starts, key=lambda record: record.started_ms)
 
     def find_overlaps(self) -> list[str]:
-        """Return the jobs that ran in two places at one time."""
+        """Return the jobs that ran on two workers at the same time."""
         found = []
         ids = {
             record.job_id
@@ -190,7 +190,7 @@
 
 
 def run_shard(scenario, *, workers: int = 2) -> None:
-    """Run a scenario with some workers on virtual time."""
+    """Run a scenario with a number of workers on virtual time."""
 
     async def run() -> None:
         clock = build_system_clock()
@@ -207,7 +207,7 @@
 
 
 async def read_error(awaitable) -> TrefoilhookError | None:
-    """Await something and return the error that it raises."""
+    """Await an awaitable and return the error that it raises."""
     try:
         await awaitable
     except TrefoilhookError as error:
--- a/trefoilhook/jobs/tests/test_growth.py
+++ b/trefoilhook/jobs/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""What must not grow with the square of a shard, and stays right without it."""
+"""Guards against work that grows quadratically with the size of a shard."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,7 @@
 from trefoilhook.jobs import JobBook, JobState, runner
 from trefoilhook.jobs.listing import WorkerSplit
 from trefoilhook.jobs.messages import TaskNews, TaskStatus
-from trefoilhook.jobs.pace import PlacementPace
+from trefoilhook.jobs.pace import PlacementTimer
 from trefoilhook.jobs.tests.shard import (
     CAPACITY,
     SETTINGS,
@@ -22,7 +22,7 @@
 _TIMES = {"now_ms": 0.0, "wall_ms": 0.0}
 
 
-class _CountedList(tuple):
+class _CountingList(tuple):
     readings = 0
 
     def __iter__(self):
@@ -30,13 +30,13 @@
         return super().__iter__()
 
 
-class _CountedJobs(dict):
+class _UnscannableJobs(dict):
     def values(self):
-        raise AssertionError("all jobs are looked at for one worker")
+        raise AssertionError("all jobs are scanned for a single worker")
 
 
-def _build_listing(racks: int) -> _CountedList:
-    return _CountedList(
+def _build_listing(racks: int) -> _CountingList:
+    return _CountingList(
         WorkerRecord(
             worker_id=f"w{number}",
             rack=f"r{number}",
@@ -49,28 +49,28 @@
     )
 
 
-class GrowthTest(unittest.TestCase):
-    """Work that is done for each worker or each step."""
+class ScalingTest(unittest.TestCase):
+    """Work that is repeated for each worker or in each step."""
 
-    def test_one_listing_is_split_once_and_a_new_one_anew(self):
-        # Jobs start seconds late on a large fleet while nothing else is wrong: each
-        # step of each shard hashes the rack of every listed worker.
+    def test_worker_list_is_partitioned_once_per_refresh(self):
+        # If each step of each shard hashed the rack of every listed worker, jobs would
+        # start seconds late on a large fleet.
         split = WorkerSplit(shards=_SHARDS)
         listing = _build_listing(40)
-        _CountedList.readings = 0
+        _CountingList.readings = 0
         parts = [split.select(listing, f"wrk-{n:03d}") for n in range(4)] * 5
-        self.assertEqual(_CountedList.readings, 1)
+        self.assertEqual(_CountingList.readings, 1)
         self.assertEqual({r for part in parts for r in part}, set(listing))
         self.assertEqual(sum(map(len, parts)), 5 * 40)
         fewer = _build_listing(3)
         kept = {r for n in range(4) for r in split.select(fewer, f"wrk-{n:03d}")}
         self.assertEqual(kept, set(fewer))
 
-    def test_a_worker_s_jobs_are_found_without_looking_at_all(self):
-        # A shard moves and its jobs stand still for seconds: each worker's inventory
-        # is compared with all jobs of the shard.
+    def test_jobs_of_a_worker_are_found_without_a_full_scan(self):
+        # If each worker's inventory were compared with all jobs of the shard, the jobs
+        # would stall for seconds after a takeover.
         book = self._start_jobs()
-        book.jobs = _CountedJobs(book.jobs)
+        book.jobs = _UnscannableJobs(book.jobs)
         book.apply_inventory("w0", (), **_TIMES)
         book.lose_worker("w1", **_TIMES)
         states = {job_id: book.jobs[job_id].state for job_id in book.jobs}
@@ -78,8 +78,8 @@
         self.assertEqual(queued, {"j0", "j1", "j3", "j4"})
 
     def test_jobs_that_left_a_worker_are_not_lost_with_it(self):
-        # A job finished at a worker or moved to another; then the worker is lost. The
-        # job is started again although it is done or runs elsewhere.
+        # A job finishes on a worker, or moves to another, and then the worker is lost.
+        # The job must not be restarted while it is finished or runs elsewhere.
         book = self._start_jobs()
         refs = [o.ref for orders in book.take_orders().values() for o in orders]
         by_job = {ref.job_id: ref for ref in refs}
@@ -93,30 +93,30 @@
         self.assertEqual(book.jobs["j3"].state, JobState.STARTING)
         self.assertEqual(book.jobs["j3"].worker_id, "w2")
 
-    def test_pace(self):
+    def test_placement_timer(self):
         cases = (
-            # at which times a look is wanted, asked for; which of them are granted
+            # (times of requests, times of checks, times at which a pass starts)
             ((), (0, 50, 99, 100, 150, 200), [0, 100, 200]),
             ((5,), (0, 5, 19, 20, 60, 120), [0, 20, 120]),
             ((30, 31, 32), (0, 30, 31, 32, 50, 90), [0, 30, 50]),
             ((5,), (0, 5, 20 - 1e-9, 40), [0, 20 - 1e-9]),
         )
-        for wanted, asked, granted in cases:
-            with self.subTest(wanted=wanted):
-                pace = PlacementPace(least_ms=20.0, most_ms=100.0)
-                taken = []
-                for now_ms in asked:
-                    if now_ms in wanted:
-                        pace.want()
-                    is_due = pace.compute_wait_ms(now_ms) == 0.0
-                    self.assertEqual(is_due, now_ms in granted)
-                    if pace.take(now_ms):
-                        taken.append(now_ms)
-                self.assertEqual(taken, granted)
-
-    def test_renewals_alone_do_not_bring_looks_at_the_queue(self):
-        # An instance that owns a large shard answers slowly although no job starts or
-        # ends: each worker's renewal is followed by a look at all jobs.
+        for requested, checked, started in cases:
+            with self.subTest(requested=requested):
+                timer = PlacementTimer(min_interval_ms=20.0, max_interval_ms=100.0)
+                passes = []
+                for now_ms in checked:
+                    if now_ms in requested:
+                        timer.request_pass()
+                    is_due = timer.compute_wait_ms(now_ms) == 0.0
+                    self.assertEqual(is_due, now_ms in started)
+                    if timer.start_if_due(now_ms):
+                        passes.append(now_ms)
+                self.assertEqual(passes, started)
+
+    def test_renewals_alone_do_not_trigger_placement_passes(self):
+        # If each renewal of a worker triggered a placement pass, an instance that owns
+        # a large shard would respond slowly even when no job starts or ends.
         async def scenario(shard: Shard) -> None:
             shard.start_owner("i0")
             for number in range(2, 60):
@@ -130,9 +130,9 @@
 
         run_shard(scenario)
 
-    def test_room_that_frees_during_the_pause_is_used_right_after_it(self):
-        # An urgent job's victims have stopped, and it starts a whole tick later: the
-        # news came just after a look, and nothing else woke the shard.
+    def test_capacity_freed_between_passes_is_used_in_the_next_pass(self):
+        # Updates that arrive just after a placement pass must wake the shard. Otherwise
+        # an urgent job starts a whole tick after its victims have stopped.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.sleep_s(2)
@@ -151,7 +151,7 @@
         run_shard(scenario)
 
     def _start_jobs(self) -> JobBook:
-        """Start six jobs, two on each of three workers."""
+        """Start six jobs, two on each of three workers, and return the job book."""
         book = JobBook(epoch=1)
         for number in range(3):
             capacity = Resources(cores=4.0, memory_bytes=8_000, accelerators=0)
--- a/trefoilhook/jobs/tests/test_guards.py
+++ b/trefoilhook/jobs/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards of a shard's jobs that show only in rare orders of events."""
+"""Safeguards that apply only under rare orders of events."""
 
 import unittest
 
@@ -12,11 +12,11 @@
 from trefoilhook.jobs.tests.shard import SETTINGS, Shard, build_spec, run_shard
 
 
-class OldNewsTest(unittest.TestCase):
-    """A worker that was cut off comes back and tells of an earlier attempt."""
+class StaleUpdateTest(unittest.TestCase):
+    """A partitioned worker reconnects and reports an earlier attempt."""
 
     def _build(self) -> tuple[JobBook, TaskRef]:
-        """Return a book whose job runs on w1, and the attempt before on w0."""
+        """Return a book whose job runs on w1, and a reference to its attempt on w0."""
         book = JobBook(epoch=2)
         book.accept(build_spec("j1"))
         job = book.jobs["j1"]
@@ -26,8 +26,8 @@
         return book, TaskRef(worker_id="w0", job_id="j1", attempt=old)
 
     def test_earlier_attempt_does_not_end_the_present_one(self):
-        # Taken for news of the present attempt, they would free its resources and
-        # start the job a third time while the second run goes on.
+        # If the updates were applied to the current attempt, its resources would be
+        # released and the job started a third time while the second run continues.
         for status, kind in (
             (TaskStatus.RUNNING, OrderKind.STOP),
             (TaskStatus.STOPPED, OrderKind.ACKNOWLEDGE),
@@ -63,12 +63,13 @@
         self.assertEqual(stops, [OrderKind.STOP])
 
 
-class RightTest(unittest.TestCase):
-    """An owner whose right has ended, and a worker that answers badly."""
+class LeaseSafetyTest(unittest.TestCase):
+    """Owners that may not act, and workers whose responses are lost."""
 
     def test_owner_without_the_right_neither_renews_nor_decides(self):
-        # The owner's store lease lapsed and nobody promised. It must let the worker's
-        # lease lapse: the next owner counts on that the tasks then stop.
+        # The owner's store lease has lapsed and no peer has given a promise. It must
+        # let the worker's lease lapse: the next owner relies on the tasks then
+        # stopping.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000)
@@ -84,9 +85,9 @@
         run_shard(scenario)
 
     def test_worker_whose_answers_are_lost_is_left_to_its_lapse(self):
-        # The next owner's requests arrive at the worker and no answer comes back. Were
-        # it to ask on and on, the worker's lease would never lapse, the job would run
-        # on unseen and could never be started elsewhere.
+        # The next owner's requests reach the worker, but all responses are lost. If the
+        # owner kept retrying, the worker's lease would never lapse and the job could
+        # never be started on another worker.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=400_000)
@@ -103,8 +104,8 @@
         run_shard(scenario)
 
     def test_worker_that_comes_back_is_used_again(self):
-        # A worker is cut off past its lease and comes back. Its lapsed lease can only
-        # be taken at a higher epoch.
+        # A worker is partitioned until its lease has lapsed, then reconnects. The
+        # lapsed lease can only be acquired at a higher epoch.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=20_000)
@@ -120,8 +121,8 @@
         run_shard(scenario, workers=1)
 
     def test_start_that_was_not_sent_is_void_under_the_next_lease(self):
-        # A start waits for a worker that can't be reached. When the worker is back the
-        # job is placed anew; were the old start sent too, the job would run twice.
+        # A start order is queued for an unreachable worker. When the worker reconnects,
+        # the job is placed again; if the old order were sent too, it would run twice.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.sleep_s(3)
@@ -138,7 +139,7 @@
 
 
 class LeavingWorkerTest(unittest.TestCase):
-    """A worker that leaves, or is no longer listed, gets nothing new."""
+    """No new tasks are placed on a worker that is leaving or no longer listed."""
 
     def test_leaving_worker_gets_nothing_new(self):
         async def scenario(shard: Shard) -> None:
@@ -156,8 +157,8 @@
         run_shard(scenario, workers=1)
 
     def test_worker_that_is_not_listed_gets_nothing_new(self):
-        # The worker of the former owner's time is gone from the list: the next owner
-        # asks it for what it runs, and starts nothing more there.
+        # A worker used by the previous owner is no longer listed. The next owner
+        # queries it for running tasks but starts no new ones on it.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=60_000)
--- a/trefoilhook/jobs/tests/test_idle.py
+++ b/trefoilhook/jobs/tests/test_idle.py
@@ -1,34 +1,33 @@
-"""A shard whose owner may not act at the moment."""
+"""Shard whose owner may not act."""
 
 import unittest
 
 from trefoilhook.jobs.tests.shard import Shard, run_shard
 
-_SLEPT_S = 5
-_MOST_LOOKS = 200
+_WAIT_S = 5
+_MAX_CHECKS = 200
 
 
 class IdleTest(unittest.TestCase):
-    """What a runner does while it waits for its right to act."""
+    """Behaviour of a runner while it may not act."""
 
-    def test_work_that_may_not_be_done_keeps_no_core_busy(self):
-        # The store is out, so an owner may not act for a while. Work is waiting, and
-        # the instance takes a whole core until the store is back: its callers' requests
-        # become slow just when everything else is in trouble.
+    def test_pending_work_does_not_busy_loop_while_owner_may_not_act(self):
+        # During a store outage the owner may not act while work is pending. Without a
+        # pause the runner would busy-loop and occupy a CPU core for the whole outage.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1")
-            looks: list[int] = []
+            checks: list[int] = []
 
             def may_act() -> bool:
-                looks.append(len(looks))
-                if len(looks) > _MOST_LOOKS:
-                    raise AssertionError("the runner looks without a pause")
+                checks.append(len(checks))
+                if len(checks) > _MAX_CHECKS:
+                    raise AssertionError("the runner checks without a pause")
                 return False
 
             owner.runner._may_act = may_act
             owner.runner.cancel(["j1"])
-            await shard.sleep_s(_SLEPT_S)
-            self.assertGreater(len(looks), 1)
+            await shard.sleep_s(_WAIT_S)
+            self.assertGreater(len(checks), 1)
 
         run_shard(scenario)
--- a/trefoilhook/jobs/tests/test_runner.py
+++ b/trefoilhook/jobs/tests/test_runner.py
@@ -1,4 +1,4 @@
-"""Jobs under the loss of owners, workers and the store; judged by the workers."""
+"""Jobs under loss of owners, workers and the store, checked by worker records."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class RunnerTest(unittest.TestCase):
-    """One shard, its workers and whoever owns it."""
+    """One shard with its workers and successive owners."""
 
     def _check(self, shard: Shard) -> None:
         self.assertEqual(shard.find_overlaps(), [])
@@ -46,8 +46,8 @@
         run_shard(scenario)
 
     def test_owner_dies_while_a_job_runs(self):
-        # A roster build runs when its owner dies. The next owner finds it at its worker
-        # and waits for it; started anew, it would run in two places.
+        # The next owner must find the running job on its worker and wait for it. If it
+        # started the job again, the job would run on two workers.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1")
@@ -63,8 +63,8 @@
         run_shard(scenario)
 
     def test_owner_dies_between_the_end_and_the_record(self):
-        # The job ends while the store is down, so its end can't be recorded, and the
-        # owner dies. The worker still has the result, since nobody acknowledged it.
+        # The job ends during a store outage, so its end cannot be recorded before the
+        # owner fails. The worker still holds the result, which was not acknowledged.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1")
@@ -82,8 +82,8 @@
         run_shard(scenario)
 
     def test_next_owner_does_not_reach_the_worker(self):
-        # The owner dies and the next one does not reach the worker that runs the job.
-        # It starts the job elsewhere only when the worker's lease has surely lapsed.
+        # The next owner cannot reach the worker that runs the job. It may start the job
+        # elsewhere only when the worker's lease has certainly lapsed.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=100_000)
@@ -101,8 +101,9 @@
         run_shard(scenario)
 
     def test_worker_unknown_to_the_next_owner_is_asked(self):
-        # The next owner's instance list lags and lacks the worker that runs the job.
-        # The journal names it, so the job is found there and not started twice.
+        # The worker that runs the job is missing from the next owner's outdated
+        # instance list. The journal names it, so the job is found and not started
+        # twice.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=60_000)
@@ -134,10 +135,10 @@
         run_shard(scenario)
 
     def test_job_that_is_done_unheard_is_started_again(self):
-        # A roster build ends as done behind a cut, and its worker keeps the end. No
-        # lease is left two leases later: that proves that nothing runs there, not that
-        # nothing ended, yet the job is started again. Its operator sees it done twice.
-        # It is declared idempotent, so its promise is kept; the work is wasted.
+        # A job finishes on a partitioned worker, which keeps the result. Two lease
+        # durations later no lease is left, which proves that the job is not running but
+        # not that it has not finished, so it is started again. This is correct because
+        # the job is declared idempotent; only the work is wasted.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=10_000)
@@ -155,8 +156,9 @@
         run_shard(scenario)
 
     def test_end_told_late_that_must_not_repeat_stays_unknown(self):
-        # A billing run ends as done behind a cut. Its caller is told that nobody knows,
-        # and isn't told otherwise when the worker is back and names the end.
+        # A job that is not idempotent finishes on a partitioned worker, and its caller
+        # receives OUTCOME_UNKNOWN. The outcome must not change when the worker
+        # reconnects and reports the result.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=10_000, is_idempotent=False)
@@ -174,8 +176,8 @@
         run_shard(scenario)
 
     def test_job_that_must_not_repeat_is_not_started_again(self):
-        # A worker falls silent with a billing run that must run at most once. Nobody
-        # can tell whether it ended, so it is told as unknown and never started again.
+        # Contact is lost to a worker with a job that must run at most once. Whether it
+        # finished is unknown, so it ends with OUTCOME_UNKNOWN and is never restarted.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000, is_idempotent=False)
@@ -189,7 +191,8 @@
         run_shard(scenario)
 
     def test_owner_and_worker_lost_with_a_job_that_must_not_repeat(self):
-        # Both go at once. The next owner knows of the start only from the journal.
+        # Owner and worker fail together. The next owner knows of the start only from
+        # the journal.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=60_000, is_idempotent=False)
@@ -205,8 +208,8 @@
         run_shard(scenario)
 
     def test_frozen_owner_is_fenced(self):
-        # An owner is frozen past its lease and wakes up while the next one works. Its
-        # commands carry the old epoch; the workers refuse them.
+        # An owner is suspended past its lease and resumes while its successor is
+        # active. Its commands carry the old epoch, so the workers refuse them.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=30_000)
@@ -223,9 +226,9 @@
         run_shard(scenario)
 
     def test_eviction_in_an_outage_resumes_once_from_its_checkpoint(self):
-        # Urgent work evicts a long job while the store is down. The job resumes from
-        # its checkpoint; its owner dies before the eviction could be recorded, and the
-        # next owner neither starts it a third time nor from the beginning.
+        # An urgent job evicts a long one during a store outage. The evicted job resumes
+        # from its checkpoint, and the owner fails before the eviction is recorded. The
+        # next owner must neither start the job again nor discard its progress.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=60_000, resources=_BIG)
@@ -266,8 +269,8 @@
         run_shard(scenario)
 
     def test_lost_answers_of_worker_and_store_change_nothing(self):
-        # Every third answer gets lost after its effect: nothing is started twice,
-        # nothing recorded twice and nothing forgotten.
+        # Responses are lost after the request has taken effect. No job may be started
+        # twice, recorded twice or lost.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             for number in range(6):
@@ -286,8 +289,8 @@
         run_shard(scenario)
 
     def test_refused_record_is_a_truthful_not_run(self):
-        # The store is down when a job is submitted. The answer "not run" is true: the
-        # job is not recorded later either, when the store is back.
+        # A job submitted during a store outage is answered with NOT_RUN. It must not be
+        # recorded later, when the store is available again.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j0")
@@ -337,8 +340,8 @@
         run_shard(scenario)
 
     def test_job_that_fails_everywhere_is_given_up(self):
-        # A job fails wherever it runs. It is tried on a few sound workers and then
-        # told as one that can't run, in place of being started for ever.
+        # A job that fails on every worker must end as impossible after attempts on a
+        # few healthy workers, instead of being restarted forever.
         async def scenario(shard: Shard) -> None:
             for number in range(4):
                 shard.add_worker(f"x{number}")
@@ -352,8 +355,8 @@
         run_shard(scenario)
 
     def test_black_hole_does_not_swallow_the_queue(self):
-        # One worker fails whatever it starts, at once, and so always has room. The
-        # jobs still end well, on the other worker.
+        # A worker that fails every task immediately always has free capacity. The jobs
+        # must still succeed, on the other workers.
         async def scenario(shard: Shard) -> None:
             shard.add_worker("w9", is_black_hole=True)
             owner = shard.start_owner("i0")
@@ -402,8 +405,8 @@
         run_shard(scenario)
 
     def test_ended_jobs_are_remembered_up_to_a_bound(self):
-        # An owner stays for months. Were every ended job kept, its memory would grow
-        # without end.
+        # If all ended jobs were kept, the memory of a long-lived owner would grow
+        # without bound.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             owner.runner.book.kept_ended = 3
