--- a/trefoilhook/jobs/tests/test_bounds.py
+++ b/trefoilhook/jobs/tests/test_bounds.py
@@ -31,15 +31,15 @@
         )
         for status, checkpoint, result, expected, is_same in cases:
             with self.subTest(status=status, checkpoint=checkpoint, result=result):
-                news = TaskNews(
+                update = TaskNews(
                     ref=_REF,
                     status=status,
                     checkpoint="x" * checkpoint,
                     result="x" * result,
                 )
-                bounded = limit_update_size(news)
+                bounded = limit_update_size(update)
                 self.assertIs(bounded.status, expected)
-                self.assertEqual(bounded == news, is_same)
+                self.assertEqual(bounded == update, is_same)
                 self.assertLessEqual(len(bounded.result), MAX_STORED_CHARACTERS)
                 self.assertLessEqual(len(bounded.checkpoint), MAX_STORED_CHARACTERS)
 
--- a/trefoilhook/jobs/tests/test_guards.py
+++ b/trefoilhook/jobs/tests/test_guards.py
@@ -36,8 +36,8 @@
         ):
             with self.subTest(status=status):
                 book, ref = self._build()
-                news = TaskNews(ref=ref, status=status, checkpoint="early")
-                book.apply_news(news, now_ms=1.0, wall_ms=1.0)
+                update = TaskNews(ref=ref, status=status, checkpoint="early")
+                book.apply_news(update, now_ms=1.0, wall_ms=1.0)
                 job = book.jobs["j1"]
                 self.assertEqual((job.state, job.worker_id), (JobState.RUNNING, "w1"))
                 self.assertEqual(job.checkpoint, "")
@@ -46,8 +46,8 @@
 
     def test_result_of_an_earlier_attempt_stops_the_present_one(self):
         book, ref = self._build()
-        news = TaskNews(ref=ref, status=TaskStatus.FINISHED, result="done")
-        book.apply_news(news, now_ms=1.0, wall_ms=1.0)
+        update = TaskNews(ref=ref, status=TaskStatus.FINISHED, result="done")
+        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
         self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
         stops = [each.kind for each in book.take_orders()["w1"]]
         self.assertEqual(stops, [OrderKind.STOP])
@@ -56,8 +56,8 @@
         book, ref = self._build()
         book.jobs["j1"].state = JobState.ENDED
         book.jobs["j1"].attempt = None
-        news = TaskNews(ref=ref, status=TaskStatus.RUNNING)
-        book.apply_news(news, now_ms=1.0, wall_ms=1.0)
+        update = TaskNews(ref=ref, status=TaskStatus.RUNNING)
+        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
         self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
         stops = [each.kind for each in book.take_orders()["w0"]]
         self.assertEqual(stops, [OrderKind.STOP])
@@ -66,7 +66,7 @@
 class LeaseSafetyTest(unittest.TestCase):
     """Owners that may not act, and workers whose responses are lost."""
 
-    def test_owner_without_the_right_neither_renews_nor_decides(self):
+    def test_owner_that_may_not_act_neither_renews_nor_places(self):
         # The owner's store lease has lapsed and no peer has given a promise. It must
         # let the worker's lease lapse: the next owner relies on the tasks then
         # stopping.
@@ -84,7 +84,7 @@
 
         run_shard(scenario)
 
-    def test_worker_whose_answers_are_lost_is_left_to_its_lapse(self):
+    def test_lease_lapses_when_responses_of_the_worker_are_lost(self):
         # The next owner's requests reach the worker, but all responses are lost. If the
         # owner kept retrying, the worker's lease would never lapse and the job could
         # never be started on another worker.
@@ -120,7 +120,7 @@
 
         run_shard(scenario, workers=1)
 
-    def test_start_that_was_not_sent_is_void_under_the_next_lease(self):
+    def test_unsent_start_is_dropped_under_the_next_lease(self):
         # A start order is queued for an unreachable worker. When the worker reconnects,
         # the job is placed again; if the old order were sent too, it would run twice.
         async def scenario(shard: Shard) -> None:
--- a/trefoilhook/jobs/tests/test_runner.py
+++ b/trefoilhook/jobs/tests/test_runner.py
@@ -118,7 +118,7 @@
 
         run_shard(scenario)
 
-    def test_lost_worker_gives_its_job_back(self):
+    def test_job_of_a_lost_worker_is_started_again(self):
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000)
@@ -288,7 +288,7 @@
 
         run_shard(scenario)
 
-    def test_refused_record_is_a_truthful_not_run(self):
+    def test_job_answered_not_run_is_never_recorded(self):
         # A job submitted during a store outage is answered with NOT_RUN. It must not be
         # recorded later, when the store is available again.
         async def scenario(shard: Shard) -> None:
@@ -339,7 +339,7 @@
 
         run_shard(scenario)
 
-    def test_job_that_fails_everywhere_is_given_up(self):
+    def test_job_that_fails_everywhere_ends_as_impossible(self):
         # A job that fails on every worker must end as impossible after attempts on a
         # few healthy workers, instead of being restarted forever.
         async def scenario(shard: Shard) -> None:
@@ -354,7 +354,7 @@
 
         run_shard(scenario)
 
-    def test_black_hole_does_not_swallow_the_queue(self):
+    def test_worker_that_fails_every_task_does_not_drain_the_queue(self):
         # A worker that fails every task immediately always has free capacity. The jobs
         # must still succeed, on the other workers.
         async def scenario(shard: Shard) -> None:
@@ -390,7 +390,7 @@
 
         run_shard(scenario)
 
-    def test_watcher_runs_on_through_a_change_of_owner(self):
+    def test_watcher_keeps_running_through_a_change_of_owner(self):
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "w1", kind=TaskKind.WATCHER, run_ms=10_000_000)
--- a/trefoilhook/journal/__init__.py
+++ b/trefoilhook/journal/__init__.py
@@ -1,4 +1,4 @@
-"""What must last: a worker shard's records in the platform's store."""
+"""Durable journal of a worker shard, kept in the platform's store."""
 
 from trefoilhook.journal.core import Journal, open_journal
 from trefoilhook.journal.pages import Page, decode_page, encode_page
--- a/trefoilhook/journal/core.py
+++ b/trefoilhook/journal/core.py
@@ -1,13 +1,13 @@
-"""The journal of one worker shard, written by its owner alone.
+"""Journal of one worker shard, written only by the owner of the shard.
 
-Records stand in numbered pages. An append writes the last page anew with one
-compare-and-swap, however many records it adds; a full page is followed by the next. The
-head names the generation of pages in use; a compaction writes a new generation and then
-changes the head.
+Records are stored in numbered pages. An append rewrites the last page in a single
+compare-and-swap, however many records it adds; when a page is full, a new one is
+created. The head names the current generation of pages. A compaction writes a new
+generation and then updates the head.
 
-A new owner fences the former one: it writes its epoch into the head and into the last
-page and takes the next page for itself. Whatever the former owner still writes meets a
-page at another revision, in which it finds the higher epoch.
+A new owner fences its predecessor by writing its epoch into the head and the last page,
+and by creating the next page. Later writes of the predecessor fail because the revision
+of the page has changed, and the page contains the higher epoch.
 """
 
 from collections.abc import Sequence
@@ -24,13 +24,13 @@
 )
 from trefoilhook.jobs import JobRecord
 from trefoilhook.journal.compaction import compact_records
-from trefoilhook.journal.generations import drop_former, name_generation
+from trefoilhook.journal.generations import delete_old_generations, name_generation
 from trefoilhook.journal.head import JournalHead
 from trefoilhook.journal.pages import (
     Page,
     decode_page,
     encode_page,
-    measure_records,
+    estimate_size,
 )
 from trefoilhook.journal.settings import JournalSettings
 from trefoilhook.store import (
@@ -43,11 +43,11 @@
 
 __all__ = ["Journal", "open_journal"]
 
-_PREFIX = "journal"
-# A page of a compaction is written once, so it may be larger than one that grows.
+_KEY_PREFIX = "journal"
+# Compacted pages are written only once, so they may exceed the size of appended pages.
 _COMPACTED_PAGE_BYTES = 262_144
-# A journal is compacted again once it has grown by this factor.
-_GROWTH = 2
+# Growth since the last compaction that triggers the next one.
+_COMPACTION_GROWTH_FACTOR = 2
 
 
 def open_journal(
@@ -58,7 +58,7 @@
     clock: Clock,
     settings: JournalSettings | None = None,
 ) -> "Journal":
-    """Open a shard's journal for the owner at an epoch; nothing is read yet."""
+    """Create the journal of a shard for the owner at an epoch; performs no I/O."""
     return Journal(
         store=store,
         shard_id=shard_id,
@@ -69,8 +69,8 @@
 
 
 @attrs.define(kw_only=True)
-class _Written:
-    """A page as this owner knows it in the store."""
+class _StoredPage:
+    """A page with its last known revision in the store."""
 
     key: str
     page: Page
@@ -79,20 +79,20 @@
 
 
 class Journal:
-    """One owner's way to a shard's journal.
+    """Journal of a shard, as accessed by one owner.
 
     Parameters
     ----------
     store : StoreClient
-        Adapter to the platform's store.
+        Client for the platform's store.
     shard_id : str
-        The shard.
+        Id of the shard.
     epoch : int
-        Epoch of the owner's claim.
+        Epoch of the owner's claim on the shard.
     clock : Clock
-        Time.
+        Clock.
     settings : JournalSettings
-        Sizes and times.
+        Page sizes, retention and timeouts.
     """
 
     def __init__(
@@ -105,18 +105,18 @@
         settings: JournalSettings,
     ) -> None:
         self._store = store
-        self._prefix = f"{_PREFIX}/{shard_id}"
+        self._prefix = f"{_KEY_PREFIX}/{shard_id}"
         self._epoch = epoch
         self._clock = clock
         self._settings = settings
         self._head = JournalHead(
             store=store, swap=self._swap, key=f"{self._prefix}/head", epoch=epoch
         )
-        self._generations: dict[str, list[_Written]] = {}
-        self._pages: list[_Written] = []
-        self._unsure: list[Page] = []
+        self._generations: dict[str, list[_StoredPage]] = {}
+        self._pages: list[_StoredPage] = []
+        self._unconfirmed: list[Page] = []
         self._compactions = 0
-        self._compact_from_bytes = settings.compact_pages * settings.page_bytes
+        self._compaction_threshold_bytes = settings.compact_pages * settings.page_bytes
 
     @property
     def page_count(self) -> int:
@@ -124,48 +124,50 @@
         return len(self._pages)
 
     async def load(self) -> Sequence[JobRecord]:
-        """Fence out former owners and return every record, oldest first.
+        """Fence previous owners and return all records, oldest first.
 
         Raises
         ------
         FencedError
-            If a later owner has been here.
+            If a later owner has written to the journal.
         StoreError
-            If the store can't be reached; may be called again.
+            If the store cannot be reached; the call may be repeated.
         """
         await self._head.fence()
         self._generations = {}
         self._pages = await self._read_pages()
-        self._unsure = []
+        self._unconfirmed = []
         await self._fence_pages()
         return [r for written in self._pages for r in written.page.records]
 
     async def append(self, records: Sequence[JobRecord]) -> None:
-        """Commit records together; returns once they are durable.
+        """Commit records; returns once they are durable.
 
         Raises
         ------
         FencedError
-            If a later owner has been here; these records are not committed.
+            If a later owner has written; these records are not committed.
         StoreUnsentError, StoreRateError
-            If they are surely not committed.
+            If the records were certainly not committed.
         StoreUnavailableError
-            If that is not known. They may be appended again; a record that stands
-            twice says the same as one that stands once.
+            If the outcome is unknown. The records may be appended again, since
+            duplicate records do not change the restored state.
         """
-        await self._settle_head()
-        is_begun = False
-        for chunk in self._split(records, limit_bytes=self._settings.page_bytes):
+        await self._resolve_head()
+        is_partly_committed = False
+        for chunk in self._split_records(
+            records, limit_bytes=self._settings.page_bytes
+        ):
             try:
                 await self._append_chunk(chunk)
             except (StoreRateError, StoreUnavailableError) as error:
-                if is_begun:
-                    message = "a part of the records is committed"
+                if is_partly_committed:
+                    message = "only part of the records was committed"
                     raise StoreUnavailableError(message) from error
                 raise
-            is_begun = True
-        if self._measure() > self._compact_from_bytes:
-            await self._try_compacting()
+            is_partly_committed = True
+        if self._count_bytes() > self._compaction_threshold_bytes:
+            await self._try_compact()
 
     async def _append_chunk(self, records: tuple[JobRecord, ...]) -> None:
         if self._pages[-1].size >= self._settings.page_bytes:
@@ -173,14 +175,16 @@
         last = self._pages[-1]
         await self._write_page(last, (*last.page.records, *records))
 
-    async def _settle_head(self) -> None:
-        """Know which generation is in use before anything is written to it."""
-        if not self._head.is_unsure:
+    async def _resolve_head(self) -> None:
+        """Determine the current generation before writing to it."""
+        if not self._head.has_unconfirmed_change:
             return
         try:
-            await self._head.settle()
+            await self._head.resolve()
         except StoreUnavailableError as error:
-            raise StoreUnsentError("the head is not settled") from error
+            raise StoreUnsentError(
+                "the outcome of the last change of the journal head is unknown"
+            ) from error
         self._pages = self._generations.get(self._head.generation, self._pages)
         self._generations = {}
 
@@ -188,26 +192,28 @@
         try:
             await self._open_page()
         except StoreUnavailableError as error:
-            raise StoreUnsentError("no page to write to") from error
+            raise StoreUnsentError(
+                "the next journal page could not be created"
+            ) from error
 
-    async def _read_pages(self) -> list[_Written]:
-        pages: list[_Written] = []
+    async def _read_pages(self) -> list[_StoredPage]:
+        pages: list[_StoredPage] = []
         after_key = ""
         while True:
             found = await self._store.list_entries(
                 f"{self._prefix}/{self._head.generation}/", after_key=after_key
             )
-            pages.extend(_read_entry(entry) for entry in found.entries)
+            pages.extend(_decode_entry(entry) for entry in found.entries)
             if found.next_key is None:
                 return pages
             after_key = found.next_key
 
     async def _fence_pages(self) -> None:
-        """Seal the last page against the former owner, and take the next one.
+        """Seal the last page against the previous owner and create the next one.
 
-        The former owner appends to the last page that it knows or opens the one after
-        it. The first fails at the sealed revision and the second at the page that now
-        exists; where it came first, its page is read and sealed in turn.
+        The previous owner either appends to the last page, which fails because sealing
+        changed its revision, or creates the next page, which fails because it already
+        exists. If the previous owner created it first, it is read and sealed in turn.
         """
         sealed = 0
         while True:
@@ -220,9 +226,9 @@
             except ConflictError as conflict:
                 if conflict.current is None:
                     raise
-                self._pages.append(_read_entry(conflict.current))
+                self._pages.append(_decode_entry(conflict.current))
 
-    async def _seal(self, written: _Written) -> None:
+    async def _seal(self, written: _StoredPage) -> None:
         self._check_epoch(written.page.epoch)
         while True:
             page = attrs.evolve(written.page, epoch=self._epoch, nonce=build_nonce())
@@ -232,9 +238,11 @@
                 )
             except ConflictError as conflict:
                 if conflict.current is None:
-                    message = f"{written.key} is gone: a later owner compacted"
+                    message = (
+                        f"{written.key} was deleted by a compaction of a later owner"
+                    )
                     raise FencedError(message) from conflict
-                current = _read_entry(conflict.current)
+                current = _decode_entry(conflict.current)
                 self._check_epoch(current.page.epoch)
                 written.page, written.revision = current.page, current.revision
                 written.size = current.size
@@ -243,7 +251,7 @@
                 return
 
     async def _open_page(self) -> None:
-        """Create the page after the last one."""
+        """Create the page that follows the last one."""
         number = len(self._pages)
         key = f"{self._prefix}/{self._head.generation}/{number:06d}"
         try:
@@ -251,28 +259,30 @@
         except ConflictError as conflict:
             if conflict.current is None:
                 raise
-            opened = _read_entry(conflict.current)
+            opened = _decode_entry(conflict.current)
             self._check_epoch(opened.page.epoch)
             if opened.page.epoch != self._epoch:
                 raise
-        await self._head.confirm()
+        await self._head.check_unchanged()
         self._pages.append(opened)
-        self._unsure = []
+        self._unconfirmed = []
 
-    async def _create_page(self, key: str, records: tuple[JobRecord, ...]) -> _Written:
+    async def _create_page(
+        self, key: str, records: tuple[JobRecord, ...]
+    ) -> _StoredPage:
         page = Page(epoch=self._epoch, nonce=build_nonce(), records=records)
         value = encode_page(page)
         revision = await self._swap(key, value, 0)
-        return _Written(key=key, page=page, revision=revision, size=len(value))
+        return _StoredPage(key=key, page=page, revision=revision, size=len(value))
 
     async def _write_page(
-        self, written: _Written, records: tuple[JobRecord, ...]
+        self, written: _StoredPage, records: tuple[JobRecord, ...]
     ) -> None:
-        """Write a page anew, after finding out what became of unsure writes to it.
+        """Rewrite a page, resolving earlier writes whose outcome is unknown.
 
-        A write whose answer was lost may take effect at any later time, but only at
-        the revision that it expected. So the next write expects the same revision: one
-        of them takes effect, and a conflict shows by its nonce which.
+        A write whose response was lost may take effect at any later time, but only at
+        the revision that it expected. The next write expects the same revision, so only
+        one of them takes effect, and on conflict the nonce identifies which.
         """
         while True:
             page = Page(epoch=self._epoch, nonce=build_nonce(), records=records)
@@ -280,41 +290,43 @@
             try:
                 revision = await self._swap(written.key, value, written.revision)
             except ConflictError as conflict:
-                self._resolve(written, conflict)
+                self._resolve_conflict(written, conflict)
                 added = [r for r in records if r not in written.page.records]
                 if not added:
                     return
                 records = (*written.page.records, *added)
             except StoreUnavailableError as error:
                 if not error.is_proved_unsent:
-                    self._unsure.append(page)
+                    self._unconfirmed.append(page)
                 raise
             else:
                 written.page, written.revision = page, revision
                 written.size = len(value)
-                self._unsure = []
+                self._unconfirmed = []
                 return
 
-    def _resolve(self, written: _Written, conflict: ConflictError) -> None:
-        """Take over the unsure write that took effect.
+    def _resolve_conflict(self, written: _StoredPage, conflict: ConflictError) -> None:
+        """Adopt the unconfirmed write that took effect.
 
         Raises
         ------
         FencedError
-            If the page is a later owner's.
+            If the page was deleted, or written by another owner.
         """
         if conflict.current is None:
-            raise FencedError(f"{written.key} is gone: a later owner compacted")
-        current = _read_entry(conflict.current)
+            raise FencedError(
+                f"{written.key} was deleted by a compaction of a later owner"
+            )
+        current = _decode_entry(conflict.current)
         self._check_epoch(current.page.epoch)
-        if current.page.nonce not in {page.nonce for page in self._unsure}:
-            raise FencedError(f"{written.key} was written by another")
+        if current.page.nonce not in {page.nonce for page in self._unconfirmed}:
+            raise FencedError(f"{written.key} was written by another owner")
         written.page, written.revision = current.page, current.revision
         written.size = current.size
-        self._unsure = []
+        self._unconfirmed = []
 
-    async def _try_compacting(self) -> None:
-        """Compact; a failure leaves the old generation in use, for the next append."""
+    async def _try_compact(self) -> None:
+        """Compact; on failure the old generation stays in use until the next append."""
         try:
             await self._compact()
         except FencedError:
@@ -323,40 +335,42 @@
             return
 
     async def _compact(self) -> None:
-        """Write what still counts as a new generation, then change the head to it."""
-        old = list(self._pages)
-        before_ms = self._clock.wall_ms() - self._settings.keep_ended_ms
+        """Write the records still needed as a new generation, then switch to it."""
+        old_pages = list(self._pages)
+        ended_after_ms = self._clock.wall_ms() - self._settings.keep_ended_ms
         records = compact_records(
-            [r for written in old for r in written.page.records],
-            ended_after_ms=before_ms,
+            [r for written in old_pages for r in written.page.records],
+            ended_after_ms=ended_after_ms,
         )
         self._compactions += 1
         generation = name_generation(
             epoch=self._epoch, number=self._compactions, nonce=build_nonce()
         )
-        fresh: list[_Written] = []
-        chunks = self._split(records, limit_bytes=_COMPACTED_PAGE_BYTES)
+        new_pages: list[_StoredPage] = []
+        chunks = self._split_records(records, limit_bytes=_COMPACTED_PAGE_BYTES)
         for number, chunk in enumerate(chunks or [()]):
             key = f"{self._prefix}/{generation}/{number:06d}"
-            fresh.append(await self._create_page(key, chunk))
-        self._generations = {self._head.generation: self._pages, generation: fresh}
+            new_pages.append(await self._create_page(key, chunk))
+        self._generations = {self._head.generation: self._pages, generation: new_pages}
         await self._head.switch(generation)
         self._generations = {}
-        self._pages = fresh
-        self._unsure = []
-        least_bytes = self._settings.compact_pages * self._settings.page_bytes
-        self._compact_from_bytes = max(least_bytes, _GROWTH * self._measure())
-        await drop_former(
+        self._pages = new_pages
+        self._unconfirmed = []
+        min_bytes = self._settings.compact_pages * self._settings.page_bytes
+        self._compaction_threshold_bytes = max(
+            min_bytes, _COMPACTION_GROWTH_FACTOR * self._count_bytes()
+        )
+        await delete_old_generations(
             self._store,
             prefix=self._prefix,
             generation=generation,
             epoch=self._epoch,
         )
 
-    def _measure(self) -> int:
+    def _count_bytes(self) -> int:
         return sum(written.size for written in self._pages)
 
-    def _split(
+    def _split_records(
         self, records: Sequence[JobRecord], *, limit_bytes: int
     ) -> list[tuple[JobRecord, ...]]:
         chunks: list[tuple[JobRecord, ...]] = []
@@ -364,7 +378,7 @@
         size = 0
         for record in records:
             chunk.append(record)
-            size += measure_records([record])
+            size += estimate_size([record])
             if size >= limit_bytes:
                 chunks.append(tuple(chunk))
                 chunk, size = [], 0
@@ -387,8 +401,8 @@
             raise FencedError(f"{self._prefix} belongs to epoch {epoch}")
 
 
-def _read_entry(entry: StoreEntry) -> _Written:
-    return _Written(
+def _decode_entry(entry: StoreEntry) -> _StoredPage:
+    return _StoredPage(
         key=entry.key,
         page=decode_page(entry.value),
         revision=entry.revision,
--- a/trefoilhook/journal/generations.py
+++ b/trefoilhook/journal/generations.py
@@ -1,4 +1,4 @@
-"""Generations of pages: their names, and the deletion of former ones."""
+"""Naming of page generations and deletion of old ones."""
 
 import contextlib
 
@@ -7,61 +7,61 @@
 from trefoilhook.exceptions import StoreError
 from trefoilhook.store import StoreClient, StoreEntry
 
-__all__ = ["drop_former", "name_generation"]
+__all__ = ["delete_old_generations", "name_generation"]
 
-_MOST_AT_ONCE = 8
+_MAX_CONCURRENT_DELETES = 8
 
 
 def name_generation(*, epoch: int, number: int, nonce: str = "") -> str:
-    """Return the name of a generation that an owner begins.
+    """Return the name of a new generation.
 
     Parameters
     ----------
     epoch : int
-        Epoch of the owner.
+        Epoch of the owner that creates it.
     number : int
-        How many generations the owner began before.
+        Number of generations the owner has created before.
     nonce : str, optional
-        Keeps apart the attempts of an owner that was loaded again.
+        Distinguishes generations created by an owner before and after a reload.
     """
     return f"{epoch}-{number}-{nonce}" if nonce else f"{epoch}-{number}"
 
 
-async def drop_former(
+async def delete_old_generations(
     store: StoreClient, *, prefix: str, generation: str, epoch: int
 ) -> None:
-    """Delete the pages of former generations, also what a dead owner left.
+    """Delete the pages of old generations, including those left by failed owners.
 
-    What can't be deleted now is left to the next compaction.
+    Pages that cannot be deleted are left to the next compaction.
 
-    Guards against the deletion of a later owner's pages: an owner that was frozen
-    before it listed the store finds generations that it doesn't know. Only those begun
-    at its own epoch or before are former ones.
+    Only generations created at the owner's epoch or earlier are deleted. An owner that
+    was suspended before listing the store may see generations created by a later owner,
+    which must be kept.
 
     Parameters
     ----------
     store : StoreClient
-        Adapter to the platform's store.
+        Client for the platform's store.
     prefix : str
-        Where the journal stands.
+        Key prefix of the journal.
     generation : str
-        The generation in use.
+        Current generation, which is kept.
     epoch : int
-        Epoch of the owner that deletes.
+        Epoch of the calling owner.
 
     Raises
     ------
     StoreError
-        If the pages can't be listed.
+        If the pages cannot be listed.
     """
-    limiter = trio.CapacityLimiter(_MOST_AT_ONCE)
+    limiter = trio.CapacityLimiter(_MAX_CONCURRENT_DELETES)
     after_key = ""
     while True:
         found = await store.list_entries(f"{prefix}/", after_key=after_key)
         async with trio.open_nursery() as nursery:
             for entry in found.entries:
                 name = entry.key.removeprefix(f"{prefix}/").partition("/")[0]
-                if name != generation and _is_begun_by(name, epoch):
+                if name != generation and _is_created_by(name, epoch):
                     nursery.start_soon(_delete, store, entry, limiter)
         if found.next_key is None:
             return
@@ -76,7 +76,7 @@
             await store.swap(entry.key, None, expected_revision=entry.revision)
 
 
-def _is_begun_by(name: str, epoch: int) -> bool:
-    """Tell whether a name is that of a generation begun at an epoch or before."""
+def _is_created_by(name: str, epoch: int) -> bool:
+    """Return whether a generation was created at an epoch or earlier."""
     begun_epoch, separator, _ = name.partition("-")
     return bool(separator) and int(begun_epoch) <= epoch
--- a/trefoilhook/journal/head.py
+++ b/trefoilhook/journal/head.py
@@ -1,4 +1,4 @@
-"""The head of a journal: which generation of pages is in use."""
+"""Head of a journal, which names the current generation of pages."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,29 +11,29 @@
     build_nonce,
 )
 
-__all__ = ["JournalHead", "SwapValue"]
+__all__ = ["JournalHead", "SwapFunction"]
 
-# Changes a key from an expected revision; returns the new one.
-SwapValue = Callable[[str, bytes, int], Awaitable[int]]
+# Writes a key if it has the expected revision; returns the new revision.
+SwapFunction = Callable[[str, bytes, int], Awaitable[int]]
 
 
 class JournalHead:
-    """The head as one owner knows it.
+    """Head of a journal, as accessed by one owner.
 
     Parameters
     ----------
     store : StoreClient
-        Adapter to the platform's store.
+        Client for the platform's store.
     swap : callable
-        Changes a value in the store.
+        Compare-and-swap on a key of the store.
     key : str
-        Where the head stands.
+        Key of the head.
     epoch : int
         Epoch of the owner.
     """
 
     def __init__(
-        self, *, store: StoreClient, swap: SwapValue, key: str, epoch: int
+        self, *, store: StoreClient, swap: SwapFunction, key: str, epoch: int
     ) -> None:
         self._store = store
         self._swap = swap
@@ -41,21 +41,21 @@
         self._epoch = epoch
         self._revision = 0
         self._nonce = ""
-        self._unsure: dict[str, Head] = {}
+        self._unconfirmed: dict[str, Head] = {}
         self.generation = ""
 
     @property
-    def is_unsure(self) -> bool:
-        """Whether a change may have taken effect, or may yet."""
-        return bool(self._unsure)
+    def has_unconfirmed_change(self) -> bool:
+        """Whether a change of unknown outcome may have taken effect, or still may."""
+        return bool(self._unconfirmed)
 
     async def fence(self) -> None:
-        """Write the own epoch into the head, whatever generation it names.
+        """Write this owner's epoch into the head, keeping its generation.
 
         Raises
         ------
         FencedError
-            If a later owner has been here.
+            If a later owner has written to the journal.
         """
         entry = await self._store.get(self._key)
         generation, revision = name_generation(epoch=self._epoch, number=0), 0
@@ -67,14 +67,14 @@
         await self.switch(generation)
 
     async def switch(self, generation: str) -> None:
-        """Name another generation.
+        """Switch the head to another generation.
 
         Raises
         ------
         FencedError
-            If a later owner has been here.
+            If a later owner has written to the journal.
         StoreUnavailableError
-            If it is not known whether the change takes effect; then `settle` it.
+            If the outcome of the change is unknown; call `resolve` to determine it.
         """
         head = Head(epoch=self._epoch, nonce=build_nonce(), generation=generation)
         try:
@@ -85,64 +85,63 @@
             raise
         except StoreUnavailableError as error:
             if not error.is_proved_unsent:
-                self._unsure[head.nonce] = head
+                self._unconfirmed[head.nonce] = head
             raise
         self._revision = revision
         self._nonce = head.nonce
         self.generation = generation
-        self._unsure.clear()
+        self._unconfirmed.clear()
 
-    async def confirm(self) -> None:
-        """Make sure, once a page was created, that no later owner came before it.
+    async def check_unchanged(self) -> None:
+        """Check, after creating a page, that no later owner has changed the head.
 
-        Guards against lost records: a later owner that compacted has deleted the pages
-        that fence its predecessors. One of those that was frozen meanwhile finds the
-        place of its next page free, and what it wrote there nobody would ever read.
-        When the head is still the own one after the page was created, any later owner
-        finds the page.
+        A later owner that compacted the journal has deleted the pages that fence its
+        predecessors. A predecessor that was suspended meanwhile could create its next
+        page, whose records would never be read. If the head is unchanged after the page
+        was created, any later owner will find the page.
 
         Raises
         ------
         FencedError
-            If a later owner has been here.
+            If a later owner has written to the journal.
         """
         entry = await self._store.get(self._key)
         if entry is None or decode_head(entry.value).nonce != self._nonce:
-            raise FencedError(f"{self._key} was written by another")
+            raise FencedError(f"{self._key} was written by another owner")
 
-    async def settle(self) -> None:
-        """Find out what became of changes whose answers were lost.
+    async def resolve(self) -> None:
+        """Determine the outcome of changes whose responses were lost.
 
-        Guards against lost records: the head may name a new generation, at once or
-        when a delayed change arrives, while this owner goes on writing pages of the
-        old one, which the next owner never reads. All the changes expected the same
-        revision, and so does this one: either it takes effect, and then none of them
-        ever can, or the conflict shows which of them did.
+        Otherwise the head might name a new generation, immediately or once a delayed
+        change arrives, while this owner keeps writing to the old one, which the next
+        owner never reads. All unconfirmed changes expect the same revision, as does the
+        write made here: either it takes effect and excludes all of them, or the
+        conflict shows which of them took effect.
 
         Raises
         ------
         FencedError
-            If a later owner has been here.
+            If a later owner has written to the journal.
         StoreError
-            If it is still not known; may be called again.
+            If the outcome is still unknown; the call may be repeated.
         """
-        if not self._unsure:
+        if not self._unconfirmed:
             return
         try:
             await self.switch(self.generation)
         except ConflictError as conflict:
-            self._adopt(conflict)
+            self._adopt_change(conflict)
 
-    def _adopt(self, conflict: ConflictError) -> None:
+    def _adopt_change(self, conflict: ConflictError) -> None:
         if conflict.current is None:
             raise conflict
         head = decode_head(conflict.current.value)
-        if head.nonce not in self._unsure:
-            raise FencedError(f"{self._key} was written by another") from conflict
+        if head.nonce not in self._unconfirmed:
+            raise FencedError(f"{self._key} was written by another owner") from conflict
         self._revision = conflict.current.revision
         self._nonce = head.nonce
         self.generation = head.generation
-        self._unsure.clear()
+        self._unconfirmed.clear()
 
     def _check_epoch(self, head: Head) -> None:
         if head.epoch > self._epoch:
--- a/trefoilhook/journal/pages.py
+++ b/trefoilhook/journal/pages.py
@@ -1,4 +1,4 @@
-"""The values that a journal is made of."""
+"""Encoding of journal pages and heads."""
 
 import json
 from collections.abc import Sequence
@@ -16,16 +16,16 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """One value with records.
+    """Page of journal records, stored as one value.
 
     Parameters
     ----------
     epoch : int
         Epoch of the owner that wrote it last.
     nonce : str
-        Names the write, so that its writer knows it again.
+        Random identifier of the write, by which its writer recognises it.
     records : tuple of JobRecord
-        The records, oldest first.
+        Records, oldest first.
     """
 
     epoch: int
@@ -35,16 +35,17 @@
 
 @attrs.frozen(kw_only=True)
 class Head:
-    """The value that names the pages in use.
+    """Value that names the current generation of pages.
 
     Parameters
     ----------
     epoch : int
         Epoch of the owner that wrote it last.
     nonce : str
-        Names the write.
+        Random identifier of the write.
     generation : str
-        Prefix of the pages in use; a new one with each compaction.
+        Name of the current generation, part of the page keys; each compaction
+        creates a new one.
     """
 
     epoch: int
@@ -58,33 +59,33 @@
 
 
 def encode_page(page: Page) -> bytes:
-    """Return a page as stored."""
+    """Encode a page for storage."""
     return _encode(page)
 
 
 def encode_head(head: Head) -> bytes:
-    """Return a head as stored."""
+    """Encode a head for storage."""
     return _encode(head)
 
 
 def decode_page(value: bytes) -> Page:
-    """Read a stored page.
+    """Decode a stored page.
 
     Raises
     ------
     ValueError
-        If the value is no page.
+        If the value is not a page.
     """
     return _CONVERTER.structure(_load(value), Page)
 
 
 def decode_head(value: bytes) -> Head:
-    """Read a stored head.
+    """Decode a stored head.
 
     Raises
     ------
     ValueError
-        If the value is no head.
+        If the value is not a head.
     """
     return _CONVERTER.structure(_load(value), Head)
 
@@ -92,10 +93,10 @@
 def _load(value: bytes) -> dict[str, Any]:
     plain = json.loads(value)
     if not isinstance(plain, dict):
-        raise ValueError("not a page of a journal")
+        raise ValueError("journal value is not a JSON object")
     return plain
 
 
-def measure_records(records: Sequence[JobRecord]) -> int:
-    """Return about how many bytes records take in a page."""
+def estimate_size(records: Sequence[JobRecord]) -> int:
+    """Estimate the encoded size of records in a page, in bytes."""
     return len(json.dumps(_CONVERTER.unstructure(list(records))))
--- a/trefoilhook/journal/settings.py
+++ b/trefoilhook/journal/settings.py
@@ -1,4 +1,4 @@
-"""Sizes and times of the journals."""
+"""Settings of the journals."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class JournalSettings:
-    """Sizes and times of the journals."""
+    """Page size, compaction, retention and timeout settings of the journals."""
 
     page_bytes: int = declare(
         default=16_384,
--- a/trefoilhook/journal/tests/test_journal.py
+++ b/trefoilhook/journal/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal under lost answers, former owners and compaction."""
+"""Journal under lost responses, concurrent owners and compaction."""
 
 import contextlib
 import functools
@@ -28,7 +28,7 @@
 
 
 class JournalTest(unittest.TestCase):
-    """One store, one owner after another."""
+    """One store with successive owners of the journal."""
 
     def _run(self, scenario) -> None:
         async def run() -> None:
@@ -70,8 +70,8 @@
         self._run(scenario)
 
     def test_former_owner_can_not_append(self):
-        # An owner is frozen while the next one loads the journal. What it appends
-        # afterwards would be lost to the next owner although it was told "recorded".
+        # An owner is suspended while its successor loads the journal. If it could still
+        # append, records confirmed as durable would be missing for the successor.
         async def scenario() -> None:
             for appended in (0, 30):
                 first = self._open(10 * appended + 1)
@@ -84,24 +84,26 @@
 
         self._run(scenario)
 
-    def test_append_that_overtakes_the_takeover_is_read(self):
-        # The former owner's append reaches the store while the next owner loads, at
-        # any point of its loading. It is either refused or seen by the next owner.
+    def test_append_during_a_takeover_is_read_or_refused(self):
+        # The previous owner appends while the next one loads the journal, at any point
+        # of the loading. The append must either fail or be seen by the next owner.
         async def scenario() -> None:
             for delay_ms in range(0, 24):
                 first = self._open(100 + 2 * delay_ms)
                 await first.load()
                 second = self._open(101 + 2 * delay_ms)
-                told: list[str] = []
+                confirmed: list[str] = []
                 name = f"d{delay_ms}"
 
-                async def append(first=first, name=name, told=told, ms=delay_ms):
+                async def append(
+                    first=first, name=name, confirmed=confirmed, ms=delay_ms
+                ):
                     await self.clock.sleep_ms(ms)
                     try:
                         await first.append([_record(name)] * 12)
-                        told.append(name)
+                        confirmed.append(name)
                         await first.append([_record(f"{name}-next")])
-                        told.append(f"{name}-next")
+                        confirmed.append(f"{name}-next")
                     except FencedError:
                         return
 
@@ -109,13 +111,13 @@
                     nursery.start_soon(append)
                     seen = _names(await second.load())
                 with self.subTest(delay_ms=delay_ms):
-                    self.assertLessEqual(set(told), set(seen))
+                    self.assertLessEqual(set(confirmed), set(seen))
 
         self._run(scenario)
 
-    def test_lost_answer_is_found_again(self):
-        # The store takes the append and its answer gets lost, at first for longer than
-        # the journal looks. The next append finds it by its nonce and adds to it.
+    def test_append_with_a_lost_response_is_recognised(self):
+        # The store applies an append, but its response is lost and the append times
+        # out. The next append must recognise the write by its nonce and add to it.
         async def scenario() -> None:
             client = VirtualStoreClient(store=self.store)
             journal = self._open(1, client)
@@ -129,7 +131,7 @@
 
         self._run(scenario)
 
-    def test_outage_is_a_sure_no(self):
+    def test_outage_is_reported_as_unsent(self):
         async def scenario() -> None:
             client = VirtualStoreClient(store=self.store, is_unsent=True)
             journal = self._open(1, client)
@@ -143,7 +145,7 @@
 
         self._run(scenario)
 
-    def test_compaction_keeps_what_counts_and_bounds_the_rest(self):
+    def test_compaction_keeps_needed_records_and_bounds_pages(self):
         async def scenario() -> None:
             journal = self._open(1)
             await journal.load()
@@ -164,8 +166,8 @@
         self._run(scenario)
 
     def test_former_owner_can_not_compact(self):
-        # The frozen owner wakes up in the middle of a compaction and changes the head:
-        # the records of the next owner would be gone.
+        # A suspended owner resumes in the middle of a compaction. If it could change
+        # the head, the records of the next owner would be lost.
         async def scenario() -> None:
             first = self._open(1)
             await first.load()
@@ -190,11 +192,11 @@
 
         self._run(scenario)
 
-    def test_append_that_is_cut_short_is_no_sure_no(self):
-        # A burst of jobs fills two pages and the store goes down between them. The
-        # first ones are recorded: told "not run", their operators would submit again.
+    def test_partial_append_is_not_reported_as_unsent(self):
+        # An append spans several pages and the store fails between them. Some jobs are
+        # recorded; if the error claimed otherwise, operators would submit them again.
         async def scenario() -> None:
-            client = _OneWrite(store=self.store, is_unsent=True)
+            client = _SingleWriteClient(store=self.store, is_unsent=True)
             journal = self._open(1, client)
             await journal.load()
             client.is_counting = True
@@ -206,40 +208,40 @@
         self._run(scenario)
 
     def test_lost_answer_to_the_change_of_generation(self):
-        # A compaction changes the head, and the store's answer is lost for good. Were
-        # the old pages still written afterwards, every job recorded there would be
-        # gone with the next owner, although its operator was told "recorded".
+        # A compaction changes the head, but the response is lost. If the old pages were
+        # still written afterwards, jobs confirmed as recorded there would be missing
+        # for the next owner.
         for lost, is_late in ((1, False), (2, False), (1, True), (2, True)):
 
             async def scenario(lost=lost, is_late=is_late) -> None:
-                client = _HeadLoser(store=self.store)
+                client = _HeadResponseDroppingClient(store=self.store)
                 journal = self._open(1, client)
                 await journal.load()
-                client.heads_to_lose = lost
+                client.responses_to_drop = lost
                 client.is_late = is_late
-                told = []
+                confirmed = []
                 for number in range(40):
                     name = f"j{number}"
                     with contextlib.suppress(StoreUnavailableError):
                         await journal.append([_record(name, result="x" * 300)])
-                        told.append(name)
-                self.assertEqual(client.heads_to_lose, 0)
-                self.assertGreater(len(told), 36)
+                        confirmed.append(name)
+                self.assertEqual(client.responses_to_drop, 0)
+                self.assertGreater(len(confirmed), 36)
                 names = _names(await self._open(2).load())
-                self.assertLessEqual(set(told), set(names))
+                self.assertLessEqual(set(confirmed), set(names))
 
             with self.subTest(lost=lost, is_late=is_late):
                 self._run(scenario)
 
-    def test_new_generation_is_written_once_it_is_found_in_use(self):
-        # As above, but the next compactions fail, so that what is recorded after the
-        # lost answer stands only where it was written first.
+    def test_appends_go_to_the_new_generation_after_a_lost_response(self):
+        # As above, but later compactions fail, so that records appended after the lost
+        # response remain in the generation to which they were first written.
         async def scenario() -> None:
-            client = _HeadLoser(store=self.store)
+            client = _HeadResponseDroppingClient(store=self.store)
             journal = self._open(1, client)
             await journal.load()
-            client.heads_to_lose = 1
-            while client.heads_to_lose:
+            client.responses_to_drop = 1
+            while client.responses_to_drop:
                 await journal.append([_record("a", result="x" * 270)])
             self.assertLess(journal._pages[-1].size, _SMALL.page_bytes)
             client.is_compaction_blocked = True
@@ -248,15 +250,15 @@
 
         self._run(scenario)
 
-    def test_outage_with_an_unsure_head_is_a_sure_no(self):
-        # The head's change is unsure and the store is gone. New records were not sent
-        # anywhere, so an operator may be told that they are not recorded.
+    def test_outage_with_an_unconfirmed_head_is_reported_as_unsent(self):
+        # The outcome of a head change is unknown and the store is unreachable. New
+        # records are not sent, so the error must state that they are not recorded.
         async def scenario() -> None:
-            client = _HeadLoser(store=self.store)
+            client = _HeadResponseDroppingClient(store=self.store)
             journal = self._open(1, client)
             await journal.load()
-            client.heads_to_lose = 1
-            while client.heads_to_lose:
+            client.responses_to_drop = 1
+            while client.responses_to_drop:
                 await journal.append([_record("a", result="x" * 1_100)])
             client.is_cut = True
             with self.assertRaises(StoreUnsentError):
@@ -264,7 +266,7 @@
 
         self._run(scenario)
 
-    def test_outage_with_a_full_page_is_a_sure_no(self):
+    def test_outage_with_a_full_page_is_reported_as_unsent(self):
         async def scenario() -> None:
             client = VirtualStoreClient(store=self.store)
             journal = self._open(1, client)
@@ -276,15 +278,15 @@
 
         self._run(scenario)
 
-    def test_second_writer_at_the_same_epoch_is_a_fence(self):
-        # A journal is opened twice at one epoch, which a claim never does. One of the
-        # two must stop; neither may take the other's writes for its own.
+    def test_second_writer_at_the_same_epoch_is_fenced(self):
+        # The journal is opened twice at the same epoch, which claims do not allow. One
+        # writer must be fenced, and neither may adopt the writes of the other.
         async def scenario(is_head_lost) -> None:
-            client = _HeadLoser(store=self.store)
+            client = _HeadResponseDroppingClient(store=self.store)
             first = self._open(1, client)
             await first.load()
-            client.heads_to_lose = int(is_head_lost)
-            while client.heads_to_lose:
+            client.responses_to_drop = int(is_head_lost)
+            while client.responses_to_drop:
                 await first.append([_record("a", result="x" * 1_100)])
             second = self._open(1)
             await second.load()
@@ -297,79 +299,79 @@
                 self._run(functools.partial(scenario, is_head_lost))
 
     def test_former_owner_opens_a_page_while_the_next_one_loads(self):
-        # The next owner has read the pages when the former one takes the place of the
-        # page that the next one is about to open. It must load all the same, and what
-        # the former one was told must be true.
+        # After the next owner has read the pages, the previous one appends before the
+        # next one creates its page. Loading must still succeed, and the result of the
+        # append must be correct.
         async def scenario() -> None:
             first = self._open(1)
             await first.load()
             await first.append([_record("a", result="x" * 1_100)])
-            ends: list[object] = []
-            client = _Interloper(store=self.store)
-            client.meanwhile = functools.partial(_try_appending, first, ends)
+            outcomes: list[object] = []
+            client = _ConcurrentWriteClient(store=self.store)
+            client.callback = functools.partial(_try_appending, first, outcomes)
             second = self._open(2, client)
             self.assertEqual(_names(await second.load()), ["a"])
-            self.assertIsInstance(ends[0], FencedError)
+            self.assertIsInstance(outcomes[0], FencedError)
             await second.append([_record("kept")])
             self.assertIn("kept", _names(await self._open(3).load()))
 
         self._run(scenario)
 
     def test_former_owner_does_not_delete_the_next_ones_pages(self):
-        # An owner is frozen after a compaction, just before it deletes old pages. It
-        # wakes up after the next owner compacted too, lists the store, and finds pages
-        # that it doesn't know: the next owner's.
+        # An owner is suspended after a compaction, before deleting the old pages. It
+        # resumes after the next owner has compacted, and lists the pages of that owner,
+        # which it must not delete.
         async def scenario() -> None:
-            frozen = _FrozenLister(store=self.store)
-            first = self._open(1, frozen)
+            client = _PausedListClient(store=self.store)
+            first = self._open(1, client)
             await first.load()
-            frozen.is_frozen = True
+            client.is_suspended = True
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(_append_many, first, "a", 20)
-                await frozen.reached.wait()
+                await client.list_reached.wait()
                 second = self._open(2)
                 await second.load()
                 await _append_many(second, "b", 40)
-                frozen.thaw.set()
+                client.resume.set()
             names = _names(await self._open(3).load())
             self.assertLessEqual({f"b{number}" for number in range(40)}, set(names))
 
         self._run(scenario)
 
     def test_former_owner_finds_its_pages_deleted(self):
-        # An owner is frozen with a full page, in the middle of its loading, or with
-        # room in its page. The next one compacts, which deletes the pages that fence
-        # the first: it finds the place of its next page free, or its own page gone.
-        # What it recorded there nobody would ever read; and it must learn that it is
-        # fenced, since any other error would end the whole instance.
+        # An owner is suspended while loading, or with a full or partly filled page. The
+        # next owner compacts, which deletes the pages that fence the first one, so that
+        # it can create its next page or finds its own page deleted. Its records would
+        # never be read, so it must raise FencedError; any other error would terminate
+        # the instance.
         async def scenario(is_loading, size) -> None:
-            frozen = _FrozenLister(store=self.store)
-            first = self._open(1, frozen)
+            client = _PausedListClient(store=self.store)
+            first = self._open(1, client)
             if not is_loading:
                 await first.load()
                 await first.append([_record("a", result="x" * size)])
-            frozen.is_frozen = is_loading
-            frozen.frozen_prefix = f"journal/{_SHARD}/1-0/"
-            ends: list[object] = []
+            client.is_suspended = is_loading
+            client.suspended_prefix = f"journal/{_SHARD}/1-0/"
+            outcomes: list[object] = []
             async with trio.open_nursery() as nursery:
                 if is_loading:
-                    nursery.start_soon(_load_and_append, first, ends)
-                    await frozen.reached.wait()
+                    nursery.start_soon(_load_and_append, first, outcomes)
+                    await client.list_reached.wait()
                 second = self._open(2)
                 await second.load()
                 await _append_many(second, "b", 40)
-                frozen.thaw.set()
+                client.resume.set()
             if not is_loading:
-                await _try_appending(first, ends)
-            self.assertIsInstance(ends[0], FencedError)
+                await _try_appending(first, outcomes)
+            self.assertIsInstance(outcomes[0], FencedError)
 
         for is_loading, size in ((False, 1_100), (True, 0), (False, 100)):
             with self.subTest(is_loading=is_loading, size=size):
                 self._run(functools.partial(scenario, is_loading, size))
 
     def test_compaction_keeps_the_checkpoint_of_a_job_started_anew(self):
-        # A job is evicted, recorded to start anew, and its owner dies. Without the
-        # checkpoint the next attempt would begin at the start and do work twice.
+        # A job is evicted and restarted, and then its owner fails. If compaction
+        # dropped the checkpoint, the next attempt would repeat work from the beginning.
         evicted = _record("j", RecordKind.EVICTED, checkpoint="half")
         started = _record("j", RecordKind.STARTING, worker_id="w")
         accepted = _record("j", RecordKind.ACCEPTED)
@@ -379,20 +381,20 @@
                 self.assertEqual(kept, [accepted, *order])
 
 
-async def _try_appending(journal, ends):
+async def _try_appending(journal, outcomes):
     try:
-        ends.append(await journal.append([_record("lost")]))
+        outcomes.append(await journal.append([_record("lost")]))
     except FencedError as error:
-        ends.append(error)
+        outcomes.append(error)
 
 
-async def _load_and_append(journal, ends):
+async def _load_and_append(journal, outcomes):
     try:
         await journal.load()
     except FencedError as error:
-        ends.append(error)
+        outcomes.append(error)
     else:
-        await _try_appending(journal, ends)
+        await _try_appending(journal, outcomes)
 
 
 async def _append_many(journal, prefix, count):
@@ -402,26 +404,26 @@
             await journal.append([record])
 
 
-class _HeadLoser(VirtualStoreClient):
-    """Loses answers to changes of the head; late ones take effect 5 ms after."""
+class _HeadResponseDroppingClient(VirtualStoreClient):
+    """Drops responses to head changes; late changes take effect after 5 ms."""
 
-    heads_to_lose = 0
+    responses_to_drop = 0
     is_late = False
     is_compaction_blocked = False
 
     async def swap(self, key, value, **more):
         is_first_page = key.endswith("/000000") and not more["expected_revision"]
         if self.is_compaction_blocked and is_first_page:
-            raise StoreUnsentError("no new generation")
-        is_lost = self.heads_to_lose and key.endswith("/head")
+            raise StoreUnsentError("writes of new generations are blocked")
+        is_lost = self.responses_to_drop and key.endswith("/head")
         if not is_lost:
             return await super().swap(key, value, **more)
-        self.heads_to_lose -= 1
+        self.responses_to_drop -= 1
         if self.is_late:
             trio.lowlevel.spawn_system_task(self._swap_late, key, value, more)
         else:
             await super().swap(key, value, **more)
-        raise StoreUnavailableError("the answer was lost")
+        raise StoreUnavailableError("the response was lost")
 
     async def _swap_late(self, key, value, more):
         await trio.sleep(0.005)
@@ -429,20 +431,20 @@
             await super().swap(key, value, **more)
 
 
-class _Interloper(VirtualStoreClient):
-    """Lets something happen just before the first page is created."""
+class _ConcurrentWriteClient(VirtualStoreClient):
+    """Runs a callback just before the first page is created."""
 
-    meanwhile = None
+    callback = None
 
     async def swap(self, key, value, **more):
-        if self.meanwhile is not None and more["expected_revision"] == 0:
-            meanwhile, self.meanwhile = self.meanwhile, None
-            await meanwhile()
+        if self.callback is not None and more["expected_revision"] == 0:
+            callback, self.callback = self.callback, None
+            await callback()
         return await super().swap(key, value, **more)
 
 
-class _OneWrite(VirtualStoreClient):
-    """A client that loses the store after one more write."""
+class _SingleWriteClient(VirtualStoreClient):
+    """Client that loses the connection to the store after one more write."""
 
     is_counting = False
 
@@ -452,19 +454,19 @@
         return result
 
 
-class _FrozenLister(VirtualStoreClient):
-    """Stands still before it lists what stands under a prefix."""
+class _PausedListClient(VirtualStoreClient):
+    """Suspends before listing the entries under a prefix."""
 
-    is_frozen = False
-    frozen_prefix = f"journal/{_SHARD}/"
+    is_suspended = False
+    suspended_prefix = f"journal/{_SHARD}/"
 
     def __init__(self, *, store):
         super().__init__(store=store)
-        self.reached = trio.Event()
-        self.thaw = trio.Event()
+        self.list_reached = trio.Event()
+        self.resume = trio.Event()
 
     async def list_entries(self, prefix, **more):
-        if self.is_frozen and prefix == self.frozen_prefix:
-            self.reached.set()
-            await self.thaw.wait()
+        if self.is_suspended and prefix == self.suspended_prefix:
+            self.list_reached.set()
+            await self.resume.wait()
         return await super().list_entries(prefix, **more)
