--- a/trefoilhook/journal/core.py
+++ b/trefoilhook/journal/core.py
@@ -337,10 +337,10 @@
     async def _compact(self) -> None:
         """Write the records still needed as a new generation, then switch to it."""
         old_pages = list(self._pages)
-        ended_after_ms = self._clock.wall_ms() - self._settings.keep_ended_ms
+        cutoff_ms = self._clock.wall_ms() - self._settings.keep_ended_ms
         records = compact_records(
             [r for written in old_pages for r in written.page.records],
-            ended_after_ms=ended_after_ms,
+            ended_after_ms=cutoff_ms,
         )
         self._compactions += 1
         generation = name_generation(
--- a/trefoilhook/workers/__init__.py
+++ b/trefoilhook/workers/__init__.py
@@ -1,4 +1,4 @@
-"""Adapter to the platform's workers."""
+"""Client for the platform's workers."""
 
 from trefoilhook.workers.client import WorkerClient
 from trefoilhook.workers.core import (
--- a/trefoilhook/workers/client.py
+++ b/trefoilhook/workers/client.py
@@ -1,7 +1,7 @@
-"""Adapter to one worker.
+"""Client for one worker.
 
-The only module that knows how workers are spoken to: HTTP/1.1 with JSON bodies,
-described in ``docs/INTERFACES.md``.
+Implements the worker protocol, HTTP/1.1 with JSON bodies, which is described in
+``docs/INTERFACES.md``. It is the only module that depends on the protocol.
 """
 
 from collections.abc import Sequence
@@ -33,31 +33,31 @@
 __all__ = ["WorkerClient"]
 
 _T = TypeVar("_T")
-_SERVER_FAULT = 500
+_FIRST_SERVER_ERROR = 500
 
 
 class WorkerClient:
-    """Calls to one worker; each may be made at the same time as others.
+    """Client for one worker; calls may be made concurrently.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     host : str
-        Its address, an IP number.
+        IP address.
     port : int
-        Its port.
+        TCP port.
     clock : Clock
-        Where time comes from.
+        Clock.
     timeout_ms : float
-        Longest time for one call, in ms.
+        Timeout of one call, in ms.
 
     Notes
     -----
-    Every method raises ``FencedError`` when the worker has seen a higher epoch (or
-    this one from another owner), ``LeaseLostError`` when the lease has lapsed,
-    ``NotSentError`` when nothing reached the worker, and ``AnswerLostError`` when it
-    can't be told whether the call took effect. Each call may be repeated.
+    Every method raises ``FencedError`` if the worker has seen a higher epoch (or the
+    same epoch from another owner), ``LeaseLostError`` if the lease has lapsed,
+    ``NotSentError`` if the request did not reach the worker, and ``AnswerLostError`` if
+    it is unknown whether the call took effect. All calls are idempotent.
     """
 
     def __init__(
@@ -72,18 +72,18 @@
     async def take_lease(
         self, owner_id: str, epoch: int, ttl_ms: float
     ) -> WorkerInventory:
-        """Become the worker's owner; its tasks go on running.
+        """Acquire the lease on the worker; its tasks keep running.
 
         Parameters
         ----------
         owner_id : str
-            The own instance id.
+            Id of the calling instance.
         epoch : int
-            Epoch of the own shard; higher than any that the worker has seen. The same
-            owner may repeat its call at the same epoch until the lease lapses.
+            Epoch of the lease, higher than any that the worker has seen. The same owner
+            may repeat the call at the same epoch until the lease lapses.
         ttl_ms : float
-            Time without a renewal after which the lease lapses, in ms. The worker then
-            stops all that it runs.
+            Time to live of the lease without renewal, in ms. When the lease lapses, the
+            worker stops all its tasks.
         """
         request = LeaseRequest(
             worker_id=self.worker_id, owner_id=owner_id, epoch=epoch, ttl_ms=ttl_ms
@@ -91,53 +91,59 @@
         return await self._call("/v1/lease", request, WorkerInventory)
 
     async def renew(self, epoch: int, ttl_ms: float) -> WorkerHeartbeat:
-        """Start the lease's time anew, and hear what ended and what was measured."""
+        """Renew the lease; return ended tasks and the latest usage report."""
         request = RenewRequest(worker_id=self.worker_id, epoch=epoch, ttl_ms=ttl_ms)
         return await self._call("/v1/renew", request, WorkerHeartbeat)
 
     async def command(
         self, epoch: int, commands: Sequence[WorkerCommand]
     ) -> tuple[CommandResult, ...]:
-        """Have commands carried out in their order.
+        """Execute commands in order.
 
         Parameters
         ----------
         epoch : int
-            Epoch at which the lease was taken.
+            Epoch at which the lease was acquired.
         commands : sequence of WorkerCommand
-            What to do.
+            Commands to execute.
 
         Returns
         -------
         tuple of CommandResult
-            One for each command, in the same order.
+            One result per command, in the same order.
         """
         request = CommandsRequest(
             worker_id=self.worker_id, epoch=epoch, commands=tuple(commands)
         )
         answer = await self._call("/v1/commands", request, CommandsAnswer)
         if len(answer.results) != len(request.commands):
-            raise AnswerLostError("the worker left out results")
+            raise AnswerLostError("the worker did not return one result per command")
         return answer.results
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections."""
         await self._platform.close()
 
     async def _call(self, path: str, body: object, kind: type[_T]) -> _T:
         response = await self._platform.exchange("POST", path, body=body)
         if response.status != 200:
-            self._raise_refusal(response)
+            self._raise_for_error(response)
         return decode_answer(response, kind)
 
-    def _raise_refusal(self, response: HttpResponse) -> NoReturn:
+    def _raise_for_error(self, response: HttpResponse) -> NoReturn:
         name = read_error_name(response)
         if name == "fenced":
             raise FencedError(f"{self.worker_id} has seen a higher epoch")
         if name == "lease_lost":
             raise LeaseLostError(f"the lease of {self.worker_id} has lapsed")
         if name == "wrong_worker":
-            raise NotSentError(f"not {self.worker_id} answers at its address")
-        if response.status >= _SERVER_FAULT:
-            raise AnswerLostError(f"{self.worker_id} answered {response.status}")
-        raise RequestError(f"{self.worker_id} refused: {response.status} {name}")
+            raise NotSentError(
+                f"another worker answers at the address of {self.worker_id}"
+            )
+        if response.status >= _FIRST_SERVER_ERROR:
+            raise AnswerLostError(
+                f"{self.worker_id} answered with status {response.status}"
+            )
+        raise RequestError(
+            f"{self.worker_id} refused the call: {response.status} {name}"
+        )
--- a/trefoilhook/workers/core.py
+++ b/trefoilhook/workers/core.py
@@ -1,8 +1,8 @@
-"""Typed messages between the owner of a worker and the worker.
+"""Message types exchanged between a worker and its owner.
 
-A worker obeys one owner at a time: the one that took its lease at the highest epoch.
-Whatever carries an older epoch is refused. A task is one attempt of a job, named by the
-job and the attempt's epoch and sequence; a later attempt compares greater.
+A worker has one owner at a time: the holder of its lease at the highest epoch. Messages
+with a lower epoch are refused. A task is one attempt of a job, identified by the job id
+and the epoch and sequence of the attempt; later attempts compare greater.
 """
 
 import enum
@@ -27,7 +27,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task stands at its worker; all but RUNNING are final."""
+    """State of a task on its worker; all states except RUNNING are final."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -37,7 +37,7 @@
 
 
 class CommandKind(enum.Enum):
-    """What a worker is told to do with one task."""
+    """Kind of a command for one task."""
 
     START = "start"
     CHECKPOINT_EVICT = "checkpoint_evict"
@@ -48,13 +48,14 @@
 
 
 class CommandStatus(enum.Enum):
-    """What came of a command.
-
-    DONE: carried out. ALREADY_DONE: an earlier command has had this effect, or the task
-    has ended. NO_CAPACITY: a start that the worker has no room for. UNKNOWN_TASK: no
-    such task; a stop is remembered, so that its start is refused if it comes later.
-    STALE_ATTEMPT: a start of an attempt that was stopped or acknowledged, or that is
-    older than one known. NOT_POSSIBLE: makes no sense for the task's state.
+    """Outcome of a command.
+
+    DONE: the command was executed. ALREADY_DONE: an earlier command had the same
+    effect, or the task has ended. NO_CAPACITY: the worker lacks capacity for a start.
+    UNKNOWN_TASK: the task does not exist; a stop is remembered, so that a delayed start
+    of the task is refused. STALE_ATTEMPT: start of an attempt that was stopped or
+    acknowledged, or is older than a known one. NOT_POSSIBLE: the command is invalid in
+    the task's current state.
     """
 
     DONE = "done"
@@ -67,7 +68,7 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerTask:
-    """One task as its worker knows it.
+    """State of one task, as known to its worker.
 
     Parameters
     ----------
@@ -76,15 +77,15 @@
     attempt_epoch, attempt_sequence : int
         The attempt.
     state : TaskState
-        Where it stands.
+        State of the task.
     resources : Resources
-        What it holds while it runs.
+        Resources reserved while the task runs.
     task_class : str, optional
-        Class that it was started under.
+        Class of the task, as given at its start.
     checkpoint : str, optional
-        What a later attempt resumes from, once evicted.
+        Checkpoint from which a later attempt resumes, once evicted.
     result : str, optional
-        What it answered, or why it failed.
+        Result of the task, or the reason for its failure.
     """
 
     job_id: str
@@ -99,16 +100,16 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerInventory:
-    """All that a worker holds, told to an owner that takes its lease.
+    """Capacity and tasks of a worker, returned when its lease is acquired.
 
     Parameters
     ----------
     worker_id : str
-        The worker.
+        Id of the worker.
     capacity : Resources
-        All that it has.
+        Total capacity of the worker.
     tasks : tuple of WorkerTask
-        What runs, and what has ended and was not acknowledged.
+        Running tasks, and ended tasks that have not been acknowledged.
     """
 
     worker_id: str
@@ -118,7 +119,7 @@
 
 @attrs.frozen(kw_only=True)
 class TaskUsage:
-    """What one task was measured to use.
+    """Measured resource usage of one task.
 
     Parameters
     ----------
@@ -127,13 +128,13 @@
     attempt_epoch, attempt_sequence : int
         The attempt.
     task_class : str
-        Class that it was started under.
+        Class of the task, as given at its start.
     resources : Resources
-        What it used.
+        Resources used.
     slowdown : float
-        Time for a piece of its work over the time when running alone; at least 1.
+        Time per unit of work, relative to running alone; at least 1.
     is_throttled : bool
-        Whether it was throttled then.
+        Whether the task was throttled at the time of the measurement.
     """
 
     job_id: str
@@ -147,14 +148,14 @@
 
 @attrs.frozen(kw_only=True)
 class UsageReport:
-    """A measurement of all tasks of a worker.
+    """Usage measurements of all tasks of a worker.
 
     Parameters
     ----------
     age_ms : float
-        How long ago it was made when the worker sent it, in ms.
+        Age of the measurement when the worker sent it, in ms.
     usages : tuple of TaskUsage
-        One for each task that ran then.
+        One entry per task that was running at the time.
     """
 
     age_ms: float
@@ -163,14 +164,14 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerHeartbeat:
-    """Answer to a renewal.
+    """Response to a lease renewal.
 
     Parameters
     ----------
     tasks : tuple of WorkerTask
-        Tasks that have ended and were not acknowledged.
+        Ended tasks that have not been acknowledged.
     report : UsageReport, optional
-        The newest measurement; None before there is one.
+        Latest usage report; None if there is none yet.
     """
 
     tasks: tuple[WorkerTask, ...]
@@ -179,28 +180,28 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerCommand:
-    """One thing to do with one task.
+    """Command for one task.
 
     Parameters
     ----------
     kind : CommandKind
-        What to do.
+        Kind of the command.
     job_id : str
         The job.
     attempt_epoch, attempt_sequence : int
         The attempt.
     resources : Resources, optional
-        START: what the task may hold.
+        START: resources that the task may use.
     task_class : str, optional
         START: class of the task.
     declared_run_ms : float, optional
-        START: how long it is said to run, in ms; 0 for no end.
+        START: declared run time, in ms; 0 if unlimited.
     payload : str, optional
-        START: what to run.
+        START: payload of the job.
     checkpoint : str, optional
-        START: where to resume.
+        START: checkpoint to resume from.
     throttle_factor : float, optional
-        THROTTLE: share of its processor time that the task keeps, over 0 and below 1.
+        THROTTLE: fraction of its CPU time that the task keeps, above 0 and below 1.
     """
 
     kind: CommandKind
@@ -217,7 +218,7 @@
 
 @attrs.frozen(kw_only=True)
 class CommandResult:
-    """What came of one command, in the order of the commands.
+    """Result of one command; results are in the order of the commands.
 
     Parameters
     ----------
@@ -226,9 +227,9 @@
     attempt_epoch, attempt_sequence : int
         The attempt.
     status : CommandStatus
-        What came of it.
+        Outcome of the command.
     task : WorkerTask, optional
-        The task afterwards; None when the worker holds none.
+        State of the task afterwards; None if the worker does not have the task.
     """
 
     job_id: str
--- a/trefoilhook/workers/messages.py
+++ b/trefoilhook/workers/messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls to a worker."""
+"""Request and response bodies of the worker protocol."""
 
 import attrs
 
@@ -9,18 +9,18 @@
 
 @attrs.frozen(kw_only=True)
 class LeaseRequest:
-    """Take the worker's lease.
+    """Request to acquire the lease on a worker.
 
     Parameters
     ----------
     worker_id : str
-        The worker meant; another one at this address refuses.
+        Id of the addressed worker; a different worker at its address refuses.
     owner_id : str
-        Instance that takes it.
+        Id of the acquiring instance.
     epoch : int
-        Epoch of the owner's shard.
+        Epoch of the lease.
     ttl_ms : float
-        Time without a renewal after which it lapses, in ms.
+        Time to live without renewal, in ms.
     """
 
     worker_id: str
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class RenewRequest:
-    """Start the lease's time anew; fields as in `LeaseRequest`."""
+    """Request to renew a lease; fields as in `LeaseRequest`."""
 
     worker_id: str
     epoch: int
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class CommandsRequest:
-    """Carry out commands in their order; fields as in `LeaseRequest`."""
+    """Request to execute commands in order; fields as in `LeaseRequest`."""
 
     worker_id: str
     epoch: int
@@ -49,6 +49,6 @@
 
 @attrs.frozen(kw_only=True)
 class CommandsAnswer:
-    """One result for each command, in the same order."""
+    """Response with one result per command, in the same order."""
 
     results: tuple[CommandResult, ...]
--- a/trefoilhook/workers/tests/test_contract.py
+++ b/trefoilhook/workers/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the worker adapter with a worker, faults included."""
+"""Contract tests of the worker client, including faults."""
 
 import json
 import unittest
@@ -37,15 +37,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class Bench:
-    """A worker in virtual time and a client of it."""
+class WorkerFixture:
+    """A worker on virtual time and a client connected to it."""
 
     clock: Clock
     worker: WorkerStandin
     client: WorkerClient
 
     async def order(self, kind: CommandKind, job_id: str, **fields):
-        """Send one command at epoch 1, or at the one given, and return its result."""
+        """Send one command, by default at epoch 1, and return its result."""
         epoch = fields.pop("epoch", 1)
         command = WorkerCommand(
             kind=kind,
@@ -57,7 +57,7 @@
         return (await self.client.command(epoch, [command]))[0]
 
     async def start(self, job_id: str, *, run_ms=1_000.0, **fields) -> CommandStatus:
-        """Start a small task and return what came of it."""
+        """Start a small task and return the status of the command."""
         fields.setdefault("resources", _SMALL)
         result = await self.order(
             CommandKind.START, job_id, declared_run_ms=run_ms, **fields
@@ -66,7 +66,7 @@
 
 
 def run_with_worker(
-    scenario: Callable[[Bench], Awaitable[None]], **settings: object
+    scenario: Callable[[WorkerFixture], Awaitable[None]], **settings: object
 ) -> None:
     """Run ``scenario`` against a worker whose lease is held at epoch 1."""
 
@@ -82,16 +82,16 @@
                 worker_id="w1", host="127.0.0.1", port=port, clock=clock, timeout_ms=500
             )
             await client.take_lease("one", 1, _TTL_MS)
-            await scenario(Bench(clock=clock, worker=worker, client=client))
+            await scenario(WorkerFixture(clock=clock, worker=worker, client=client))
             nursery.cancel_scope.cancel()
 
-    # The sockets are real, so the virtual clock must not jump while bytes are on
-    # their way through the kernel: it waits for quiet first.
+    # The sockets are real, so the virtual clock must not jump while data is in flight
+    # in the kernel. The threshold makes it wait until the tasks have been idle.
     trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0.05))
 
 
 class LeaseTest(unittest.TestCase):
-    """Fencing by epoch."""
+    """Lease acquisition, fencing by epoch, and lapse."""
 
     def test_takeovers(self):
         # (owner, epoch, error) against a lease held by "one" at epoch 3.
@@ -108,7 +108,7 @@
                 run_with_worker(self._build_takeover(owner_id, epoch, error))
 
     def _build_takeover(self, owner_id, epoch, error):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.client.take_lease("one", 3, _TTL_MS)
             await bench.start("job", epoch=3)
             if error is not None:
@@ -125,9 +125,10 @@
         return scenario
 
     def test_old_owner_is_refused(self):
-        # An owner is frozen; another takes its worker at a higher epoch. Thawed, the
-        # old one starts and stops tasks: the worker must refuse, or a job runs twice.
-        async def scenario(bench: Bench) -> None:
+        # An owner is suspended, and another one acquires its worker at a higher epoch.
+        # When the old owner resumes, the worker must refuse its commands; otherwise a
+        # job could run twice.
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.client.take_lease("two", 2, _TTL_MS)
             with self.assertRaises(FencedError):
                 await bench.start("job")
@@ -138,9 +139,10 @@
         run_with_worker(scenario)
 
     def test_lapsed_lease_stops_tasks_and_stays_lapsed(self):
-        # Every owner of a worker is cut off. Its tasks stop at the lapse, since they
-        # may now be started elsewhere; the old owner can't go on as if nothing was.
-        async def scenario(bench: Bench) -> None:
+        # A worker is cut off from all owners. Its tasks must stop when the lease
+        # lapses, because they may then be started elsewhere, and the old lease cannot
+        # be used or re-acquired at the same epoch.
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("job", run_ms=10 * _TTL_MS)
             await bench.clock.sleep_ms(_TTL_MS + 1_000)
             with self.assertRaises(LeaseLostError):
@@ -158,7 +160,7 @@
 
 
 class CommandTest(unittest.TestCase):
-    """Commands and what comes of them."""
+    """Commands and their outcomes."""
 
     def test_statuses(self):
         # (commands before, command, status, starts recorded); the job has one attempt
@@ -196,7 +198,7 @@
                 run_with_worker(self._build_row(before, command, expected, starts))
 
     def _build_row(self, before, command, expected, starts):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             for kind, fields in before:
                 await bench.order(kind, "job", **fields)
             result = await bench.order(command[0], "job", **command[1])
@@ -206,7 +208,7 @@
         return scenario
 
     def test_capacity_is_never_exceeded(self):
-        # (resources started one after another, how many of them get in)
+        # (resources started one after another, number of successful starts)
         table = [
             ([Resources(cores=1.5, memory_bytes=1)] * 3, 2),
             ([Resources(cores=0.1, memory_bytes=6_000)] * 2, 1),
@@ -218,7 +220,7 @@
                 run_with_worker(self._build_capacity(wanted, started))
 
     def _build_capacity(self, wanted, started):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             statuses = [
                 await bench.start(str(number), resources=resources)
                 for number, resources in enumerate(wanted)
@@ -232,7 +234,7 @@
         return scenario
 
     def test_results_are_kept_until_acknowledged(self):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("good", payload=json.dumps({"result": "42"}))
             await bench.start("bad", payload=json.dumps({"is_failing": True}))
             await bench.clock.sleep_ms(2_000)
@@ -250,7 +252,7 @@
         run_with_worker(scenario)
 
     def test_evicted_task_resumes_from_its_checkpoint(self):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("job", run_ms=10_000)
             await bench.clock.sleep_ms(4_000)
             evicted = await bench.order(CommandKind.CHECKPOINT_EVICT, "job")
@@ -272,7 +274,7 @@
         run_with_worker(scenario)
 
     def test_black_hole_fails_everything(self):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("job")
             heartbeat = await bench.client.renew(1, _TTL_MS)
             self.assertEqual(heartbeat.tasks[0].state, TaskState.FAILED)
@@ -281,15 +283,15 @@
 
 
 class UsageTest(unittest.TestCase):
-    """Hidden slowdowns and the reports that show them late."""
+    """Slowdowns between tasks, and the reports that show them with a lag."""
 
     def test_pair_slows_and_report_lags(self):
-        # Two tasks fill the worker's cores; the victim takes twice its time. The
-        # report shows it only once its lag is over.
+        # Two tasks use all cores of the worker, and the victim runs at half speed. The
+        # report shows this only after the report lag.
         pair = PairSlowdown(victim_class="seat", neighbour_class="roster", factor=2.0)
         half = Resources(cores=2.0, memory_bytes=1)
 
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("a", run_ms=8_000, task_class="seat", resources=half)
             await bench.start("b", run_ms=60_000, task_class="roster", resources=half)
             await bench.clock.sleep_ms(4_500)
@@ -310,7 +312,7 @@
         pair = PairSlowdown(victim_class="seat", neighbour_class="roster", factor=2.0)
         half = Resources(cores=2.0, memory_bytes=1)
 
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("a", run_ms=60_000, task_class="seat", resources=half)
             await bench.start("b", run_ms=60_000, task_class="roster", resources=half)
             await bench.order(CommandKind.THROTTLE, "b", throttle_factor=0.5)
@@ -323,7 +325,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    """What the adapter says of a worker at fault."""
+    """Errors raised by the client for faulty workers."""
 
     def test_faults(self):
         # (fault, error, did the start take effect)
@@ -337,7 +339,7 @@
                 run_with_worker(self._build_fault(fault, error, is_done))
 
     def _build_fault(self, fault, error, is_done):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.worker.server.change_faults(fault)
             with self.assertRaises(error):
                 await bench.start("job")
@@ -346,7 +348,7 @@
         return scenario
 
     def test_start_sent_again_after_a_lost_answer_runs_once(self):
-        async def scenario(bench: Bench) -> None:
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.worker.server.change_faults(FaultSettings(lost_answers=1))
             with self.assertRaises(AnswerLostError):
                 await bench.start("job")
@@ -355,10 +357,10 @@
 
         run_with_worker(scenario)
 
-    def test_another_worker_at_the_address_runs_nothing(self):
-        # A worker is replaced and its address used again. What was meant for the old
-        # one must not start on the new one, which its owner doesn't know.
-        async def scenario(bench: Bench) -> None:
+    def test_replacement_worker_at_the_address_refuses_commands(self):
+        # A worker is replaced by another one at the same address. Commands for the old
+        # worker must not be executed by the new one, which the sender does not know.
+        async def scenario(bench: WorkerFixture) -> None:
             stranger = WorkerClient(
                 worker_id="gone",
                 host="127.0.0.1",
@@ -372,8 +374,8 @@
 
         run_with_worker(scenario)
 
-    def test_worker_that_died_has_nothing(self):
-        async def scenario(bench: Bench) -> None:
+    def test_restarted_worker_has_no_tasks(self):
+        async def scenario(bench: WorkerFixture) -> None:
             await bench.start("job")
             bench.worker.state.lose_memory()
             with self.assertRaises(LeaseLostError):
