--- a/trefoilhook/jobs/commits.py
+++ b/trefoilhook/jobs/commits.py
@@ -116,8 +116,9 @@
         """Append until it succeeds; only acceptances that were not written are dropped.
 
         While the outcome of an append is unknown, the same records are appended again,
-        which is safe because the journal ignores duplicates. A caller whose job may be
-        recorded is notified immediately, and the job runs if it was recorded.
+        which is safe because duplicate records do not change the restored state. A
+        caller whose job may be recorded is notified immediately, and the job runs if it
+        was recorded.
         """
         while True:
             records = [_record_acceptance(a.spec) for a in acceptances]
--- a/trefoilhook/jobs/journal.py
+++ b/trefoilhook/jobs/journal.py
@@ -19,7 +19,7 @@
         FencedError
             If a later owner has written.
         StoreUnavailableError
-            If the store can't be reached.
+            If the store cannot be reached.
         """
 
     async def append(self, records: Sequence[JobRecord]) -> None:
--- a/trefoilhook/jobs/sessions.py
+++ b/trefoilhook/jobs/sessions.py
@@ -257,8 +257,8 @@
         The time is measured from the last message that could have extended a lease, or
         from the start of the session.
         """
-        silent_ms = self._clock.monotonic_ms() - self._last_sent_ms
-        if self._is_lapse_reported or silent_ms < self._settings.lapse_ms:
+        elapsed_ms = self._clock.monotonic_ms() - self._last_sent_ms
+        if self._is_lapse_reported or elapsed_ms < self._settings.lapse_ms:
             return
         self._is_lapse_reported = True
         log_event(Event.WORKER_LOST, worker=self._address.worker_id)
--- a/trefoilhook/jobs/tests/test_guards.py
+++ b/trefoilhook/jobs/tests/test_event_sequences.py
@@ -1,4 +1,4 @@
-"""Safeguards that apply only under rare orders of events."""
+"""Safeguards that take effect only in rare sequences of events."""
 
 import unittest
 
@@ -68,8 +68,7 @@
 
     def test_owner_that_may_not_act_neither_renews_nor_places(self):
         # The owner's store lease has lapsed and no peer has given a promise. It must
-        # let the worker's lease lapse: the next owner relies on the tasks then
-        # stopping.
+        # let the worker's lease lapse: the next owner assumes that the tasks then stop.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000)
--- a/trefoilhook/journal/core.py
+++ b/trefoilhook/journal/core.py
@@ -138,7 +138,7 @@
         self._pages = await self._read_pages()
         self._unconfirmed = []
         await self._fence_pages()
-        return [r for written in self._pages for r in written.page.records]
+        return [r for stored in self._pages for r in stored.page.records]
 
     async def append(self, records: Sequence[JobRecord]) -> None:
         """Commit records; returns once they are durable.
@@ -217,8 +217,8 @@
         """
         sealed = 0
         while True:
-            for written in self._pages[max(sealed, len(self._pages) - 1) :]:
-                await self._seal(written)
+            for stored in self._pages[max(sealed, len(self._pages) - 1) :]:
+                await self._seal(stored)
             sealed = len(self._pages)
             try:
                 await self._open_page()
@@ -228,26 +228,26 @@
                     raise
                 self._pages.append(_decode_entry(conflict.current))
 
-    async def _seal(self, written: _StoredPage) -> None:
-        self._check_epoch(written.page.epoch)
+    async def _seal(self, stored: _StoredPage) -> None:
+        self._check_epoch(stored.page.epoch)
         while True:
-            page = attrs.evolve(written.page, epoch=self._epoch, nonce=build_nonce())
+            page = attrs.evolve(stored.page, epoch=self._epoch, nonce=build_nonce())
             try:
-                written.revision = await self._swap(
-                    written.key, encode_page(page), written.revision
+                stored.revision = await self._swap(
+                    stored.key, encode_page(page), stored.revision
                 )
             except ConflictError as conflict:
                 if conflict.current is None:
                     message = (
-                        f"{written.key} was deleted by a compaction of a later owner"
+                        f"{stored.key} was deleted by a compaction of a later owner"
                     )
                     raise FencedError(message) from conflict
                 current = _decode_entry(conflict.current)
                 self._check_epoch(current.page.epoch)
-                written.page, written.revision = current.page, current.revision
-                written.size = current.size
+                stored.page, stored.revision = current.page, current.revision
+                stored.size = current.size
             else:
-                written.page = page
+                stored.page = page
                 return
 
     async def _open_page(self) -> None:
@@ -276,7 +276,7 @@
         return _StoredPage(key=key, page=page, revision=revision, size=len(value))
 
     async def _write_page(
-        self, written: _StoredPage, records: tuple[JobRecord, ...]
+        self, stored: _StoredPage, records: tuple[JobRecord, ...]
     ) -> None:
         """Rewrite a page, resolving earlier writes whose outcome is unknown.
 
@@ -288,24 +288,24 @@
             page = Page(epoch=self._epoch, nonce=build_nonce(), records=records)
             value = encode_page(page)
             try:
-                revision = await self._swap(written.key, value, written.revision)
+                revision = await self._swap(stored.key, value, stored.revision)
             except ConflictError as conflict:
-                self._resolve_conflict(written, conflict)
-                added = [r for r in records if r not in written.page.records]
+                self._resolve_conflict(stored, conflict)
+                added = [r for r in records if r not in stored.page.records]
                 if not added:
                     return
-                records = (*written.page.records, *added)
+                records = (*stored.page.records, *added)
             except StoreUnavailableError as error:
                 if not error.is_proved_unsent:
                     self._unconfirmed.append(page)
                 raise
             else:
-                written.page, written.revision = page, revision
-                written.size = len(value)
+                stored.page, stored.revision = page, revision
+                stored.size = len(value)
                 self._unconfirmed = []
                 return
 
-    def _resolve_conflict(self, written: _StoredPage, conflict: ConflictError) -> None:
+    def _resolve_conflict(self, stored: _StoredPage, conflict: ConflictError) -> None:
         """Adopt the unconfirmed write that took effect.
 
         Raises
@@ -315,14 +315,14 @@
         """
         if conflict.current is None:
             raise FencedError(
-                f"{written.key} was deleted by a compaction of a later owner"
+                f"{stored.key} was deleted by a compaction of a later owner"
             )
         current = _decode_entry(conflict.current)
         self._check_epoch(current.page.epoch)
         if current.page.nonce not in {page.nonce for page in self._unconfirmed}:
-            raise FencedError(f"{written.key} was written by another owner")
-        written.page, written.revision = current.page, current.revision
-        written.size = current.size
+            raise FencedError(f"{stored.key} was written by another owner")
+        stored.page, stored.revision = current.page, current.revision
+        stored.size = current.size
         self._unconfirmed = []
 
     async def _try_compact(self) -> None:
@@ -339,7 +339,7 @@
         old_pages = list(self._pages)
         cutoff_ms = self._clock.wall_ms() - self._settings.keep_ended_ms
         records = compact_records(
-            [r for written in old_pages for r in written.page.records],
+            [r for stored in old_pages for r in stored.page.records],
             ended_after_ms=cutoff_ms,
         )
         self._compactions += 1
@@ -368,7 +368,7 @@
         )
 
     def _count_bytes(self) -> int:
-        return sum(written.size for written in self._pages)
+        return sum(stored.size for stored in self._pages)
 
     def _split_records(
         self, records: Sequence[JobRecord], *, limit_bytes: int
