--- a/trefoilhook/placement/__init__.py
+++ b/trefoilhook/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where tasks go, what is throttled, evicted or refused: decisions without I/O."""
+"""Placement, throttling, eviction and refusal of tasks; performs no I/O."""
 
 from trefoilhook.placement.core import decide_placement
 from trefoilhook.placement.decisions import (
--- a/trefoilhook/placement/decisions.py
+++ b/trefoilhook/placement/decisions.py
@@ -1,4 +1,4 @@
-"""What can be decided about a task, as a closed set of types."""
+"""Placement decisions, as a closed set of types."""
 
 import enum
 
@@ -16,17 +16,19 @@
 
 
 class WaitReason(enum.Enum):
-    """Why a task waits."""
+    """Reason why a task stays in the queue."""
 
     NO_WORKER = "no worker is open to new tasks"
-    NO_ROOM = "no worker looked at has room"
+    INSUFFICIENT_CAPACITY = "no worker looked at has room"
     INTERFERENCE = "each worker with room has a service that it would slow too much"
-    NOT_WORTH = "its slowdown of services outweighs its work on each worker with room"
+    NO_NET_BENEFIT = (
+        "its slowdown of services outweighs its work on each worker with room"
+    )
     VICTIMS_STOPPING = "room is being made for it"
 
 
 class ImpossibleReason(enum.Enum):
-    """Why a task can never run as declared."""
+    """Reason why a task can never run as declared."""
 
     TOO_MANY_CORES = "declares more cores than any worker has"
     TOO_MUCH_MEMORY = "declares more memory than any worker has"
@@ -44,11 +46,11 @@
     worker_id : str
         Worker to reserve and start on.
     cost : float
-        Objective of the choice.
+        Objective value of the worker; lower is better.
     predicted_excess : float
-        Largest predicted part of a service's bearable excess, 1.0 being all of it.
+        Largest predicted ratio of excess to tolerated excess among the services.
     considered : int
-        Workers with room that were compared.
+        Number of workers compared.
     """
 
     worker_id: str
@@ -66,7 +68,7 @@
     reason : WaitReason
         Why it waits.
     considered : int
-        Workers with room that were compared.
+        Number of workers compared.
     """
 
     reason: WaitReason
@@ -80,11 +82,12 @@
     Parameters
     ----------
     reason : ImpossibleReason
-        What would have to change.
+        Requirement that cannot be met.
     declared : str
-        What the task declares, for people.
+        Declared resources, formatted for display.
     limit : str
-        What the largest worker has, or where the task failed, for people.
+        Largest worker's resources, or the workers the task failed on, formatted for
+        display.
     """
 
     reason: ImpossibleReason
@@ -94,21 +97,21 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Preempt:
-    """Make room for an urgent task by stopping others at a checkpoint.
+    """Free resources for an urgent task by stopping batch tasks at a checkpoint.
 
     Parameters
     ----------
     worker_id : str
-        Worker that makes room.
+        Worker on which resources are freed.
     victims : tuple of str
         Batch tasks to checkpoint and stop.
     lost_ms : float
-        Work that the victims are expected to do again, in ms of run time.
+        Run time that the victims are expected to repeat, in ms.
     """
 
     worker_id: str
     victims: tuple[str, ...]
-    lost_ms: float
+    expected_loss_ms: float
 
 
 Decision = Placement | Wait | Impossible | Preempt
--- a/trefoilhook/placement/explain.py
+++ b/trefoilhook/placement/explain.py
@@ -1,4 +1,4 @@
-"""Why a task waits, or where it was placed and against what."""
+"""Explanation of a placement decision and of the workers compared."""
 
 from typing import TYPE_CHECKING
 
@@ -23,23 +23,23 @@
 
 __all__ = ["Candidate", "Explanation", "explain_placement", "render_explanation"]
 
-_CANDIDATES_SHOWN = 5
+_MAX_CANDIDATES = 5
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class Candidate:
-    """A worker that was compared.
+    """A worker compared for a placement.
 
     Parameters
     ----------
     worker_id : str
-        Worker.
+        Worker compared.
     cost : float
-        Objective; less is better.
+        Objective value; lower is better.
     predicted_excess : float
-        Largest predicted part of a service's bearable excess.
+        Largest predicted ratio of excess to tolerated excess among the services.
     admissible : bool
-        Whether its services stay within what placement may use.
+        Whether its services stay below the admission limit.
     """
 
     worker_id: str
@@ -50,27 +50,27 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Explanation:
-    """A decision with what it was taken against.
+    """A decision and the workers that were compared for it.
 
     Parameters
     ----------
     task_id : str
-        Task in question.
-    holder : str, optional
-        Worker that holds it already.
+        Task explained.
+    worker_id : str, optional
+        Worker that holds the task already.
     decision : Decision, optional
-        What would be decided now; none if the task is held already.
+        Decision that would be made now; None if a worker holds the task already.
     candidates : tuple of Candidate
-        Best workers compared, best first.
-    looked_at : int
-        Workers in the sample.
+        Best workers compared, in ascending order of cost.
+    sampled_workers : int
+        Number of workers sampled.
     """
 
     task_id: str
-    holder: str | None
+    worker_id: str | None
     decision: Decision | None
     candidates: tuple[Candidate, ...]
-    looked_at: int
+    sampled_workers: int
 
 
 def explain_placement(
@@ -82,46 +82,46 @@
     *,
     score: Scorer = score_rows,
 ) -> Explanation:
-    """Explain what would be decided about a task now, or where it is held.
+    """Explain what would be decided about a task now, or which worker holds it.
 
     Parameters
     ----------
     state : ShardState
         State of the shard.
     task : TaskShape
-        Task in question.
+        Task to explain.
     now_ms : float
         Time, in ms.
     rng : numpy.random.Generator
-        Draws the workers that are looked at.
+        Generator used to sample workers.
     policy : Policy
         Weights and thresholds.
     score : Scorer, optional
-        Compares workers that have room.
+        Scores the workers with enough free resources.
 
     Returns
     -------
     Explanation
         Decision and the best workers compared.
     """
-    held = state.tasks.get(task.task_id)
-    if held is not None:
+    running = state.tasks.get(task.task_id)
+    if running is not None:
         return Explanation(
             task_id=task.task_id,
-            holder=held.worker_id,
+            worker_id=running.worker_id,
             decision=None,
             candidates=(),
-            looked_at=0,
+            sampled_workers=0,
         )
     decision = decide_placement(state, task, now_ms, rng, policy, score=score)
     sampled = sample_rows(len(state.table.ids), rng, policy)
     candidates = _list_candidates(state, task, sampled, policy, score)
     return Explanation(
         task_id=task.task_id,
-        holder=None,
+        worker_id=None,
         decision=decision,
         candidates=candidates,
-        looked_at=len(sampled),
+        sampled_workers=len(sampled),
     )
 
 
@@ -136,25 +136,25 @@
     if not len(rows):
         return ()
     scores = score(state, task, index_class(state, task.task_class), rows, policy)
-    best = np.argsort(scores.cost, kind="stable")[:_CANDIDATES_SHOWN]
+    best = np.argsort(scores.cost, kind="stable")[:_MAX_CANDIDATES]
     return tuple(
         Candidate(
-            worker_id=state.table.ids[int(rows[place])],
-            cost=float(scores.cost[place]),
-            predicted_excess=float(scores.excess[place]),
-            admissible=bool(scores.admissible[place]),
+            worker_id=state.table.ids[int(rows[index])],
+            cost=float(scores.cost[index]),
+            predicted_excess=float(scores.excess[index]),
+            admissible=bool(scores.admissible[index]),
         )
-        for place in best
+        for index in best
     )
 
 
 def render_explanation(explanation: Explanation) -> str:
-    """Write an explanation out for people.
+    """Format an explanation as text for operators.
 
     Returns
     -------
     str
-        A first line with the decision, then a line for each worker compared.
+        The decision on the first line, then one line per worker compared.
     """
     lines = [f"{explanation.task_id}: {_render_decision(explanation)}"]
     for candidate in explanation.candidates:
@@ -170,7 +170,7 @@
     decision = explanation.decision
     match decision:
         case None:
-            return f"held by {explanation.holder}"
+            return f"held by {explanation.worker_id}"
         case Placement():
             return (
                 f"would start on {decision.worker_id}, "
--- a/trefoilhook/placement/feasibility.py
+++ b/trefoilhook/placement/feasibility.py
@@ -1,4 +1,4 @@
-"""Refusing at once what can never run, with what would have to change."""
+"""Detection of tasks that can never run, with the requirement that cannot be met."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -12,26 +12,27 @@
 if TYPE_CHECKING:
     from trefoilhook.placement.state import ShardState
 
-__all__ = ["find_impossible"]
+__all__ = ["check_feasibility"]
 
 _BYTES_PER_GIB = 2**30
 
 
-def find_impossible(
+def check_feasibility(
     state: "ShardState", task: TaskShape, policy: Policy
 ) -> Impossible | None:
-    """Return why a task can never run, or nothing if it can.
+    """Return why a task can never run, or None if it can.
 
     Notes
     -----
-    Only whole workers are compared with the declared size, whatever they hold now. A
-    shard without workers refuses nothing: it can't know what the fleet has.
+    The declared resources are compared with the total capacity of each worker,
+    regardless of current usage. A shard without workers refuses nothing, as the sizes
+    of the workers are not known yet.
     """
     if fails_everywhere(state, task.task_id, policy):
         failed_on = sorted(state.histories[task.task_id].failed_on)
         return Impossible(
             reason=ImpossibleReason.FAILS_EVERYWHERE,
-            declared=_describe(task.resources),
+            declared=_format_resources(task.resources),
             limit=", ".join(failed_on),
         )
     capacities = state.capacities
@@ -39,9 +40,9 @@
         return None
     largest = _find_largest(capacities)
     return Impossible(
-        reason=_name_excess(task.resources, largest),
-        declared=_describe(task.resources),
-        limit=_describe(largest),
+        reason=_find_exceeded_limit(task.resources, largest),
+        declared=_format_resources(task.resources),
+        limit=_format_resources(largest),
     )
 
 
@@ -54,17 +55,17 @@
     )
 
 
-def _name_excess(wanted: Resources, largest: Resources) -> ImpossibleReason:
-    if wanted.cores > largest.cores:
+def _find_exceeded_limit(requested: Resources, largest: Resources) -> ImpossibleReason:
+    if requested.cores > largest.cores:
         return ImpossibleReason.TOO_MANY_CORES
-    if wanted.memory_bytes > largest.memory_bytes:
+    if requested.memory_bytes > largest.memory_bytes:
         return ImpossibleReason.TOO_MUCH_MEMORY
-    if wanted.accelerators > largest.accelerators:
+    if requested.accelerators > largest.accelerators:
         return ImpossibleReason.TOO_MANY_ACCELERATORS
     return ImpossibleReason.NO_SUCH_WORKER
 
 
-def _describe(amount: Resources) -> str:
+def _format_resources(amount: Resources) -> str:
     memory_gib = amount.memory_bytes / _BYTES_PER_GIB
     return (
         f"{amount.cores:g} cores, {memory_gib:.1f} GiB, "
--- a/trefoilhook/placement/health.py
+++ b/trefoilhook/placement/health.py
@@ -1,4 +1,4 @@
-"""Telling jobs that fail everywhere from workers that fail everything."""
+"""Quarantine of faulty workers, and detection of jobs that fail on every worker."""
 
 from trefoilhook.placement.policy import Policy
 from trefoilhook.placement.records import TaskState, WorkerState
@@ -9,12 +9,12 @@
     "begin_quarantine",
     "end_quarantine",
     "fails_everywhere",
+    "is_quarantine_over",
     "needs_quarantine",
-    "quarantine_is_over",
     "record_outcome",
 ]
 
-_FAILED_KEPT = 16
+_MAX_FAILED_TASKS = 16
 
 
 def record_outcome(
@@ -23,13 +23,13 @@
     worker: WorkerState,
     outcome: StopOutcome,
 ) -> None:
-    """Count how an attempt ended for its worker and for its task.
+    """Record the outcome of an attempt for its worker and its task.
 
     Notes
     -----
-    A failure counts against the worker unless the same task has failed on another
-    worker too; it counts against the task where the worker is not itself failing
-    one task after another.
+    A failure counts against the worker unless the same task has also failed on another
+    worker. It counts against the task unless the worker itself is in quarantine or on
+    probation; see :func:`fails_everywhere`.
     """
     health = worker.health
     if outcome is StopOutcome.FINISHED:
@@ -44,20 +44,21 @@
     task_id = task.shape.task_id
     history = state.history(task_id)
     history.failed_on.add(worker.shape.worker_id)
-    failed = worker.health.failed_tasks
+    failed_tasks = worker.health.failed_tasks
     if len(history.failed_on) > 1:
-        # The task failed elsewhere too: no evidence against any of its workers.
+        # The task failed on several workers, so its failures are no evidence against
+        # any of them.
         for worker_id in history.failed_on:
             other = state.workers.get(worker_id)
             if other is not None and task_id in other.health.failed_tasks:
                 other.health.failed_tasks.remove(task_id)
-    elif task_id not in failed:
-        failed.append(task_id)
-        del failed[:-_FAILED_KEPT]
+    elif task_id not in failed_tasks:
+        failed_tasks.append(task_id)
+        del failed_tasks[:-_MAX_FAILED_TASKS]
 
 
 def needs_quarantine(worker: WorkerState, policy: Policy) -> bool:
-    """Tell whether a worker has failed too many different tasks in a row."""
+    """Return whether a worker has failed too many distinct tasks in a row."""
     health = worker.health
     if health.quarantined_until_ms is not None:
         return False
@@ -66,7 +67,7 @@
 
 
 def begin_quarantine(worker: WorkerState, now_ms: float, policy: Policy) -> None:
-    """Close a worker to new tasks; each failed probation doubles the time."""
+    """Close a worker to new tasks; the duration doubles after a failed probation."""
     health = worker.health
     duration_ms = policy.quarantine_ms * 2.0**health.quarantines
     health.quarantined_until_ms = now_ms + duration_ms
@@ -74,25 +75,25 @@
     health.failed_tasks.clear()
 
 
-def quarantine_is_over(worker: WorkerState, now_ms: float) -> bool:
-    """Tell whether a worker has served its quarantine."""
+def is_quarantine_over(worker: WorkerState, now_ms: float) -> bool:
+    """Return whether the quarantine of a worker has expired."""
     until_ms = worker.health.quarantined_until_ms
     return until_ms is not None and now_ms >= until_ms
 
 
 def end_quarantine(worker: WorkerState) -> None:
-    """Open a worker on probation: one task at a time until one succeeds."""
+    """Reopen a worker on probation: one task at a time until one succeeds."""
     worker.health.quarantined_until_ms = None
     worker.health.on_probation = True
 
 
 def fails_everywhere(state: ShardRecords, task_id: str, policy: Policy) -> bool:
-    """Tell whether a task has failed on enough different workers to be refused.
+    """Return whether a task has failed on enough different workers to be refused.
 
     Notes
     -----
-    Guards against refusing a sound job because of bad luck with workers: failures on
-    a worker that is itself in quarantine or on probation don't count.
+    Failures on a worker that is in quarantine or on probation are not counted, so that
+    a job is not refused because of faulty workers.
     """
     history = state.histories.get(task_id)
     if history is None or len(history.failed_on) < policy.job_failure_limit:
--- a/trefoilhook/placement/moves.py
+++ b/trefoilhook/placement/moves.py
@@ -1,4 +1,4 @@
-"""Finding a better worker for a task that has to leave its own."""
+"""Selection of a target worker for a task that is moved off its worker."""
 
 from typing import TYPE_CHECKING
 
@@ -12,20 +12,20 @@
 if TYPE_CHECKING:
     from trefoilhook.placement.state import ShardState
 
-__all__ = ["find_target"]
+__all__ = ["find_move_target"]
 
 _MS_PER_S = 1_000.0
 
 
-def find_target(
+def find_move_target(
     state: "ShardState", task: TaskState, now_ms: float, policy: Policy
 ) -> str | None:
-    """Return another worker that would take a task without harm, if one is seen.
+    """Return another worker that admits a task, or None.
 
     Notes
     -----
-    Looks at a bounded stretch of the workers, which goes on with time: moves are rare
-    and need no generator.
+    Examines at most ``sample_size`` consecutive rows, starting from a row that advances
+    with time. Moves are rare, so no random generator is needed to vary the sample.
     """
     count = len(state.table.ids)
     start = int(now_ms / _MS_PER_S) % count
--- a/trefoilhook/placement/observation.py
+++ b/trefoilhook/placement/observation.py
@@ -1,8 +1,8 @@
-"""Learning from usage reports, which arrive late.
+"""Processing of delayed usage reports.
 
-A report speaks of the tasks that a worker carried while it was measured, not of those
-that it carries when the report arrives. The features that a slowdown is matched with
-are therefore the worker's pressure averaged over the measuring window.
+A report describes the tasks that a worker ran during the measurement window, not those
+it runs when the report arrives. The features of a slowdown are therefore the worker's
+pressure averaged over that window.
 """
 
 import statistics
@@ -10,28 +10,28 @@
 import numpy as np
 import numpy.typing as npt
 
-from trefoilhook.placement.interference import CLASS_LIMIT, learn_excess
+from trefoilhook.placement.interference import CLASS_LIMIT, update_row
 from trefoilhook.placement.records import SlowdownSample, TaskState, WorkerState
 from trefoilhook.placement.refresh import refresh_worker
-from trefoilhook.placement.shapes import TaskKind, UsageReport, bearable_excess
+from trefoilhook.placement.shapes import TaskKind, UsageReport, tolerated_excess
 from trefoilhook.placement.shard import ShardRecords
 
-__all__ = ["absorb_report"]
+__all__ = ["apply_report"]
 
-_USAGE_BLEND = 0.5
-_RESIDUAL_BLEND = 0.4
-_USAGE_LEAST_AGE_MS = 1_000.0
+_USAGE_SMOOTHING = 0.5
+_RESIDUAL_SMOOTHING = 0.4
+_USAGE_SETTLE_MS = 1_000.0
 
 
-def absorb_report(state: ShardRecords, report: UsageReport, now_ms: float) -> None:
-    """Update usage, slowdowns, the model and the worker's row from one report.
+def apply_report(state: ShardRecords, report: UsageReport, now_ms: float) -> None:
+    """Update usage, slowdowns, the model and the worker's row from a report.
 
     Parameters
     ----------
     state : ShardRecords
         State to update in place.
     report : UsageReport
-        Late report; one of an unknown worker is dropped.
+        Usage report; ignored if its worker is unknown.
     now_ms : float
         Time of arrival, in ms.
     """
@@ -39,29 +39,29 @@
     if worker is None:
         return
     features = _average_features(worker, report)
-    newest = report.measured_at_ms > worker.last_report_ms
+    is_newest = report.measured_at_ms > worker.last_report_ms
     errors = [
         error
         for entry in report.slowdowns
         if (task := worker.residents.get(entry.task_id)) is not None
         and (
-            error := _absorb_slowdown(
+            error := _apply_slowdown(
                 state, task, report, features, entry.slowdown, now_ms
             )
         )
         is not None
     ]
-    # A report overtaken by a later one still teaches the model, which matches it with
-    # the pressure of its own time; taking its usage as current would step backwards.
-    if newest:
+    # An out-of-order report still updates the model, since its slowdowns are paired
+    # with the pressure of its own window. Its usage is outdated and is ignored.
+    if is_newest:
         worker.last_report_ms = report.measured_at_ms
-        _absorb_usage(worker, report)
-        _blend_residual(state, worker, errors)
+        _apply_usage(worker, report)
+        _update_residual(state, worker, errors)
         refresh_worker(state, worker, now_ms)
-        state.table.late[worker.slot] = float(_is_late(worker))
+        state.table.late[worker.slot] = float(_is_past_target(worker))
 
 
-def _absorb_slowdown(
+def _apply_slowdown(
     state: ShardRecords,
     task: TaskState,
     report: UsageReport,
@@ -78,7 +78,7 @@
         task.samples.append(sample)
     if features is None:
         return None
-    return learn_excess(
+    return update_row(
         state.model,
         row=task.class_index,
         features=features,
@@ -112,8 +112,8 @@
     return total / covered_ms
 
 
-def _absorb_usage(worker: WorkerState, report: UsageReport) -> None:
-    settled_ms = report.measured_at_ms - report.window_ms - _USAGE_LEAST_AGE_MS
+def _apply_usage(worker: WorkerState, report: UsageReport) -> None:
+    settled_ms = report.measured_at_ms - report.window_ms - _USAGE_SETTLE_MS
     for entry in report.usage:
         task = worker.residents.get(entry.task_id)
         if task is None or task.started_at_ms is None:
@@ -121,21 +121,21 @@
         if max(task.started_at_ms, task.speed_changed_at_ms) > settled_ms:
             continue
         full_speed = entry.used.cores / task.speed
-        task.expected_cores += _USAGE_BLEND * (full_speed - task.expected_cores)
+        task.expected_cores += _USAGE_SMOOTHING * (full_speed - task.expected_cores)
 
 
-def _blend_residual(
+def _update_residual(
     state: ShardRecords, worker: WorkerState, errors: list[float]
 ) -> None:
     row = worker.slot
     error = statistics.fmean(errors) if errors else 0.0
     old = float(state.table.residual[row])
-    state.table.residual[row] = old + _RESIDUAL_BLEND * (error - old)
+    state.table.residual[row] = old + _RESIDUAL_SMOOTHING * (error - old)
 
 
-def _is_late(worker: WorkerState) -> bool:
+def _is_past_target(worker: WorkerState) -> bool:
     return any(
-        task.samples[-1].slowdown - 1.0 > bearable_excess(task.shape)
+        task.samples[-1].slowdown - 1.0 > tolerated_excess(task.shape)
         for task in worker.residents.values()
         if task.shape.kind is TaskKind.SERVICE and task.samples
     )
--- a/trefoilhook/placement/preemption.py
+++ b/trefoilhook/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Making room for urgent work by stopping batch tasks at a checkpoint."""
+"""Preemption: frees resources for urgent tasks by stopping batch tasks."""
 
 from typing import TYPE_CHECKING
 
@@ -14,8 +14,8 @@
 from trefoilhook.placement.table import ROOM_CORES, ROOM_OPEN
 from trefoilhook.placement.victims import (
     RESTART_COST_MS,
+    compute_stop_cost,
     is_preemptible,
-    weigh_victim,
 )
 
 if TYPE_CHECKING:
@@ -23,12 +23,12 @@
 
 __all__ = ["begin_preemption", "decide_preemption"]
 
-_WORKERS_WEIGHED = 8
-_FREE_ENOUGH = 1e-9
+_MAX_WORKERS_EVALUATED = 8
+_GAIN_EPSILON = 1e-9
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class _Choice:
+class _VictimSet:
     cost: float
     worker_id: str
     victims: tuple[TaskState, ...]
@@ -41,7 +41,7 @@
     now_ms: float,
     policy: Policy,
 ) -> Preempt | Wait:
-    """Choose the worker whose victims cost least to stop.
+    """Choose the worker whose victims are cheapest to stop.
 
     Parameters
     ----------
@@ -50,35 +50,35 @@
     task : TaskShape
         Urgent task.
     rows : array of int
-        Rows that were sampled; a few of them are weighed.
+        Sampled rows, of which a bounded number is evaluated.
     now_ms : float
         Time, in ms.
     policy : Policy
-        Weights.
+        Weights and thresholds.
 
     Returns
     -------
     Preempt or Wait
-        What to stop, or that nothing helps now.
+        Tasks to stop, or Wait if no sampled worker can free enough resources.
     """
-    best: _Choice | None = None
-    weighed = 0
-    for row in _order_by_room(state, rows):
+    best: _VictimSet | None = None
+    evaluated = 0
+    for row in _order_by_free_cores(state, rows):
         worker = state.workers[state.table.ids[row]]
-        choice = _choose_victims(state, worker, task, now_ms, policy)
-        if choice is None:
+        candidate = _choose_victims(state, worker, task, now_ms, policy)
+        if candidate is None:
             continue
-        weighed += 1
-        if best is None or choice.cost < best.cost:
-            best = choice
-        if weighed >= _WORKERS_WEIGHED:
+        evaluated += 1
+        if best is None or candidate.cost < best.cost:
+            best = candidate
+        if evaluated >= _MAX_WORKERS_EVALUATED:
             break
     if best is None:
-        return Wait(reason=WaitReason.NO_ROOM, considered=len(rows))
+        return Wait(reason=WaitReason.INSUFFICIENT_CAPACITY, considered=len(rows))
     return Preempt(
         worker_id=best.worker_id,
         victims=tuple(victim.shape.task_id for victim in best.victims),
-        lost_ms=RESTART_COST_MS * len(best.victims),
+        expected_loss_ms=RESTART_COST_MS * len(best.victims),
     )
 
 
@@ -89,34 +89,34 @@
     now_ms: float,
     policy: Policy,
 ) -> None:
-    """Mark the victims as stopping and keep their room for the urgent task.
+    """Mark the victims as stopping and earmark their resources for the urgent task.
 
     Notes
     -----
-    Guards against a race for freed room: without the earmark the next batch task in
-    the queue takes what a victim leaves while others are still stopping, and the
-    urgent task preempts again and again.
+    Without the earmark, the next batch task in the queue could take the resources of
+    one victim while others are still stopping, and the urgent task would have to
+    preempt repeatedly.
     """
     for task_id in decision.victims:
         victim = state.tasks[task_id]
         state.record_eviction(victim, now_ms)
         state.begin_stop(task_id)
-    state.keep_room(
+    state.add_earmark(
         Earmark(
             task_id=task.task_id,
             worker_id=decision.worker_id,
             resources=task.resources,
-            until_ms=now_ms + policy.earmark_ms,
+            expires_at_ms=now_ms + policy.earmark_ms,
         )
     )
 
 
-def _order_by_room(state: "ShardState", rows: npt.NDArray[np.intp]) -> list[int]:
+def _order_by_free_cores(state: "ShardState", rows: npt.NDArray[np.intp]) -> list[int]:
     table = state.table
-    room = np.where(
+    free_cores = np.where(
         table.room[rows, ROOM_OPEN] > 0.0, table.room[rows, ROOM_CORES], -np.inf
     )
-    return [int(row) for row in rows[np.argsort(-room, kind="stable")]]
+    return [int(row) for row in rows[np.argsort(-free_cores, kind="stable")]]
 
 
 def _choose_victims(
@@ -125,50 +125,60 @@
     task: TaskShape,
     now_ms: float,
     policy: Policy,
-) -> _Choice | None:
+) -> _VictimSet | None:
     if worker.withdrawn or worker.health.quarantined_until_ms is not None:
         return None
-    missing = _find_missing(worker, task.resources)
-    candidates = [held for held in worker.residents.values() if is_preemptible(held)]
-    weights = {
-        held.shape.task_id: weigh_victim(state, held, now_ms, policy)
-        for held in candidates
+    shortfall = _compute_shortfall(worker, task.resources)
+    candidates = [
+        resident for resident in worker.residents.values() if is_preemptible(resident)
+    ]
+    costs = {
+        resident.shape.task_id: compute_stop_cost(state, resident, now_ms, policy)
+        for resident in candidates
     }
-    candidates.sort(key=lambda held: weights[held.shape.task_id] / _gain(held, missing))
+    candidates.sort(
+        key=lambda resident: (
+            costs[resident.shape.task_id] / _compute_gain(resident, shortfall)
+        )
+    )
     chosen: list[TaskState] = []
-    for held in candidates:
-        if _is_met(missing):
+    for victim in candidates:
+        if _is_covered(shortfall):
             break
-        if _gain(held, missing) > _FREE_ENOUGH:
-            chosen.append(held)
-            missing = missing.minus(held.shape.resources)
-    if not _is_met(missing) or not chosen:
+        if _compute_gain(victim, shortfall) > _GAIN_EPSILON:
+            chosen.append(victim)
+            shortfall = shortfall.minus(victim.shape.resources)
+    if not _is_covered(shortfall) or not chosen:
         return None
-    cost = sum(weights[held.shape.task_id] for held in chosen)
-    return _Choice(cost=cost, worker_id=worker.shape.worker_id, victims=tuple(chosen))
+    cost = sum(costs[resident.shape.task_id] for resident in chosen)
+    return _VictimSet(
+        cost=cost, worker_id=worker.shape.worker_id, victims=tuple(chosen)
+    )
 
 
-def _find_missing(worker: WorkerState, wanted: Resources) -> Resources:
-    missing = wanted.minus(worker.shape.capacity.minus(worker.reserved))
-    for mark in worker.earmarks.values():
-        missing = missing.plus(mark.resources)
-    return missing
+def _compute_shortfall(worker: WorkerState, requested: Resources) -> Resources:
+    shortfall = requested.minus(worker.shape.capacity.minus(worker.reserved))
+    for earmark in worker.earmarks.values():
+        shortfall = shortfall.plus(earmark.resources)
+    return shortfall
 
 
-def _is_met(missing: Resources) -> bool:
+def _is_covered(shortfall: Resources) -> bool:
     return (
-        missing.cores <= 0 and missing.memory_bytes <= 0 and missing.accelerators <= 0
+        shortfall.cores <= 0
+        and shortfall.memory_bytes <= 0
+        and shortfall.accelerators <= 0
     )
 
 
-def _gain(held: TaskState, missing: Resources) -> float:
-    """Return what part of the missing room a victim would free."""
-    size = held.shape.resources
-    gain = _FREE_ENOUGH
-    if missing.cores > 0:
-        gain += min(size.cores / missing.cores, 1.0)
-    if missing.memory_bytes > 0:
-        gain += min(size.memory_bytes / missing.memory_bytes, 1.0)
-    if missing.accelerators > 0:
-        gain += min(size.accelerators / missing.accelerators, 1.0)
+def _compute_gain(victim: TaskState, shortfall: Resources) -> float:
+    """Return the sum, over resources, of the part of the shortfall a victim covers."""
+    size = victim.shape.resources
+    gain = _GAIN_EPSILON
+    if shortfall.cores > 0:
+        gain += min(size.cores / shortfall.cores, 1.0)
+    if shortfall.memory_bytes > 0:
+        gain += min(size.memory_bytes / shortfall.memory_bytes, 1.0)
+    if shortfall.accelerators > 0:
+        gain += min(size.accelerators / shortfall.accelerators, 1.0)
     return gain
--- a/trefoilhook/placement/quantiles.py
+++ b/trefoilhook/placement/quantiles.py
@@ -1,4 +1,4 @@
-"""Learned ratios of what tasks did to what was declared, by team and class."""
+"""Quantiles of the ratio of measured to declared run time, by team and class."""
 
 from collections import deque
 
@@ -6,21 +6,21 @@
 
 __all__ = ["RatioKey", "RatioTable"]
 
-_WINDOW = 64
-_LEAST_SAMPLES = 5
-_KEY_LIMIT = 4096
+_MAX_SAMPLES = 64
+_MIN_SAMPLES = 5
+_MAX_KEYS = 4096
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class RatioKey:
-    """Whose ratios are learned together.
+    """Key under which ratios are aggregated.
 
     Parameters
     ----------
     team : str
-        Team that declares.
+        Team that owns the tasks.
     task_class : str
-        Class of the task.
+        Class of the tasks.
     """
 
     team: str
@@ -29,37 +29,37 @@
 
 @attrs.define(kw_only=True)
 class RatioTable:
-    """Last ratios for each key, bounded in keys and in samples.
+    """Most recent ratios of each key, with a bounded number of keys and samples.
 
     Parameters
     ----------
     samples : dict of RatioKey to deque of float
-        Last measured ratios, oldest first.
-    ordered : dict of RatioKey to list of float
-        The same, sorted; rebuilt when asked for after a change.
+        Most recent ratios, oldest first.
+    sorted_samples : dict of RatioKey to list of float
+        Cache of the same ratios in ascending order, rebuilt on demand.
     """
 
     samples: dict[RatioKey, deque[float]] = attrs.field(factory=dict)
-    ordered: dict[RatioKey, list[float]] = attrs.field(factory=dict)
+    sorted_samples: dict[RatioKey, list[float]] = attrs.field(factory=dict)
 
     def record(self, key: RatioKey, ratio: float) -> None:
-        """Add one measured ratio; the oldest key is dropped when all are taken."""
-        kept = self.samples.get(key)
-        if kept is None:
-            if len(self.samples) >= _KEY_LIMIT:
+        """Add a measured ratio; the oldest key is evicted when the table is full."""
+        samples = self.samples.get(key)
+        if samples is None:
+            if len(self.samples) >= _MAX_KEYS:
                 oldest = next(iter(self.samples))
                 del self.samples[oldest]
-                self.ordered.pop(oldest, None)
-            kept = self.samples[key] = deque(maxlen=_WINDOW)
-        kept.append(ratio)
-        self.ordered.pop(key, None)
+                self.sorted_samples.pop(oldest, None)
+            samples = self.samples[key] = deque(maxlen=_MAX_SAMPLES)
+        samples.append(ratio)
+        self.sorted_samples.pop(key, None)
 
     def quantile(self, key: RatioKey, fraction: float) -> float:
-        """Return a quantile of the key's ratios, or 1.0 while too few are known."""
-        ranked = self.ordered.get(key)
-        if ranked is None:
-            kept = self.samples.get(key)
-            if kept is None or len(kept) < _LEAST_SAMPLES:
+        """Return a quantile of the key's ratios, or 1.0 with too few samples."""
+        ordered = self.sorted_samples.get(key)
+        if ordered is None:
+            samples = self.samples.get(key)
+            if samples is None or len(samples) < _MIN_SAMPLES:
                 return 1.0
-            ranked = self.ordered[key] = sorted(kept)
-        return ranked[min(len(ranked) - 1, int(fraction * len(ranked)))]
+            ordered = self.sorted_samples[key] = sorted(samples)
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
--- a/trefoilhook/placement/queue.py
+++ b/trefoilhook/placement/queue.py
@@ -1,4 +1,4 @@
-"""In which order waiting tasks are offered to placement."""
+"""Order in which waiting tasks are placed."""
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
@@ -14,7 +14,7 @@
 
 __all__ = ["WaitingTask", "order_queue"]
 
-_RUN_SCALE_MS = 1_200_000.0
+_RUN_TIME_SCALE_MS = 1_200_000.0
 
 
 @attrs.frozen(kw_only=True, slots=True)
@@ -24,7 +24,7 @@
     Parameters
     ----------
     shape : TaskShape
-        What it declares.
+        Declaration of the task.
     queued_at_ms : float
         When it was accepted, in ms.
     """
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(kw_only=True, slots=True)
-class _Ranked:
+class _RankedTask:
     entry: WaitingTask
     band: int
     run_ms: float
@@ -52,31 +52,33 @@
     Parameters
     ----------
     state : ShardState
-        State of the shard; not changed.
+        State of the shard; not modified.
     waiting : iterable of WaitingTask
-        Tasks that wait.
+        Tasks to order.
     now_ms : float
         Time, in ms.
     policy : Policy
-        Weights of the teams and the waiting time that outweighs them.
+        Team weights and ``starvation_ms``.
 
     Returns
     -------
     tuple of WaitingTask
-        The same tasks, first to place first.
+        The same tasks, in the order in which to place them.
 
     Notes
     -----
-    A batch task ranks by the cores that its team would hold for its weight, counting
-    the team's tasks before it in this order; a short expected run counts a little
-    less, a long wait takes it to the front. Idle cores go to whoever waits, for
-    nothing here caps a team that has no rival.
+    Batch tasks are ordered by the cores their team would hold, divided by the team's
+    weight and including the team's earlier tasks in this order. Short expected run
+    times lower this value, and it falls to zero as the waiting time reaches
+    ``starvation_ms``. There is no cap per team: idle cores go to any waiting task.
     """
-    pool = [_classify(state, entry) for entry in waiting]
-    pool.sort(key=lambda ranked: ranked.run_ms)
-    held = dict(state.team_cores)
-    weighed = [_weigh(ranked, held, now_ms, policy) for ranked in pool]
-    weighed.sort(
+    ranked_tasks = [_classify(state, entry) for entry in waiting]
+    ranked_tasks.sort(key=lambda ranked: ranked.run_ms)
+    team_cores = dict(state.team_cores)
+    weighted = [
+        _compute_weight(ranked, team_cores, now_ms, policy) for ranked in ranked_tasks
+    ]
+    weighted.sort(
         key=lambda ranked: (
             ranked.band,
             ranked.weight,
@@ -84,29 +86,29 @@
             ranked.entry.shape.task_id,
         )
     )
-    return tuple(ranked.entry for ranked in weighed)
+    return tuple(ranked.entry for ranked in weighted)
 
 
-def _classify(state: "ShardState", entry: WaitingTask) -> _Ranked:
+def _classify(state: "ShardState", entry: WaitingTask) -> _RankedTask:
     shape = entry.shape
     key = RatioKey(team=shape.team, task_class=shape.task_class)
     run_ms = state.run_ratios.quantile(key, 0.5) * shape.declared_run_ms
-    return _Ranked(entry=entry, band=_band(shape), run_ms=run_ms)
+    return _RankedTask(entry=entry, band=_find_band(shape), run_ms=run_ms)
 
 
-def _weigh(
-    ranked: _Ranked, held: dict[str, float], now_ms: float, policy: Policy
-) -> _Ranked:
+def _compute_weight(
+    ranked: _RankedTask, team_cores: dict[str, float], now_ms: float, policy: Policy
+) -> _RankedTask:
     if ranked.band != _BATCH_BAND:
         return ranked
     shape = ranked.entry.shape
-    total = held.get(shape.team, 0.0) + shape.resources.cores
-    held[shape.team] = total
-    starved = (now_ms - ranked.entry.queued_at_ms) / policy.starvation_ms
+    total = team_cores.get(shape.team, 0.0) + shape.resources.cores
+    team_cores[shape.team] = total
+    wait_ratio = (now_ms - ranked.entry.queued_at_ms) / policy.starvation_ms
     weight = total / policy.team_weight(shape.team)
-    weight *= 1.0 + min(ranked.run_ms / _RUN_SCALE_MS, 1.0)
-    weight *= max(0.0, 1.0 - starved)
-    return _Ranked(
+    weight *= 1.0 + min(ranked.run_ms / _RUN_TIME_SCALE_MS, 1.0)
+    weight *= max(0.0, 1.0 - wait_ratio)
+    return _RankedTask(
         entry=ranked.entry, band=ranked.band, run_ms=ranked.run_ms, weight=weight
     )
 
@@ -117,7 +119,7 @@
 _BATCH_BAND = 3
 
 
-def _band(shape: TaskShape) -> int:
+def _find_band(shape: TaskShape) -> int:
     if shape.urgent:
         return _URGENT_BAND
     if shape.kind is TaskKind.SERVICE:
--- a/trefoilhook/placement/reactions.py
+++ b/trefoilhook/placement/reactions.py
@@ -1,8 +1,9 @@
-"""What is done when services are slowed: throttle, checkpoint and evict, or move.
+"""Reactions to slowed services: throttling, eviction at a checkpoint and moves.
 
-The ladder is climbed one step at a time. A step needs reports in a row past the
-target, all of them measured after the last step had time to act; so one late or noisy
-report does nothing, and a step is not repeated for want of news of its effect.
+Reactions escalate one step at a time. A step requires several consecutive reports past
+the target, all of them measured after the previous step had time to take effect. A
+single late or noisy report therefore triggers nothing, and a step is not repeated
+before its effect has been measured.
 """
 
 import enum
@@ -13,27 +14,27 @@
 from trefoilhook.placement.health import (
     begin_quarantine,
     end_quarantine,
+    is_quarantine_over,
     needs_quarantine,
-    quarantine_is_over,
 )
-from trefoilhook.placement.moves import find_target
+from trefoilhook.placement.moves import find_move_target
 from trefoilhook.placement.policy import Policy
 from trefoilhook.placement.records import Earmark, TaskPhase, TaskState, WorkerState
 from trefoilhook.placement.refresh import refresh_worker
-from trefoilhook.placement.shapes import TaskKind, bearable_excess
-from trefoilhook.placement.victims import may_evict, weigh_victim
+from trefoilhook.placement.shapes import TaskKind, tolerated_excess
+from trefoilhook.placement.victims import compute_stop_cost, is_evictable
 
 if TYPE_CHECKING:
     from trefoilhook.placement.state import ShardState
 
 __all__ = ["Reaction", "ReactionKind", "apply_reaction", "decide_reactions"]
 
-_CALM_REPORTS = 3
-_LEAST_HARM = 1e-4
+_RELEASE_REPORTS = 3
+_MIN_SLOPE = 1e-4
 
 
 class ReactionKind(enum.Enum):
-    """What is done."""
+    """Kind of reaction."""
 
     THROTTLE = "throttle"
     UNTHROTTLE = "unthrottle"
@@ -45,20 +46,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Reaction:
-    """One step to be taken.
+    """One reaction to be carried out.
 
     Parameters
     ----------
     kind : ReactionKind
-        What to do.
+        Kind of reaction.
     worker_id : str
-        Worker that it concerns.
+        Worker concerned.
     task_id : str, optional
-        Task that it concerns; none for quarantine and release.
+        Task concerned; None for quarantine and release.
     speed : float
-        Part of full speed to run the task at, for throttling and its undoing.
+        Fraction of full speed to run the task at, for throttle and unthrottle.
     target_worker_id : str, optional
-        Worker to start the task on once it is proved stopped, for a move.
+        Worker to start the task on after it is confirmed stopped, for a move.
     """
 
     kind: ReactionKind
@@ -71,7 +72,7 @@
 def decide_reactions(
     state: "ShardState", now_ms: float, policy: Policy
 ) -> tuple[Reaction, ...]:
-    """Decide the next steps on every worker of the shard.
+    """Decide the next reaction on every worker of the shard.
 
     Parameters
     ----------
@@ -85,26 +86,27 @@
     Returns
     -------
     tuple of Reaction
-        At most one step for each worker; carry each out, then hand it to
-        :func:`apply_reaction`.
+        At most one reaction per worker. The caller carries each out and then passes
+        it to :func:`apply_reaction`.
     """
-    wave = _is_wave(state, policy)
+    is_widespread = _is_slowdown_widespread(state, policy)
     steps = (
-        _decide_for_worker(state, worker, now_ms, policy, wave)
+        _decide_for_worker(state, worker, now_ms, policy, is_widespread)
         for worker in state.workers.values()
     )
     return tuple(step for step in steps if step is not None)
 
 
-def _is_wave(state: "ShardState", policy: Policy) -> bool:
-    """Tell whether so many workers are late that the cause is not one neighbour.
+def _is_slowdown_widespread(state: "ShardState", policy: Policy) -> bool:
+    """Return whether services on many workers are past their target.
 
-    Guards against a wave of noise becoming a wave of evictions: throttling is undone
-    in a minute, an eviction is not, and the wave is over before it would have paid.
+    Such a slowdown is not caused by a single co-located task and usually ends before
+    an eviction would pay off. Only throttling is used then, as it is undone within a
+    minute whereas an eviction loses work.
     """
     count = len(state.table.ids)
-    late = float(state.table.late[:count].sum())
-    return late >= max(2.0, policy.wave_fraction * count)
+    past_target = float(state.table.late[:count].sum())
+    return past_target >= max(2.0, policy.wave_fraction * count)
 
 
 def _decide_for_worker(
@@ -112,33 +114,35 @@
     worker: WorkerState,
     now_ms: float,
     policy: Policy,
-    wave: bool,
+    is_widespread: bool,
 ) -> Reaction | None:
     worker_id = worker.shape.worker_id
-    if quarantine_is_over(worker, now_ms):
+    if is_quarantine_over(worker, now_ms):
         return Reaction(kind=ReactionKind.RELEASE, worker_id=worker_id)
     if needs_quarantine(worker, policy):
         return Reaction(kind=ReactionKind.QUARANTINE, worker_id=worker_id)
-    sufferer = _find_sufferer(worker, policy)
-    if sufferer is not None:
-        return _relieve(state, worker, sufferer, now_ms, policy, wave)
-    return _relax(state, worker, now_ms, policy)
+    service = _find_slowed_service(worker, policy)
+    if service is not None:
+        return _reduce_interference(
+            state, worker, service, now_ms, policy, is_widespread
+        )
+    return _undo_throttling(state, worker, now_ms, policy)
 
 
-def _find_sufferer(worker: WorkerState, policy: Policy) -> TaskState | None:
-    """Return the service that is worst past its target by fresh, repeated reports."""
-    fresh_ms = worker.acted_at_ms + policy.settle_ms
+def _find_slowed_service(worker: WorkerState, policy: Policy) -> TaskState | None:
+    """Return the service furthest past its target in enough recent reports."""
+    settled_at_ms = worker.acted_at_ms + policy.settle_ms
     worst: TaskState | None = None
     worst_ratio = 1.0
     for task in worker.residents.values():
         if task.shape.kind is not TaskKind.SERVICE:
             continue
-        last = list(task.samples)[-policy.confirm_reports :]
-        if len(last) < policy.confirm_reports:
+        recent = list(task.samples)[-policy.confirm_reports :]
+        if len(recent) < policy.confirm_reports:
             continue
-        if last[0].measured_at_ms < fresh_ms:
+        if recent[0].measured_at_ms < settled_at_ms:
             continue
-        ratio = min(entry.slowdown - 1.0 for entry in last) / bearable_excess(
+        ratio = min(entry.slowdown - 1.0 for entry in recent) / tolerated_excess(
             task.shape
         )
         if ratio > worst_ratio:
@@ -146,29 +150,29 @@
     return worst
 
 
-def _relieve(
+def _reduce_interference(
     state: "ShardState",
     worker: WorkerState,
-    sufferer: TaskState,
+    service: TaskState,
     now_ms: float,
     policy: Policy,
-    wave: bool,
+    is_widespread: bool,
 ) -> Reaction | None:
-    throttled = _choose_throttled(state, worker, sufferer, policy)
-    if throttled is not None:
-        speed = throttled.speed * policy.throttle_step
+    batch_task = _choose_task_to_throttle(state, worker, service, policy)
+    if batch_task is not None:
+        speed = batch_task.speed * policy.throttle_step
         return Reaction(
             kind=ReactionKind.THROTTLE,
             worker_id=worker.shape.worker_id,
-            task_id=throttled.shape.task_id,
+            task_id=batch_task.shape.task_id,
             speed=max(speed, policy.throttle_floor),
         )
-    if wave or now_ms - worker.acted_at_ms < policy.evict_after_ms:
+    if is_widespread or now_ms - worker.acted_at_ms < policy.evict_after_ms:
         return None
-    victim = _choose_evicted(state, worker, sufferer, now_ms, policy)
+    victim = _choose_task_to_evict(state, worker, service, now_ms, policy)
     if victim is None:
         return None
-    target = find_target(state, victim, now_ms, policy)
+    target = find_move_target(state, victim, now_ms, policy)
     kind = ReactionKind.CHECKPOINT_EVICT if target is None else ReactionKind.MOVE
     return Reaction(
         kind=kind,
@@ -178,24 +182,24 @@
     )
 
 
-def _measure_harm(
-    state: "ShardState", worker: WorkerState, sufferer: TaskState, task: TaskState
+def _predict_contribution(
+    state: "ShardState", worker: WorkerState, service: TaskState, task: TaskState
 ) -> float:
-    """Return how much of the sufferer's excess the model lays on a task."""
-    row, column = sufferer.class_index, task.class_index
+    """Return the part of a service's excess that the model attributes to a task."""
+    row, column = service.class_index, task.class_index
     load = float(state.table.load[worker.slot])
     slope = float(state.model.constant[row, column])
     slope += load * float(state.model.loaded[row, column])
     share = task.expected_cores * task.speed / worker.shape.capacity.cores
-    return max(slope, _LEAST_HARM) * share
+    return max(slope, _MIN_SLOPE) * share
 
 
 def _is_running_batch(task: TaskState) -> bool:
     return task.shape.kind is TaskKind.BATCH and task.phase is TaskPhase.RUNNING
 
 
-def _choose_throttled(
-    state: "ShardState", worker: WorkerState, sufferer: TaskState, policy: Policy
+def _choose_task_to_throttle(
+    state: "ShardState", worker: WorkerState, service: TaskState, policy: Policy
 ) -> TaskState | None:
     candidates = [
         task
@@ -207,34 +211,34 @@
     if not candidates:
         return None
     return max(
-        candidates, key=lambda task: _measure_harm(state, worker, sufferer, task)
+        candidates, key=lambda task: _predict_contribution(state, worker, service, task)
     )
 
 
-def _choose_evicted(
+def _choose_task_to_evict(
     state: "ShardState",
     worker: WorkerState,
-    sufferer: TaskState,
+    service: TaskState,
     now_ms: float,
     policy: Policy,
 ) -> TaskState | None:
     candidates = [
         task
         for task in worker.residents.values()
-        if may_evict(state, task, now_ms, policy)
+        if is_evictable(state, task, now_ms, policy)
     ]
     if not candidates:
         return None
     return max(
         candidates,
         key=lambda task: (
-            _measure_harm(state, worker, sufferer, task)
-            / weigh_victim(state, task, now_ms, policy)
+            _predict_contribution(state, worker, service, task)
+            / compute_stop_cost(state, task, now_ms, policy)
         ),
     )
 
 
-def _relax(
+def _undo_throttling(
     state: "ShardState", worker: WorkerState, now_ms: float, policy: Policy
 ) -> Reaction | None:
     throttled = [
@@ -249,9 +253,11 @@
         for task in worker.residents.values()
         if task.shape.kind is TaskKind.SERVICE
     ]
-    if not all(_is_calm(task, policy) for task in services):
+    if not all(_is_below_release_limit(task, policy) for task in services):
         return None
-    task = min(throttled, key=lambda held: _sum_harm(state, worker, services, held))
+    task = min(
+        throttled, key=lambda held: _sum_contributions(state, worker, services, held)
+    )
     return Reaction(
         kind=ReactionKind.UNTHROTTLE,
         worker_id=worker.shape.worker_id,
@@ -260,36 +266,38 @@
     )
 
 
-def _is_calm(task: TaskState, policy: Policy) -> bool:
-    limit = policy.release_ratio * bearable_excess(task.shape)
-    last = list(task.samples)[-_CALM_REPORTS:]
-    return all(entry.slowdown - 1.0 <= limit for entry in last)
+def _is_below_release_limit(task: TaskState, policy: Policy) -> bool:
+    limit = policy.release_ratio * tolerated_excess(task.shape)
+    recent = list(task.samples)[-_RELEASE_REPORTS:]
+    return all(entry.slowdown - 1.0 <= limit for entry in recent)
 
 
-def _sum_harm(
+def _sum_contributions(
     state: "ShardState",
     worker: WorkerState,
     services: list[TaskState],
     task: TaskState,
 ) -> float:
-    return sum(_measure_harm(state, worker, service, task) for service in services)
+    return sum(
+        _predict_contribution(state, worker, service, task) for service in services
+    )
 
 
 def apply_reaction(
     state: "ShardState", reaction: Reaction, now_ms: float, policy: Policy
 ) -> None:
-    """Note in the state that a reaction is being carried out.
+    """Record in the state that a reaction is being carried out.
 
     Parameters
     ----------
     state : ShardState
         State to change.
     reaction : Reaction
-        Step taken.
+        Reaction being carried out.
     now_ms : float
         Time, in ms.
     policy : Policy
-        Length of a quarantine.
+        Durations of quarantines and earmarks.
     """
     worker = state.workers[reaction.worker_id]
     if reaction.kind is ReactionKind.QUARANTINE:
@@ -308,11 +316,11 @@
     state.record_eviction(task, now_ms)
     state.begin_stop(task.shape.task_id)
     if reaction.target_worker_id is not None:
-        state.keep_room(
+        state.add_earmark(
             Earmark(
                 task_id=task.shape.task_id,
                 worker_id=reaction.target_worker_id,
                 resources=task.shape.resources,
-                until_ms=now_ms + policy.earmark_ms,
+                expires_at_ms=now_ms + policy.earmark_ms,
             )
         )
--- a/trefoilhook/placement/records.py
+++ b/trefoilhook/placement/records.py
@@ -1,4 +1,4 @@
-"""Records that a shard's state is made of: tasks, their past, and workers."""
+"""Records of a shard's state: tasks, their earlier attempts, and workers."""
 
 import enum
 from collections import deque
@@ -21,12 +21,12 @@
     "WorkerState",
 ]
 
-_SNAPSHOT_LIMIT = 32
-_SAMPLE_LIMIT = 8
+_MAX_SNAPSHOTS = 32
+_MAX_SLOWDOWN_SAMPLES = 8
 
 
 class TaskPhase(enum.Enum):
-    """Where a task stands on its worker; every phase holds its resources."""
+    """Phase of a task on its worker; its resources are held in every phase."""
 
     RESERVED = "reserved"
     RUNNING = "running"
@@ -40,7 +40,7 @@
     Parameters
     ----------
     measured_at_ms : float
-        When the measuring window ended, in ms.
+        End of the measurement window, in ms.
     slowdown : float
         Ratio to running alone.
     """
@@ -51,12 +51,12 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class PressureSnapshot:
-    """What a worker carried from a time on.
+    """Pressure on a worker from a point in time on.
 
     Parameters
     ----------
     since_ms : float
-        From when it held, in ms.
+        Time from which it applies, in ms.
     pressure : array, shape (CLASS_LIMIT,)
         Share of the worker's cores used by each class.
     load : float
@@ -75,7 +75,7 @@
     Parameters
     ----------
     shape : TaskShape
-        What was declared.
+        Declaration of the task.
     worker_id : str
         Worker that holds it.
     class_index : int
@@ -83,7 +83,7 @@
     reserved_at_ms : float
         When its resources were reserved, in ms.
     expected_cores : float
-        Cores that it is believed to use at full speed.
+        Estimated core usage at full speed.
     """
 
     shape: TaskShape
@@ -96,24 +96,24 @@
     speed: float = 1.0
     speed_changed_at_ms: float = 0.0
     samples: deque[SlowdownSample] = attrs.field(
-        factory=lambda: deque(maxlen=_SAMPLE_LIMIT)
+        factory=lambda: deque(maxlen=_MAX_SLOWDOWN_SAMPLES)
     )
 
 
 @attrs.define(kw_only=True)
 class TaskHistory:
-    """What earlier attempts of a task left behind.
+    """Outcome of earlier attempts of a task.
 
     Parameters
     ----------
     evictions : int
-        Times it was evicted for the sake of services.
+        Number of evictions and preemptions.
     evicted_at_ms : float, optional
-        When it was last evicted, in ms.
+        Time of the last eviction or preemption, in ms.
     progress_ms : float
-        Run time that its checkpoints hold, in ms.
+        Run time saved in checkpoints, in ms.
     failed_on : set of str
-        Sound workers that it failed on.
+        Workers that it failed on.
     """
 
     evictions: int = 0
@@ -124,18 +124,18 @@
 
 @attrs.define(kw_only=True)
 class WorkerHealth:
-    """What tells a worker that fails everything from jobs that fail everywhere.
+    """Failure record of a worker, used to tell faulty workers from faulty jobs.
 
     Parameters
     ----------
     failed_tasks : list of str
-        Different tasks that failed in a row, with no success in between.
+        Distinct tasks that failed since the last success.
     quarantined_until_ms : float, optional
-        End of the quarantine, in ms; none while the worker is trusted.
+        End of the quarantine, in ms; None outside quarantine.
     on_probation : bool
-        Whether it gets one task at a time until one succeeds.
+        Whether it is limited to one task at a time until one succeeds.
     quarantines : int
-        Quarantines since the last success.
+        Number of quarantines since the last success.
     """
 
     failed_tasks: list[str] = attrs.field(factory=list)
@@ -146,40 +146,40 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Earmark:
-    """Room on a worker that is kept for one urgent task.
+    """Resources of a worker that are kept free for one task.
 
     Parameters
     ----------
     task_id : str
-        Task that the room is for.
+        Task that the resources are kept for.
     worker_id : str
-        Worker that makes room.
+        Worker that provides the resources.
     resources : Resources
-        Size of the room.
+        Amount kept free.
     until_ms : float
-        When the room is given up, in ms.
+        When the earmark expires, in ms.
     """
 
     task_id: str
     worker_id: str
     resources: Resources
-    until_ms: float
+    expires_at_ms: float
 
 
 @attrs.define(kw_only=True)
 class WorkerState:
-    """A worker as its shard sees it.
+    """State of a worker as known to its shard.
 
     Parameters
     ----------
     shape : WorkerShape
-        What it has.
+        Identity, location and capacity.
     slot : int
-        Its row in the shard's table.
+        Row in the shard's table.
     residents : dict of str to TaskState
-        Tasks that hold resources on it, not proved stopped.
+        Tasks that hold resources on it, that is, are not confirmed stopped.
     reserved : Resources
-        Sum of the residents' declared sizes.
+        Sum of the residents' declared resources.
     """
 
     shape: WorkerShape
@@ -188,7 +188,7 @@
     reserved: Resources = ZERO
     earmarks: dict[str, Earmark] = attrs.field(factory=dict)
     snapshots: deque[PressureSnapshot] = attrs.field(
-        factory=lambda: deque(maxlen=_SNAPSHOT_LIMIT)
+        factory=lambda: deque(maxlen=_MAX_SNAPSHOTS)
     )
     health: WorkerHealth = attrs.field(factory=WorkerHealth)
     withdrawn: bool = False
--- a/trefoilhook/placement/refresh.py
+++ b/trefoilhook/placement/refresh.py
@@ -1,4 +1,4 @@
-"""Keeping a worker's row of the table in step with its record."""
+"""Updates of a worker's table row from its record."""
 
 import numpy as np
 
@@ -7,7 +7,7 @@
 from trefoilhook.placement.resources import sum_resources
 from trefoilhook.placement.shapes import (
     TaskKind,
-    bearable_excess,
+    tolerated_excess,
 )
 from trefoilhook.placement.shard import ShardRecords
 
@@ -15,7 +15,7 @@
 
 
 def index_class(state: ShardRecords, task_class: str) -> int:
-    """Return the model's index of a task class, giving it one when it is new."""
+    """Return the model's index of a task class, assigning one to a new class."""
     known = state.class_indexes.get(task_class)
     if known is None:
         known = min(len(state.class_indexes), CLASS_LIMIT - 1)
@@ -26,7 +26,7 @@
 def refresh_worker(
     state: ShardRecords, worker: WorkerState, now_ms: float | None = None
 ) -> None:
-    """Write a worker's record into its row; note its pressure if a time is given.
+    """Update a worker's row from its record; snapshot its pressure if a time is given.
 
     Parameters
     ----------
@@ -35,22 +35,22 @@
     worker : WorkerState
         Worker whose record changed.
     now_ms : float, optional
-        Time from which the new pressure holds, in ms.
+        Time from which the new pressure applies, in ms.
     """
     residents = worker.residents.values()
     worker.reserved = sum_resources(task.shape.resources for task in residents)
-    _write_room(state, worker)
+    _write_free_resources(state, worker)
     _write_pressure(state, worker)
     if now_ms is not None:
-        _note_pressure(state, worker, now_ms)
+        _append_snapshot(state, worker, now_ms)
 
 
-def _write_room(state: ShardRecords, worker: WorkerState) -> None:
+def _write_free_resources(state: ShardRecords, worker: WorkerState) -> None:
     table, row = state.table, worker.slot
-    kept = sum_resources(mark.resources for mark in worker.earmarks.values())
-    room = worker.shape.capacity.minus(worker.reserved).minus(kept)
+    earmarked = sum_resources(earmark.resources for earmark in worker.earmarks.values())
+    free = worker.shape.capacity.minus(worker.reserved).minus(earmarked)
     is_open = float(_is_open(worker))
-    table.room[row] = (room.cores, room.memory_bytes, room.accelerators, is_open)
+    table.room[row] = (free.cores, free.memory_bytes, free.accelerators, is_open)
     table.capacity_cores[row] = worker.shape.capacity.cores
     table.accelerated[row] = float(worker.shape.capacity.accelerators > 0)
 
@@ -67,19 +67,19 @@
     shares = [0.0] * CLASS_LIMIT
     services = [0.0] * CLASS_LIMIT
     scale = [0.0] * CLASS_LIMIT
-    declared = 0.0
+    service_cores = 0.0
     for task in worker.residents.values():
         index = task.class_index
         shares[index] += task.expected_cores * task.speed
         if task.shape.kind is TaskKind.SERVICE:
             services[index] += 1.0
-            scale[index] = max(scale[index], 1.0 / bearable_excess(task.shape))
-            declared += task.shape.resources.cores
+            scale[index] = max(scale[index], 1.0 / tolerated_excess(task.shape))
+            service_cores += task.shape.resources.cores
     table.pressure[row] = shares
     table.pressure[row] /= worker.shape.capacity.cores
     table.load[row] = sum(shares) / worker.shape.capacity.cores
     table.services[row] = services
-    table.service_cores[row] = declared
+    table.service_cores[row] = service_cores
     table.scale[row] = scale
     _write_excess(state, row)
 
@@ -94,7 +94,7 @@
     table.excess[row] = np.maximum(excess, 0.0) * table.scale[row]
 
 
-def _note_pressure(state: ShardRecords, worker: WorkerState, now_ms: float) -> None:
+def _append_snapshot(state: ShardRecords, worker: WorkerState, now_ms: float) -> None:
     row = worker.slot
     snapshot = PressureSnapshot(
         since_ms=now_ms,
--- a/trefoilhook/placement/resources.py
+++ b/trefoilhook/placement/resources.py
@@ -1,4 +1,4 @@
-"""What a task takes and what a worker has."""
+"""Amounts of processor, memory and accelerators."""
 
 import math
 from collections.abc import Iterable
@@ -27,7 +27,7 @@
     accelerators: int = 0
 
     def fits_in(self, other: "Resources") -> bool:
-        """Tell whether ``other`` has at least this much of everything."""
+        """Return whether ``other`` has at least this much of every resource."""
         return (
             self.cores <= other.cores
             and self.memory_bytes <= other.memory_bytes
@@ -43,7 +43,7 @@
         )
 
     def minus(self, other: "Resources") -> "Resources":
-        """Return this amount less ``other``; parts may be negative."""
+        """Return this amount minus ``other``; components may be negative."""
         return Resources(
             cores=self.cores - other.cores,
             memory_bytes=self.memory_bytes - other.memory_bytes,
@@ -55,17 +55,17 @@
 
 
 def sum_resources(amounts: Iterable[Resources]) -> Resources:
-    """Add amounts up without the rounding drift of running totals.
+    """Sum amounts without accumulating rounding errors.
 
     Parameters
     ----------
     amounts : iterable of Resources
-        Amounts to add.
+        Amounts to sum.
 
     Returns
     -------
     Resources
-        Their sum; the cores are the correctly rounded sum, whatever the order.
+        Sum; the cores are correctly rounded and independent of the order.
     """
     listed = list(amounts)
     return Resources(
--- a/trefoilhook/placement/scoring.py
+++ b/trefoilhook/placement/scoring.py
@@ -1,20 +1,22 @@
-"""The one objective that placements are compared by.
+"""Objective function for placement.
 
 The cost of placing a task of class ``c`` that declares a share ``x`` of the cores
 is, in units where a service at its target costs ``tail_weight``::
 
     tail_weight  * sum over services v of ((e_v' / b_v)**2 - (e_v / b_v)**2)
     - batch_weight * x                      (batch and watchers)
-    + spread_weight * crowding              (services)
-    + balance cost * load                   (services)
-    + takeover_weight where the worker holds no service yet, and a steep cost past
-      ``service_fill`` of its cores         (services)
-    + half of the value where an accelerated worker is taken without need
-
-``e`` and ``e'`` are the predicted excess slowdowns before and after, ``b`` the
-excess that the service bears. The square makes a service near its target dear and one
-far from it cheap. A batch task waits where its cost is above zero on every worker
-looked at, or where a service would pass ``admit_ratio`` of what it bears.
+    + spread_weight * concentration         (services)
+    + load-balancing weight * load          (services)
+    + consolidation cost                    (services)
+    + half of batch_weight * x where the worker has accelerators and the task needs
+      none                                  (batch and watchers)
+
+``e`` and ``e'`` are the predicted excess slowdowns before and after placement, ``b``
+is the tolerated excess of the service. Squaring makes interference costly for services
+near their target and cheap for services far from it. The consolidation cost is given
+by :func:`cost_taking_over`. A batch task waits unless a sampled worker is admissible
+and has a negative cost. A worker is inadmissible if a service would exceed
+``admit_ratio`` of its tolerated excess or is past its target.
 """
 
 from collections.abc import Callable
@@ -25,18 +27,18 @@
 import numpy.typing as npt
 
 from trefoilhook.placement.policy import Policy
-from trefoilhook.placement.shapes import TaskKind, TaskShape, bearable_excess
-from trefoilhook.placement.spread import measure_crowding
+from trefoilhook.placement.shapes import TaskKind, TaskShape, tolerated_excess
+from trefoilhook.placement.spread import compute_concentration
 
 if TYPE_CHECKING:
     from trefoilhook.placement.state import ShardState
 
 __all__ = ["Scorer", "Scores", "cost_taking_over", "score_rows"]
 
-_ACCELERATOR_SHARE = 0.5
-_BALANCE_COST = 0.1
-_MATERIAL_TAIL = 1e-3
-_OVERFILL_COST = 10_000.0
+_ACCELERATOR_PENALTY = 0.5
+_LOAD_BALANCE_WEIGHT = 0.1
+_NEGLIGIBLE_TAIL_COST = 1e-3
+_OVERFILL_WEIGHT = 10_000.0
 
 Floats = npt.NDArray[np.float64]
 Rows = npt.NDArray[np.intp]
@@ -44,16 +46,17 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class Scores:
-    """What placing one task on each of some workers would cost.
+    """Costs of placing one task on each of several workers.
 
     Parameters
     ----------
     cost : array
-        Objective; less is better, below zero is worth doing.
+        Objective value; lower is better, negative is a net benefit.
     excess : array
-        Largest ratio of predicted to bearable excess among the services.
+        Largest ratio of predicted to tolerated excess among the services.
     admissible : array of bool
-        Whether services stay within what placement may use.
+        Whether the services stay below the admission limit and none is past its
+        target.
     """
 
     cost: Floats
@@ -71,7 +74,7 @@
     rows: Rows,
     policy: Policy,
 ) -> Scores:
-    """Score workers for a task by the learned model.
+    """Score workers for a task with the interference model.
 
     Parameters
     ----------
@@ -82,7 +85,7 @@
     class_index : int
         Index of its class in the model.
     rows : array of int
-        Rows of the workers that can hold it.
+        Rows of the workers with enough free resources.
     policy : Policy
         Weights and thresholds.
 
@@ -94,53 +97,59 @@
     table = state.table
     share = task.resources.cores / table.capacity_cores.take(rows)
     before = table.excess.take(rows, axis=0)
-    rise = _predict_rise(state, class_index, rows, share, policy)
-    after = before + rise
-    counted = table.services.take(rows, axis=0)
-    counted *= rise
-    tail = np.einsum("ij,ij->i", counted, after + before)
+    increase = _predict_increase(state, class_index, rows, share, policy)
+    after = before + increase
+    weighted = table.services.take(rows, axis=0)
+    weighted *= increase
+    tail_cost = np.einsum("ij,ij->i", weighted, after + before)
     if task.kind is TaskKind.SERVICE:
-        return _score_service(state, task, class_index, rows, share, tail, policy)
-    worst = after.max(axis=1)
-    within = (worst <= policy.admit_ratio) | (tail <= _MATERIAL_TAIL)
-    late = table.late.take(rows) > 0.0
-    cost = policy.tail_weight * tail - policy.batch_weight * share
+        return _score_service(state, task, class_index, rows, share, tail_cost, policy)
+    max_excess = after.max(axis=1)
+    is_within_limit = (max_excess <= policy.admit_ratio) | (
+        tail_cost <= _NEGLIGIBLE_TAIL_COST
+    )
+    is_past_target = table.late.take(rows) > 0.0
+    cost = policy.tail_weight * tail_cost - policy.batch_weight * share
     if not task.resources.accelerators:
-        # A part of the task's own value: it goes elsewhere first, but where only
-        # accelerated workers have room it still starts.
-        kept_free = _ACCELERATOR_SHARE * policy.batch_weight * share
-        cost += kept_free * table.accelerated.take(rows)
-    return Scores(cost=cost, excess=worst, admissible=within & ~late)
+        # Less than the task's own value: other workers are preferred, but the task
+        # still starts if only workers with accelerators have free resources.
+        accelerator_cost = _ACCELERATOR_PENALTY * policy.batch_weight * share
+        cost += accelerator_cost * table.accelerated.take(rows)
+    return Scores(
+        cost=cost, excess=max_excess, admissible=is_within_limit & ~is_past_target
+    )
 
 
-def _predict_rise(
+def _predict_increase(
     state: "ShardState",
     class_index: int,
     rows: Rows,
     share: Floats,
     policy: Policy,
 ) -> Floats:
-    """Return the rise in each class's part of what it bears, by row and class."""
+    """Return the increase of ``excess / tolerated excess`` by row and class."""
     table, model = state.table, state.model
-    own = model.constant[:, class_index] + policy.risk * model.deviation[:, class_index]
-    rise = table.loaded.take(rows, axis=0)
-    rise += own
+    slope = (
+        model.constant[:, class_index] + policy.risk * model.deviation[:, class_index]
+    )
+    increase = table.loaded.take(rows, axis=0)
+    increase += slope
     load = table.load.take(rows) + share
-    rise += load[:, None] * model.loaded[:, class_index]
-    rise *= share[:, None]
-    rise *= table.scale.take(rows, axis=0)
-    return np.maximum(rise, 0.0, out=rise)
+    increase += load[:, None] * model.loaded[:, class_index]
+    increase *= share[:, None]
+    increase *= table.scale.take(rows, axis=0)
+    return np.maximum(increase, 0.0, out=increase)
 
 
-def _predict_own(state: "ShardState", class_index: int, rows: Rows) -> Floats:
-    """Return the excess that a service of a class would suffer on each row."""
+def _predict_own_excess(state: "ShardState", class_index: int, rows: Rows) -> Floats:
+    """Return the predicted excess of a new service on each row."""
     table, model = state.table, state.model
     pressure = table.pressure.take(rows, axis=0)
     constant = pressure @ model.constant[class_index]
     loaded = pressure @ model.loaded[class_index]
     residual = np.maximum(table.residual.take(rows), 0.0)
-    own: Floats = constant + table.load.take(rows) * loaded + residual
-    return np.maximum(own, 0.0)
+    excess: Floats = constant + table.load.take(rows) * loaded + residual
+    return np.maximum(excess, 0.0)
 
 
 def _score_service(
@@ -149,18 +158,23 @@
     class_index: int,
     rows: Rows,
     share: Floats,
-    tail: Floats,
+    tail_cost: Floats,
     policy: Policy,
 ) -> Scores:
-    own = _predict_own(state, class_index, rows) / bearable_excess(task)
+    own_excess = _predict_own_excess(state, class_index, rows) / tolerated_excess(task)
     shapes = [state.workers[state.table.ids[row]].shape for row in rows.tolist()]
-    crowding = np.array(
-        [measure_crowding(state.spread, class_index, shape) for shape in shapes]
+    concentration = np.array(
+        [compute_concentration(state.spread, class_index, shape) for shape in shapes]
     )
-    cost = policy.tail_weight * (tail + own * own) + policy.spread_weight * crowding
-    cost += _BALANCE_COST * (state.table.load.take(rows) + share)
+    cost = (
+        policy.tail_weight * (tail_cost + own_excess * own_excess)
+        + policy.spread_weight * concentration
+    )
+    cost += _LOAD_BALANCE_WEIGHT * (state.table.load.take(rows) + share)
     cost += cost_taking_over(state, task, class_index, rows, policy)
-    return Scores(cost=cost, excess=own, admissible=np.ones(len(rows), dtype=bool))
+    return Scores(
+        cost=cost, excess=own_excess, admissible=np.ones(len(rows), dtype=bool)
+    )
 
 
 def cost_taking_over(
@@ -170,20 +184,28 @@
     rows: Rows,
     policy: Policy,
 ) -> Floats:
-    """Return what it costs batch work that a service comes to each row.
+    """Return the consolidation cost of placing a service on each row.
 
     Notes
     -----
-    A worker without services takes any batch task, one with services only what they
-    bear. So services share workers, up to a part of the cores that leaves each room;
-    and services of one class share them, for then batch classes that do no harm to
-    that one class can fill the rest.
+    The cost is ``takeover_weight`` for a worker without services, ``mixing_weight``
+    for each other service class on the worker, and a steep quadratic cost above
+    ``service_fill`` of the cores.
+
+    A worker without services accepts any batch task; a worker with services accepts
+    only batch tasks that these tolerate. Services are therefore packed onto shared
+    workers, up to ``service_fill`` of the cores so that each service keeps headroom.
+    Services of one class are packed together, so that batch classes that do not slow
+    this class can use the remaining cores.
     """
     table = state.table
-    held = table.service_cores.take(rows)
-    share = (held + task.resources.cores) / table.capacity_cores.take(rows)
+    service_cores = table.service_cores.take(rows)
+    share = (service_cores + task.resources.cores) / table.capacity_cores.take(rows)
     present = table.services.take(rows, axis=0) > 0.0
-    others = present.sum(axis=1) - present[:, class_index]
-    cost = policy.takeover_weight * (held == 0.0) + policy.mixing_weight * others
-    over = np.maximum(share - policy.service_fill, 0.0)
-    return np.asarray(cost + _OVERFILL_COST * over * over)
+    other_classes = present.sum(axis=1) - present[:, class_index]
+    cost = (
+        policy.takeover_weight * (service_cores == 0.0)
+        + policy.mixing_weight * other_classes
+    )
+    overfill = np.maximum(share - policy.service_fill, 0.0)
+    return np.asarray(cost + _OVERFILL_WEIGHT * overfill * overfill)
--- a/trefoilhook/placement/shapes.py
+++ b/trefoilhook/placement/shapes.py
@@ -1,4 +1,4 @@
-"""What is declared about tasks and workers, and what workers report."""
+"""Declarations of tasks and workers, and usage reports of workers."""
 
 import enum
 
@@ -7,7 +7,7 @@
 from trefoilhook.placement.resources import Resources
 
 __all__ = [
-    "DEFAULT_BEARABLE",
+    "DEFAULT_TOLERATED_EXCESS",
     "ServiceSlowdown",
     "StopOutcome",
     "TaskKind",
@@ -15,17 +15,17 @@
     "TaskUsage",
     "UsageReport",
     "WorkerShape",
-    "bearable_excess",
+    "tolerated_excess",
 ]
 
-DEFAULT_BEARABLE = 0.1
-"""Excess slowdown that a service bears where it names no target."""
+DEFAULT_TOLERATED_EXCESS = 0.1
+"""Tolerated excess slowdown of a service that declares no target."""
 
-_LEAST_BEARABLE = 0.001
+_MIN_TOLERATED_EXCESS = 0.001
 
 
 class TaskKind(enum.Enum):
-    """What sort of work a task is."""
+    """Kind of task."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -33,7 +33,7 @@
 
 
 class StopOutcome(enum.Enum):
-    """Why a task no longer runs on its worker."""
+    """Reason why a task stopped running on its worker."""
 
     FINISHED = "finished"
     FAILED = "failed"
@@ -44,26 +44,26 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TaskShape:
-    """What an operator declares about a task.
+    """Declaration of a task.
 
     Parameters
     ----------
     task_id : str
-        Identifier, the same for every attempt.
+        Identifier of the task, unchanged across attempts.
     team : str
         Team that owns the task.
     task_class : str
-        Class that behaves alike, such as ``roster-build``.
+        Class of tasks with similar behaviour, such as ``roster-build``.
     kind : TaskKind
         Service, batch or watcher.
     urgent : bool
         Whether batch tasks may be preempted for it.
     resources : Resources
-        Declared size; the hard limit that its worker enforces.
+        Declared resources; a hard limit enforced by the worker.
     declared_run_ms : float
         Declared run time, in ms; ignored for services and watchers.
     service_target : float, optional
-        Largest slowdown over running alone that the service bears, such as 1.1.
+        Largest tolerated slowdown relative to running alone, such as 1.1.
     """
 
     task_id: str
@@ -76,27 +76,27 @@
     service_target: float | None = None
 
 
-def bearable_excess(task: TaskShape) -> float:
-    """Return how much slower than alone a service may be, as a ratio less one."""
+def tolerated_excess(task: TaskShape) -> float:
+    """Return the tolerated slowdown of a service minus one."""
     if task.service_target is None:
-        return DEFAULT_BEARABLE
-    return max(task.service_target - 1.0, _LEAST_BEARABLE)
+        return DEFAULT_TOLERATED_EXCESS
+    return max(task.service_target - 1.0, _MIN_TOLERATED_EXCESS)
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class WorkerShape:
-    """What is known about a worker.
+    """Identity, location and capacity of a worker.
 
     Parameters
     ----------
     worker_id : str
-        Identifier.
+        Identifier of the worker.
     rack : str
-        Rack that it stands in.
+        Rack of the worker.
     failure_domain : str
         Failure domain of the rack.
     capacity : Resources
-        What it has in all.
+        Total resources.
     """
 
     worker_id: str
@@ -107,7 +107,7 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class TaskUsage:
-    """What one task used over a measuring window.
+    """Resource usage of a task over a measurement window.
 
     Parameters
     ----------
@@ -123,14 +123,14 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class ServiceSlowdown:
-    """How much slower a service answered than it does alone.
+    """Measured slowdown of a service relative to running alone.
 
     Parameters
     ----------
     task_id : str
         Service measured.
     slowdown : float
-        Ratio to running alone; 1.0 is undisturbed.
+        Ratio to running alone; 1.0 means no interference.
     """
 
     task_id: str
@@ -139,20 +139,20 @@
 
 @attrs.frozen(kw_only=True, slots=True)
 class UsageReport:
-    """One worker's measurements; they arrive late.
+    """Measurements of one worker, received with a delay.
 
     Parameters
     ----------
     worker_id : str
         Worker measured.
     measured_at_ms : float
-        End of the measuring window on the owner's clock, in ms.
+        End of the measurement window on the owner's clock, in ms.
     window_ms : float
-        Length of the measuring window, in ms.
+        Length of the measurement window, in ms.
     usage : tuple of TaskUsage
-        One entry for each running task.
+        One entry per running task.
     slowdowns : tuple of ServiceSlowdown
-        One entry for each running service.
+        One entry per running service.
     """
 
     worker_id: str
--- a/trefoilhook/placement/shard.py
+++ b/trefoilhook/placement/shard.py
@@ -1,7 +1,7 @@
-"""The records of one shard, without the changes to them.
+"""Records of one shard.
 
-What reads or writes single records takes these; the state, which makes the changes and
-calls such functions for it, builds on them.
+Functions that read or write individual records take :class:`ShardRecords`. The derived
+``ShardState`` adds the operations that change the state and calls these functions.
 """
 
 from collections import Counter, deque
@@ -25,7 +25,7 @@
 
 @attrs.define(kw_only=True)
 class ShardRecords:
-    """Everything that placement knows about one shard's workers and tasks."""
+    """All placement records of the workers and tasks of one shard."""
 
     workers: dict[str, WorkerState] = attrs.field(factory=dict)
     tasks: dict[str, TaskState] = attrs.field(factory=dict)
@@ -42,5 +42,5 @@
     scan_cursor: int = 0
 
     def history(self, task_id: str) -> TaskHistory:
-        """Return what earlier attempts of a task left behind, to be changed."""
+        """Return the mutable history of a task, creating it if needed."""
         return self.histories.setdefault(task_id, TaskHistory())
--- a/trefoilhook/placement/summaries.py
+++ b/trefoilhook/placement/summaries.py
@@ -1,7 +1,7 @@
-"""What shards tell each other, so that work can spill to where there is room.
+"""Capacity summaries exchanged between shards, used to spill tasks to other shards.
 
-A summary has a fixed size whatever the shard holds. It is a hint: the shard that a
-task spills to decides for itself and may refuse.
+The size of a summary is bounded regardless of the size of the shard. A summary is only
+a hint: the shard that receives a spilled task decides for itself and may refuse it.
 """
 
 from collections.abc import Iterable
@@ -19,62 +19,62 @@
 
 __all__ = ["ShardSummary", "choose_spill", "summarize_shard"]
 
-_OFFERED = 8
-_OLDEST_MS = 10_000.0
+_MAX_WORKERS_LISTED = 8
+_MAX_SUMMARY_AGE_MS = 10_000.0
 
 
 @attrs.frozen(kw_only=True, slots=True)
 class ShardSummary:
-    """Room in a shard, as of a time.
+    """Free resources of a shard at a point in time.
 
     Parameters
     ----------
     shard : int
         Shard described.
     made_at_ms : float
-        When it was made, in ms on the reader's clock.
+        Creation time, in ms on the reader's clock.
     free_cores : float
-        Cores free on open workers, in all.
+        Total free cores on workers that accept new tasks.
     largest_capacity : Resources
-        Largest worker, part by part.
-    rooms : tuple of Resources
-        Room on the emptiest open workers, at most eight.
+        Largest capacity among the workers, for each resource separately.
+    largest_free : tuple of Resources
+        Free resources of the workers with the most free cores, at most eight.
     """
 
     shard: int
-    made_at_ms: float
+    created_at_ms: float
     free_cores: float
     largest_capacity: Resources
-    rooms: tuple[Resources, ...]
+    largest_free: tuple[Resources, ...]
 
 
 def summarize_shard(state: "ShardState", shard: int, now_ms: float) -> ShardSummary:
-    """Summarize a shard's room in a bounded size."""
+    """Summarize the free resources of a shard."""
     table = state.table
     count = len(table.ids)
     is_open = table.room[:count, ROOM_OPEN] > 0.0
     cores = np.where(is_open, table.room[:count, ROOM_CORES], 0.0)
-    emptiest = np.argsort(-cores, kind="stable")[:_OFFERED]
-    rooms = tuple(
+    best_rows = np.argsort(-cores, kind="stable")[:_MAX_WORKERS_LISTED]
+    largest_free = tuple(
         Resources(
             cores=float(cores[row]),
             memory_bytes=int(table.room[row, 1]),
             accelerators=int(table.room[row, 2]),
         )
-        for row in emptiest
+        for row in best_rows
         if is_open[row]
     )
     sizes = list(state.capacities) or [ZERO]
     return ShardSummary(
         shard=shard,
-        made_at_ms=now_ms,
+        created_at_ms=now_ms,
         free_cores=float(np.maximum(cores, 0.0).sum()),
         largest_capacity=Resources(
             cores=max(size.cores for size in sizes),
             memory_bytes=max(size.memory_bytes for size in sizes),
             accelerators=max(size.accelerators for size in sizes),
         ),
-        rooms=rooms,
+        largest_free=largest_free,
     )
 
 
@@ -84,22 +84,22 @@
     now_ms: float,
     rng: np.random.Generator,
 ) -> int | None:
-    """Choose a shard to offer a task to, or none.
+    """Choose a shard to spill a task to, or None.
 
     Notes
     -----
-    Guards against a herd: if every shard offered to the emptiest one, it would be
-    flooded on the strength of one old summary. The draw is by free cores among the
-    shards whose summary is fresh and shows a room that fits.
+    Chooses at random, weighted by free cores, among the shards with a recent summary
+    that lists a worker on which the task fits. Always choosing the shard with the most
+    free cores would overload it, since all shards act on the same outdated summary.
     """
-    fresh = [
+    recent = [
         summary
         for summary in summaries
-        if now_ms - summary.made_at_ms <= _OLDEST_MS
-        and any(task.resources.fits_in(room) for room in summary.rooms)
+        if now_ms - summary.created_at_ms <= _MAX_SUMMARY_AGE_MS
+        and any(task.resources.fits_in(free) for free in summary.largest_free)
     ]
-    weights = np.array([summary.free_cores for summary in fresh])
+    weights = np.array([summary.free_cores for summary in recent])
     total = float(weights.sum())
     if total <= 0.0:
         return None
-    return fresh[int(rng.choice(len(fresh), p=weights / total))].shard
+    return recent[int(rng.choice(len(recent), p=weights / total))].shard
--- a/trefoilhook/placement/table.py
+++ b/trefoilhook/placement/table.py
@@ -1,8 +1,8 @@
-"""The columns that placement scores workers by, one row for each worker.
+"""Columnar copy of the worker records, used to score workers.
 
-Rows are copies of what the records say, kept so that a decision is a few vector
-operations over a bounded sample of rows. No hard limit is decided here alone:
-``ShardState.reserve`` checks the records themselves.
+The columns allow a decision to be a few vector operations over a bounded sample of
+rows. They are not authoritative for hard limits: ``ShardState.reserve`` checks the
+worker records themselves.
 """
 
 import attrs
@@ -11,22 +11,22 @@
 
 from trefoilhook.placement.interference import CLASS_LIMIT
 
-__all__ = ["ROOM_CORES", "ROOM_OPEN", "WorkerTable", "add_row", "drop_row"]
+__all__ = ["ROOM_CORES", "ROOM_OPEN", "WorkerTable", "add_row", "remove_row"]
 
-_FIRST_ROWS = 32
+_INITIAL_ROWS = 32
 _ROOM_WIDTH = 4
 
 ROOM_CORES = 0
-"""Column of the rooms that holds cores."""
+"""Column of ``WorkerTable.room`` with the free cores."""
 
 ROOM_OPEN = 3
-"""Column of the rooms that holds 1.0 where new tasks are allowed."""
+"""Column of ``WorkerTable.room`` that is 1.0 where new tasks are accepted."""
 
 Floats = npt.NDArray[np.float64]
 
 
 def _column(width: int | None = None) -> Floats:
-    return np.zeros(_FIRST_ROWS if width is None else (_FIRST_ROWS, width))
+    return np.zeros(_INITIAL_ROWS if width is None else (_INITIAL_ROWS, width))
 
 
 def _columns() -> Floats:
@@ -44,29 +44,29 @@
     Parameters
     ----------
     ids : list of str
-        Workers in the order of the rows.
+        Worker ids in row order.
     room : array, shape (rows, 4)
-        Cores, bytes of memory and accelerators that are free and not kept for another
-        task, and 1.0 where new tasks are allowed.
+        Cores, bytes of memory and accelerators that are free and not earmarked, and
+        1.0 where new tasks are accepted.
     capacity_cores : array
-        Cores in all.
+        Total cores.
     pressure : array, shape (rows, CLASS_LIMIT)
-        Share of the cores that each class uses.
+        Share of the cores used by each class.
     load : array
         Sum of ``pressure`` along the row.
     services : array, shape (rows, CLASS_LIMIT)
         Number of services of each class.
     scale : array, shape (rows, CLASS_LIMIT)
-        One over the smallest bearable excess of the services of each class; 0 where
-        there are none.
+        Reciprocal of the smallest tolerated excess of the services of each class; 0
+        where there are none.
     excess : array, shape (rows, CLASS_LIMIT)
-        Predicted part of the bearable excess of the services of each class.
+        Predicted ratio of excess to tolerated excess of the services of each class.
     loaded : array, shape (rows, CLASS_LIMIT)
-        What one more unit of load adds to the slowdown of each class.
+        Increase of the slowdown of each class per unit of load.
     service_cores : array
-        Cores that services declare.
+        Cores declared by services.
     residual : array
-        Recent measured excess above what the model predicts.
+        Smoothed difference between measured and predicted excess.
     late : array
         1.0 where a service is past its target.
     accelerated : array
@@ -94,7 +94,7 @@
 
 
 def add_row(table: WorkerTable, worker_id: str) -> int:
-    """Add a row of zeros for a worker and return its index."""
+    """Append a row of zeros for a worker and return its index."""
     row = len(table.ids)
     if row == len(table.load):
         for name in _COLUMNS:
@@ -106,13 +106,13 @@
     return row
 
 
-def drop_row(table: WorkerTable, row: int) -> str | None:
-    """Drop a row by moving the last one into its place.
+def remove_row(table: WorkerTable, row: int) -> str | None:
+    """Remove a row by moving the last row into its place.
 
     Returns
     -------
     str, optional
-        Worker whose row moved to ``row``.
+        Worker whose row was moved to ``row``, or None.
     """
     last = len(table.ids) - 1
     moved = table.ids.pop()
--- a/trefoilhook/placement/tests/test_capacity.py
+++ b/trefoilhook/placement/tests/test_capacity.py
@@ -50,9 +50,11 @@
 )
 
 
-def held_at(running, worker_id):
+def sum_held(running, worker_id):
     """Add up what an independent record says that a worker holds."""
-    held = [task.resources for task, place in running.values() if place == worker_id]
+    held = [
+        task.resources for task, holder_id in running.values() if holder_id == worker_id
+    ]
     return (
         sum(round(10 * size.cores) for size in held),
         sum(size.memory_bytes for size in held),
@@ -117,7 +119,7 @@
             else:
                 getattr(driver, name)(argument)
             for number in range(3):
-                cores, memory_bytes, accelerators = held_at(
+                cores, memory_bytes, accelerators = sum_held(
                     driver.running, f"worker-{number}"
                 )
                 self.assertLessEqual(cores, 320)
--- a/trefoilhook/placement/tests/test_decisions.py
+++ b/trefoilhook/placement/tests/test_decisions.py
@@ -79,7 +79,9 @@
         state = build_state()
         state.reserve(build_task("first", cores=32.0), "worker-0", 0.0)
         decision = decide(state, build_task("second", cores=32.0))
-        self.assertEqual(decision, Wait(reason=WaitReason.NO_ROOM, considered=0))
+        self.assertEqual(
+            decision, Wait(reason=WaitReason.INSUFFICIENT_CAPACITY, considered=0)
+        )
 
     def test_a_shard_without_workers_refuses_nothing(self):
         self.assertIsInstance(decide(build_state(0), build_task(cores=99.0)), Wait)
@@ -211,7 +213,7 @@
         self.assertEqual(waiting.reason, WaitReason.VICTIMS_STOPPING)
         self.state.confirm_stopped(decision.victims[0], 1.0, StopOutcome.EVICTED)
         thief = decide(self.state, build_task("thief", cores=8.0))
-        self.assertEqual(thief.reason, WaitReason.NO_ROOM)
+        self.assertEqual(thief.reason, WaitReason.INSUFFICIENT_CAPACITY)
         self.assertIsInstance(decide(self.state, self.urgent), Placement)
 
     def test_a_refused_start_does_not_give_the_room_away(self):
@@ -228,7 +230,7 @@
         run_task(state, build_task("s", cores=16.0, kind=TaskKind.SERVICE))
         run_task(state, build_task("u", cores=16.0, urgent=True))
         decision = decide(state, self.urgent)
-        self.assertEqual(decision.reason, WaitReason.NO_ROOM)
+        self.assertEqual(decision.reason, WaitReason.INSUFFICIENT_CAPACITY)
 
     def test_the_same_victim_is_not_taken_again(self):
         self.state.history("batch-0").evictions = 1
@@ -309,7 +311,7 @@
             summarize_shard(full, 1, 0.0),
             summarize_shard(build_state(20), 2, 0.0),
         ]
-        self.assertEqual(len(summaries[1].rooms), 8)
+        self.assertEqual(len(summaries[1].largest_free), 8)
         self.assertEqual(choose_spill(build_task(), summaries, 5_000.0, rng), 2)
         self.assertIsNone(choose_spill(build_task(), summaries, 60_000.0, rng))
         small = [summarize_shard(build_state(99, cores=2.0), 3, 0.0)]
--- a/trefoilhook/placement/tests/test_reactions.py
+++ b/trefoilhook/placement/tests/test_reactions.py
@@ -70,7 +70,7 @@
         return [reaction.kind for reaction in reactions]
 
 
-class LadderTest(unittest.TestCase):
+class EscalationTest(unittest.TestCase):
     """One step at a time, up and down."""
 
     def test_one_noisy_report_does_nothing(self):
--- a/trefoilhook/placement/victims.py
+++ b/trefoilhook/placement/victims.py
@@ -1,4 +1,4 @@
-"""Which batch tasks may be stopped, and what stopping them loses."""
+"""Eligibility of batch tasks for preemption and eviction, and the cost of a stop."""
 
 from typing import TYPE_CHECKING
 
@@ -12,30 +12,30 @@
 
 __all__ = [
     "RESTART_COST_MS",
-    "expect_remaining_ms",
+    "compute_stop_cost",
+    "estimate_remaining_ms",
+    "is_evictable",
     "is_preemptible",
-    "may_evict",
-    "weigh_victim",
 ]
 
 RESTART_COST_MS = 30_000.0
-"""Run time lost by a checkpoint, a new start and a warm-up, in ms."""
+"""Run time lost to checkpointing, restart and warm-up, in ms."""
 
 _MS_PER_HOUR = 3_600_000.0
-_RUN_QUANTILE = 0.5
+_RUN_TIME_QUANTILE = 0.5
 
 
-def expect_remaining_ms(state: "ShardState", task: TaskState, now_ms: float) -> float:
-    """Return how long a running task is expected to go on, in ms.
+def estimate_remaining_ms(state: "ShardState", task: TaskState, now_ms: float) -> float:
+    """Return the expected remaining run time of a task, in ms.
 
     Notes
     -----
-    Once a task has run for longer than its class is expected to, it is taken to need
-    a quarter of its expected run time more: it will not end for having been late.
+    A task that has exceeded its expected run time is assumed to need another quarter
+    of it: having overrun does not mean that the task is about to end.
     """
     shape = task.shape
     key = RatioKey(team=shape.team, task_class=shape.task_class)
-    ratio = state.run_ratios.quantile(key, _RUN_QUANTILE)
+    ratio = state.run_ratios.quantile(key, _RUN_TIME_QUANTILE)
     expected_ms = ratio * shape.declared_run_ms
     history = state.histories.get(shape.task_id)
     done_ms = history.progress_ms if history is not None else 0.0
@@ -47,7 +47,7 @@
 
 
 def is_preemptible(task: TaskState) -> bool:
-    """Tell whether a task is batch work that is not urgent and not stopping yet."""
+    """Return whether a task is a running, non-urgent batch task."""
     shape = task.shape
     return (
         shape.kind is TaskKind.BATCH
@@ -56,23 +56,23 @@
     )
 
 
-def may_evict(
+def is_evictable(
     state: "ShardState", task: TaskState, now_ms: float, policy: Policy
 ) -> bool:
-    """Tell whether a task may be evicted for the sake of services.
+    """Return whether a task may be evicted to protect services.
 
     Notes
     -----
-    Guards against a storm of evictions: services slowed by noise would otherwise take
-    turns in evicting the same few tasks, which then never finish. A task is evicted a
-    few times only, with a rest in between, a team a few times an hour, and never what
-    is about to end.
+    Budgets prevent repeated evictions: services slowed by noise could otherwise evict
+    the same few tasks in turn, so that these never finish. Evictions are limited by
+    number and minimum interval for each task, and by number per hour for each team.
+    A task that is about to end is not evicted.
     """
     if not is_preemptible(task):
         return False
-    if expect_remaining_ms(state, task, now_ms) < policy.spare_remaining_ms:
+    if estimate_remaining_ms(state, task, now_ms) < policy.spare_remaining_ms:
         return False
-    if _used_task_budget(state, task, now_ms, policy):
+    if _is_task_budget_exhausted(state, task, now_ms, policy):
         return False
     recent = state.team_evictions.get(task.shape.team, ())
     since_ms = now_ms - _MS_PER_HOUR
@@ -80,7 +80,7 @@
     return used < policy.team_evictions_per_hour
 
 
-def _used_task_budget(
+def _is_task_budget_exhausted(
     state: "ShardState", task: TaskState, now_ms: float, policy: Policy
 ) -> bool:
     history = state.histories.get(task.shape.task_id)
@@ -91,17 +91,18 @@
     return now_ms - history.evicted_at_ms < policy.victim_rest_ms
 
 
-def weigh_victim(
+def compute_stop_cost(
     state: "ShardState", task: TaskState, now_ms: float, policy: Policy
 ) -> float:
-    """Return what stopping a task costs, in ms of run time times cores.
+    """Return the cost of stopping a task, in core-ms.
 
     Notes
     -----
-    A task that is about to end is dear, for its room comes free by itself; so is one
-    that was stopped before, so that the same victim is not taken again and again.
+    The cost is higher for a task that is about to end, since its resources are freed
+    soon anyway, and for a task that was stopped before, so that the same victim is not
+    chosen repeatedly.
     """
-    remaining_ms = expect_remaining_ms(state, task, now_ms)
+    remaining_ms = estimate_remaining_ms(state, task, now_ms)
     cost = RESTART_COST_MS * max(task.shape.resources.cores, 1.0)
     if remaining_ms < policy.spare_remaining_ms:
         cost *= 4.0
