--- a/trefoilhook/placement/reactions.py
+++ b/trefoilhook/placement/reactions.py
@@ -256,7 +256,8 @@
     if not all(_is_below_release_limit(task, policy) for task in services):
         return None
     task = min(
-        throttled, key=lambda held: _sum_contributions(state, worker, services, held)
+        throttled,
+        key=lambda candidate: _sum_contributions(state, worker, services, candidate),
     )
     return Reaction(
         kind=ReactionKind.UNTHROTTLE,
--- a/trefoilhook/placement/tests/builders.py
+++ b/trefoilhook/placement/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small shapes that the tests are made of."""
+"""Builders of workers, tasks and shard states for the tests."""
 
 from trefoilhook.placement import (
     Resources,
@@ -12,7 +12,7 @@
 
 
 def build_worker(number=0, *, cores=32.0, accelerators=0):
-    """Build a worker, eight to a rack and a failure domain to a rack."""
+    """Build a worker; eight share a rack, racks alternate over three domains."""
     return WorkerShape(
         worker_id=f"worker-{number}",
         rack=f"rack-{number // 8}",
@@ -24,7 +24,7 @@
 
 
 def build_state(count=1, **sizes):
-    """Build a shard of equal workers."""
+    """Build the state of a shard of identical workers."""
     state = ShardState()
     for number in range(count):
         state.add_worker(build_worker(number, **sizes))
@@ -44,7 +44,7 @@
     declared_run_ms=600_000.0,
     service_target=None,
 ):
-    """Build a task."""
+    """Build a task declaration."""
     return TaskShape(
         task_id=task_id,
         team=team,
@@ -60,7 +60,7 @@
 
 
 def run_task(state, task, worker_id="worker-0", now_ms=0.0):
-    """Reserve a task and confirm that it started."""
+    """Reserve resources for a task and confirm its start."""
     state.reserve(task, worker_id, now_ms)
     state.confirm_started(task.task_id, now_ms)
     return state.tasks[task.task_id]
--- a/trefoilhook/placement/tests/test_capacity.py
+++ b/trefoilhook/placement/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""No worker is ever given more than it has."""
+"""Tests that no worker is given more than its capacity."""
 
 import unittest
 
@@ -51,7 +51,7 @@
 
 
 def sum_held(running, worker_id):
-    """Add up what an independent record says that a worker holds."""
+    """Sum the resources held on a worker according to the driver's own record."""
     held = [
         task.resources for task, holder_id in running.values() if holder_id == worker_id
     ]
@@ -63,7 +63,7 @@
 
 
 class Driver:
-    """Carries steps out as a daemon would, with a record of its own."""
+    """Carries out steps as a daemon would and keeps an independent record."""
 
     def __init__(self):
         self.state = build_state(3, accelerators=1)
@@ -107,11 +107,11 @@
 
 
 class CapacityTest(unittest.TestCase):
-    """Hard limits, whatever the order of events."""
+    """Hard limits on resources, for any order of events."""
 
     @settings(max_examples=150, deadline=None, derandomize=True)
     @given(STEPS)
-    def test_no_order_of_events_overfills_a_worker(self, steps):
+    def test_no_event_order_exceeds_worker_capacity(self, steps):
         driver = Driver()
         for name, argument in steps:
             if name == "return":
@@ -131,17 +131,17 @@
         if worker is None or worker.withdrawn:
             driver.state.add_worker(build_worker(number, accelerators=1))
 
-    def test_a_start_not_yet_confirmed_holds_its_room(self):
-        # A user's job is killed for memory. Two starts were sent to one worker before
-        # it confirmed the first; only running tasks were counted, so both went out.
+    def test_unconfirmed_start_holds_its_resources(self):
+        # Guards against running out of memory on a worker: if only running tasks are
+        # counted, two starts are sent to one worker before it confirms the first.
         state = build_state()
         state.reserve(build_task("first", cores=20.0), "worker-0", 0.0)
         with self.assertRaises(CapacityExceededError):
             state.reserve(build_task("second", cores=20.0), "worker-0", 0.0)
 
-    def test_a_stop_not_yet_proved_holds_its_room(self):
-        # A service slows to a crawl. A batch task was told to stop, its room was given
-        # away at once, and the stop took ten seconds: both ran meanwhile.
+    def test_unconfirmed_stop_holds_its_resources(self):
+        # Guards against overload while a task stops: a stop can take ten seconds, and
+        # both tasks run meanwhile if its resources are reassigned at once.
         state = build_state()
         run_task(state, build_task("first", cores=20.0))
         state.begin_stop("first")
@@ -150,9 +150,9 @@
         state.confirm_stopped("first", 0.0, StopOutcome.EVICTED)
         state.reserve(build_task("second", cores=20.0), "worker-0", 0.0)
 
-    def test_a_worker_that_comes_back_still_holds_its_tasks(self):
-        # Two jobs fight for one machine. The worker was lost from view and came back
-        # with its task running; its record had been dropped, so it looked empty.
+    def test_returning_worker_still_holds_its_tasks(self):
+        # Guards against filling a worker twice: a lost worker returns with its task
+        # still running and appears empty if its record was dropped.
         state = build_state()
         run_task(state, build_task("first", cores=20.0))
         state.remove_worker("worker-0")
@@ -162,9 +162,9 @@
         with self.assertRaises(CapacityExceededError):
             state.reserve(build_task("second", cores=20.0), "worker-0", 0.0)
 
-    def test_an_inventory_counts_even_where_it_overfills(self):
-        # A new owner finds a worker fuller than it should be and adds to it. It had
-        # refused to count what did not fit.
+    def test_restored_task_counts_beyond_capacity(self):
+        # Guards against a new owner adding tasks to an overfilled worker because it
+        # did not count the restored tasks that exceed the capacity.
         state = build_state()
         state.reserve(build_task("first", cores=30.0), "worker-0", 0.0)
         state.restore(build_task("second", cores=20.0), "worker-0", 0.0)
@@ -172,22 +172,22 @@
         with self.assertRaises(CapacityExceededError):
             state.reserve(build_task("third", cores=20.0), "worker-0", 0.0)
 
-    def test_a_task_is_not_held_twice(self):
-        # A roster is built twice. Its start was retried on another worker while the
-        # first worker still held it.
+    def test_task_is_not_reserved_twice(self):
+        # Guards against running a task twice: its start is retried on another worker
+        # while the first worker still holds it.
         state = build_state(2)
         state.reserve(build_task(), "worker-0", 0.0)
         with self.assertRaises(UnknownTaskError):
             state.reserve(build_task(), "worker-1", 0.0)
 
-    def test_what_fits_exactly_is_not_refused_for_rounding(self):
-        # A task that fills a worker to the brim waits for ever beside free cores.
-        # Added up one by one, 0.1, 0.2 and 0.3 cores come to a little over 0.6.
+    def test_exact_fit_is_accepted_despite_rounding(self):
+        # Guards against a task that fills a worker exactly waiting forever: summed
+        # one by one, 0.1, 0.2 and 0.3 cores exceed 0.6 by a rounding error.
         state = build_state(cores=0.6)
         for number, cores in enumerate((0.1, 0.2, 0.3)):
             state.reserve(build_task(f"t-{number}", cores=cores), "worker-0", 0.0)
 
-    def test_rounding_neither_loses_nor_grants_room(self):
+    def test_rounding_neither_loses_nor_adds_capacity(self):
         state = build_state(cores=1.0)
         for number in range(10):
             state.reserve(build_task(f"task-{number}", cores=0.1), "worker-0", 0.0)
--- a/trefoilhook/placement/tests/test_decisions.py
+++ b/trefoilhook/placement/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Where tasks go, and what is refused."""
+"""Tests of placement, refusal, preemption, queue order, spread and explanations."""
 
 import unittest
 
@@ -42,12 +42,12 @@
 
 
 def decide(state, task, now_ms=0.0, policy=LATENCY_FIRST):
-    """Decide with a seeded generator."""
+    """Decide the placement of a task with a seeded generator."""
     return decide_placement(state, task, now_ms, np.random.default_rng(1), policy)
 
 
 def report_slowdown(state, task_id, slowdown, at_ms, worker_id="worker-0"):
-    """Deliver a report of one service's slowdown, ten seconds late."""
+    """Deliver a report of a service's slowdown with a delay of ten seconds."""
     report = UsageReport(
         worker_id=worker_id,
         measured_at_ms=at_ms,
@@ -58,9 +58,9 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Jobs that can never run are refused with what would have to change."""
+    """Refusal of tasks that can never run."""
 
-    def test_reasons(self):
+    def test_refusal_reasons(self):
         table = [
             ({"cores": 33.0}, ImpossibleReason.TOO_MANY_CORES),
             ({"memory_bytes": 126 * GIB}, ImpossibleReason.TOO_MUCH_MEMORY),
@@ -75,7 +75,7 @@
                 self.assertIsInstance(decision, Impossible)
                 self.assertIs(decision.reason, reason)
 
-    def test_a_full_fleet_refuses_nothing(self):
+    def test_fully_used_worker_refuses_nothing(self):
         state = build_state()
         state.reserve(build_task("first", cores=32.0), "worker-0", 0.0)
         decision = decide(state, build_task("second", cores=32.0))
@@ -83,12 +83,12 @@
             decision, Wait(reason=WaitReason.INSUFFICIENT_CAPACITY, considered=0)
         )
 
-    def test_a_shard_without_workers_refuses_nothing(self):
+    def test_shard_without_workers_refuses_nothing(self):
         self.assertIsInstance(decide(build_state(0), build_task(cores=99.0)), Wait)
 
-    def test_a_job_that_fails_everywhere_is_refused(self):
-        # A manifest job with a bad input is tried on one worker after another for
-        # hours. Each worker is sound and each attempt fails alike.
+    def test_job_failing_on_several_workers_is_refused(self):
+        # Guards against retrying a job with invalid input on one worker after another:
+        # the workers are sound and every attempt fails in the same way.
         state = build_state(4)
         for number in range(3):
             decision = decide(state, build_task())
@@ -100,11 +100,11 @@
 
 
 class InterferenceTest(unittest.TestCase):
-    """Batch work keeps away from services that it would slow."""
+    """Interference of batch tasks with services."""
 
-    def test_nothing_is_added_beside_a_service_past_its_target(self):
-        # The seat check slows in the evening rush and a roster build is put beside
-        # it all the same: the model had not seen the pair and was told to explore.
+    def test_no_task_is_added_beside_service_past_target(self):
+        # Guards against adding a batch task beside a service that is already past its
+        # target. It happens if exploration is enabled and the pair is not yet learned.
         explorer = attrs.evolve(THROUGHPUT_FIRST, risk=-3.0, admit_ratio=np.inf)
         state = build_state()
         service = build_task("service", kind=TaskKind.SERVICE, task_class="seat-check")
@@ -114,7 +114,7 @@
         decision = decide(state, build_task(), 30_000.0, policy=explorer)
         self.assertEqual(decision, Wait(reason=WaitReason.INTERFERENCE, considered=1))
 
-    def test_a_harmful_pair_is_learned_from_late_reports(self):
+    def test_interfering_pair_is_learned_from_late_reports(self):
         state = build_state(3)
         for number in range(2):
             service = build_task(
@@ -135,9 +135,9 @@
         quiet_slope = slopes[state.class_indexes["quiet"]]
         self.assertGreater(loud_slope, 10 * max(quiet_slope, 0.02))
 
-    def test_a_report_is_matched_with_what_ran_when_it_was_measured(self):
-        # An innocent class is shunned for weeks. A loud task ended, an innocent one
-        # took its place, and then the late report of the loud one's slowdown came.
+    def test_report_is_matched_with_tasks_of_its_window(self):
+        # Guards against blaming the wrong class: an interfering task ends, another
+        # task starts in its place, and only then the report of the slowdown arrives.
         state = build_state()
         run_task(state, build_task("service", kind=TaskKind.SERVICE, task_class="s"))
         run_task(state, build_task("loud", cores=16.0, task_class="loud"))
@@ -146,14 +146,14 @@
         run_task(state, new, now_ms=65_000.0)
         report_slowdown(state, "service", 1.5, 60_000.0)
         row = state.model.constant[state.class_indexes["s"]]
-        loud, innocent = (row[state.class_indexes[name]] for name in ("loud", "new"))
-        never_seen = row[-1]
-        self.assertGreater(loud, 2.0 * innocent)
-        self.assertAlmostEqual(innocent, never_seen)
-
-    def test_a_worker_is_forgiven_once_its_service_has_left(self):
-        # A worker stays shunned for good: the wave of noise that it was shunned for
-        # ended after its last service had left, so no report ever said so.
+        loud, newer = (row[state.class_indexes[name]] for name in ("loud", "new"))
+        unobserved = row[-1]
+        self.assertGreater(loud, 2.0 * newer)
+        self.assertAlmostEqual(newer, unobserved)
+
+    def test_residual_decays_after_service_has_stopped(self):
+        # Guards against avoiding a worker permanently: if noise ends after its last
+        # service has stopped, no later slowdown report lowers the residual.
         state = build_state()
         run_task(state, build_task("service", kind=TaskKind.SERVICE))
         report_slowdown(state, "service", 2.0, 20_000.0)
@@ -163,9 +163,9 @@
             report_slowdown(state, "service", 2.0, 40_000.0 + 10_000.0 * step)
         self.assertLess(state.table.residual[0], 0.01)
 
-    def test_an_overtaken_report_does_not_bring_old_usage_back(self):
-        # A service that grew in the rush is planned for at its size of before: a
-        # report that another had overtaken on the way was taken for the latest.
+    def test_out_of_order_report_does_not_restore_old_usage(self):
+        # Guards against planning with outdated usage: a report that arrives after a
+        # newer one must not be taken for the latest.
         state = build_state()
         held = run_task(state, build_task("service", kind=TaskKind.SERVICE))
         for measured_at_ms, cores in ((60_000.0, 4.0), (40_000.0, 1.0)):
@@ -181,7 +181,7 @@
 
     @settings(max_examples=50, deadline=None, derandomize=True)
     @given(st.lists(st.floats(0.5, 50.0, allow_nan=False), min_size=1, max_size=30))
-    def test_no_report_breaks_the_model(self, slowdowns):
+    def test_model_stays_finite_for_any_slowdowns(self, slowdowns):
         state = build_state()
         run_task(state, build_task("service", kind=TaskKind.SERVICE))
         for step, slowdown in enumerate(slowdowns):
@@ -191,7 +191,7 @@
 
 
 class PreemptionTest(unittest.TestCase):
-    """Urgent work starts on a full fleet."""
+    """Preemption of batch tasks for urgent tasks."""
 
     def setUp(self):
         self.state = build_state()
@@ -199,54 +199,54 @@
             run_task(self.state, build_task(f"batch-{number}", cores=8.0))
         self.urgent = build_task("urgent", cores=8.0, urgent=True)
 
-    def test_an_urgent_task_takes_the_room_of_one_victim(self):
+    def test_urgent_task_preempts_one_victim(self):
         decision = decide(self.state, self.urgent)
         self.assertIsInstance(decision, Preempt)
         self.assertEqual(len(decision.victims), 1)
 
-    def test_freed_room_is_kept_for_the_urgent_task(self):
-        # An urgent manifest waits for minutes on a full fleet: each time a victim
-        # stopped, the next batch task in the queue took the room it left.
+    def test_freed_resources_are_earmarked_for_urgent_task(self):
+        # Guards against delaying an urgent task: without an earmark the next batch task
+        # in the queue takes the resources whenever a victim stops.
         decision = decide(self.state, self.urgent)
         begin_preemption(self.state, self.urgent, decision, 0.0, LATENCY_FIRST)
         waiting = decide(self.state, self.urgent)
         self.assertEqual(waiting.reason, WaitReason.VICTIMS_STOPPING)
         self.state.confirm_stopped(decision.victims[0], 1.0, StopOutcome.EVICTED)
-        thief = decide(self.state, build_task("thief", cores=8.0))
-        self.assertEqual(thief.reason, WaitReason.INSUFFICIENT_CAPACITY)
+        competing = decide(self.state, build_task("thief", cores=8.0))
+        self.assertEqual(competing.reason, WaitReason.INSUFFICIENT_CAPACITY)
         self.assertIsInstance(decide(self.state, self.urgent), Placement)
 
-    def test_a_refused_start_does_not_give_the_room_away(self):
-        # An urgent task was started a moment too soon, while its victim still held
-        # the room. The refusal must leave everything as it was, its room included.
+    def test_failed_reservation_keeps_earmark(self):
+        # Guards against losing the earmark: an urgent task is started while its victim
+        # still holds the resources. The refused reservation must not change the state.
         decision = decide(self.state, self.urgent)
         begin_preemption(self.state, self.urgent, decision, 0.0, LATENCY_FIRST)
         with self.assertRaises(CapacityExceededError):
             self.state.reserve(self.urgent, decision.worker_id, 0.0)
         self.assertIn("urgent", self.state.earmarks)
 
-    def test_neither_services_nor_urgent_tasks_are_victims(self):
+    def test_services_and_urgent_tasks_are_not_preempted(self):
         state = build_state()
         run_task(state, build_task("s", cores=16.0, kind=TaskKind.SERVICE))
         run_task(state, build_task("u", cores=16.0, urgent=True))
         decision = decide(state, self.urgent)
         self.assertEqual(decision.reason, WaitReason.INSUFFICIENT_CAPACITY)
 
-    def test_the_same_victim_is_not_taken_again(self):
+    def test_same_victim_is_not_chosen_again(self):
         self.state.history("batch-0").evictions = 1
         decision = decide(self.state, self.urgent)
         self.assertNotIn("batch-0", decision.victims)
 
 
 class QueueTest(unittest.TestCase):
-    """The order in which waiting tasks are offered."""
+    """Order of the waiting tasks."""
 
     def order(self, state, tasks, now_ms=0.0):
         waiting = [WaitingTask(shape=task, queued_at_ms=at_ms) for at_ms, task in tasks]
         ordered = order_queue(state, waiting, now_ms, LATENCY_FIRST)
         return [entry.shape.task_id for entry in ordered]
 
-    def test_urgent_services_watchers_batch(self):
+    def test_order_of_task_kinds(self):
         tasks = [
             (0.0, build_task("batch")),
             (1.0, build_task("watcher", kind=TaskKind.WATCHER)),
@@ -257,13 +257,13 @@
             self.order(build_state(), tasks), ["urgent", "service", "watcher", "batch"]
         )
 
-    def test_the_team_that_holds_less_goes_first(self):
+    def test_team_holding_fewer_cores_goes_first(self):
         state = build_state()
         run_task(state, build_task("held", cores=16.0, team="big"))
         tasks = [(0.0, build_task("a", team="big")), (1.0, build_task("b", team="new"))]
         self.assertEqual(self.order(state, tasks), ["b", "a"])
 
-    def test_teams_take_turns_and_short_runs_go_first(self):
+    def test_teams_alternate_and_short_runs_go_first(self):
         tasks = [
             (0.0, build_task("a-long", team="a", declared_run_ms=900_000.0)),
             (0.0, build_task("a-short", team="a", declared_run_ms=60_000.0)),
@@ -273,7 +273,7 @@
             self.order(build_state(), tasks), ["a-short", "b-long", "a-long"]
         )
 
-    def test_a_long_wait_outweighs_fair_share(self):
+    def test_long_wait_outweighs_fair_share(self):
         state = build_state()
         run_task(state, build_task("held", cores=16.0, team="big"))
         tasks = [
@@ -284,11 +284,11 @@
 
 
 class SpreadTest(unittest.TestCase):
-    """Services of a class stand in several failure domains."""
+    """Spread of the services of a class over failure domains."""
 
-    def test_three_small_services_stand_in_three_domains(self):
-        # The booking page is down with one rack. Its three replicas were small, and
-        # gathering services put them all on one worker.
+    def test_small_services_are_spread_over_failure_domains(self):
+        # Guards against losing all replicas of a service with one rack: packing
+        # services onto shared workers put three small replicas on one worker.
         state = build_state(24)
         for number in range(3):
             task = build_task(f"s-{number}", cores=2.0, kind=TaskKind.SERVICE)
@@ -301,9 +301,9 @@
 
 
 class SpillTest(unittest.TestCase):
-    """Summaries between shards."""
+    """Spilling of tasks to other shards by their summaries."""
 
-    def test_only_fresh_summaries_with_a_room_that_fits_are_used(self):
+    def test_only_recent_summaries_with_a_fitting_worker_are_used(self):
         rng = np.random.default_rng(1)
         full = build_state()
         full.reserve(build_task("all", cores=32.0), "worker-0", 0.0)
@@ -320,7 +320,7 @@
 
 
 class ExplanationTest(unittest.TestCase):
-    """Text for ``trefoilhook explain``."""
+    """Text shown by ``trefoilhook explain``."""
 
     def explain(self, state, task):
         explanation = explain_placement(
--- a/trefoilhook/placement/tests/test_reactions.py
+++ b/trefoilhook/placement/tests/test_reactions.py
@@ -1,4 +1,4 @@
-"""Throttling, eviction and quarantine."""
+"""Tests of throttling, eviction and quarantine."""
 
 import unittest
 
@@ -28,8 +28,8 @@
 REPORT_MS = 10_000.0
 
 
-class Scene:
-    """Workers with a service and a batch task each, and a virtual time."""
+class SimulatedShard:
+    """Workers that each run a service and batch tasks, with a virtual clock."""
 
     def __init__(self, workers=8, policy=LATENCY_FIRST, batch=1):
         self.policy = policy
@@ -47,7 +47,7 @@
                 run_task(self.state, task, f"worker-{number}")
 
     def report(self, slowdown, workers=(0,)):
-        """Let one report period pass; return the kinds of what is then done."""
+        """Advance by one report period and return the kinds of the reactions."""
         self.now_ms += REPORT_MS
         for number in workers:
             report = UsageReport(
@@ -63,7 +63,7 @@
         return self.react()
 
     def react(self):
-        """Decide and carry out, as a daemon would."""
+        """Decide and apply the reactions, as a daemon would."""
         reactions = decide_reactions(self.state, self.now_ms, self.policy)
         for reaction in reactions:
             apply_reaction(self.state, reaction, self.now_ms, self.policy)
@@ -71,18 +71,18 @@
 
 
 class EscalationTest(unittest.TestCase):
-    """One step at a time, up and down."""
+    """Escalation and release, one step at a time."""
 
-    def test_one_noisy_report_does_nothing(self):
-        # Batch work is throttled all evening though services are well. One report in
-        # a dozen was noise, and each was acted on.
-        scene = Scene()
+    def test_single_noisy_report_triggers_no_reaction(self):
+        # Guards against throttling batch tasks because of isolated noisy reports while
+        # the services are within their target.
+        shard = SimulatedShard()
         for slowdown in (1.0, 1.5, 1.0, 1.5, 1.0):
-            self.assertEqual(scene.report(slowdown), [])
+            self.assertEqual(shard.report(slowdown), [])
 
     def test_throttle_twice_then_evict(self):
-        scene = Scene()
-        kinds = [kind for _ in range(20) for kind in scene.report(1.5)]
+        shard = SimulatedShard()
+        kinds = [kind for _ in range(20) for kind in shard.report(1.5)]
         self.assertEqual(
             kinds,
             [
@@ -92,54 +92,54 @@
             ],
         )
 
-    def test_an_evicted_task_moves_where_it_does_no_harm(self):
-        scene = Scene()
-        scene.state.add_worker(build_worker(8))
+    def test_evicted_task_moves_to_admissible_worker(self):
+        shard = SimulatedShard()
+        shard.state.add_worker(build_worker(8))
         for _ in range(10):
-            scene.report(1.5)
-        earmark = scene.state.earmarks["batch-0-0"]
+            shard.report(1.5)
+        earmark = shard.state.earmarks["batch-0-0"]
         self.assertEqual(earmark.worker_id, "worker-8")
-        task = scene.state.tasks["batch-0-0"].shape
-        scene.state.confirm_stopped("batch-0-0", scene.now_ms, StopOutcome.EVICTED)
+        task = shard.state.tasks["batch-0-0"].shape
+        shard.state.confirm_stopped("batch-0-0", shard.now_ms, StopOutcome.EVICTED)
         rng = np.random.default_rng(1)
-        decision = decide_placement(scene.state, task, scene.now_ms, rng, LATENCY_FIRST)
+        decision = decide_placement(shard.state, task, shard.now_ms, rng, LATENCY_FIRST)
         self.assertEqual(decision.worker_id, "worker-8")
 
-    def test_a_step_waits_for_news_of_the_last(self):
-        # A batch task is thrown off a worker at the first sign of slowness. Reports
-        # measured before the throttling kept arriving and were taken for its failure.
-        scene = Scene()
-        scene.report(1.5)
-        self.assertEqual(scene.report(1.5), [ReactionKind.THROTTLE])
-        self.assertEqual(scene.react(), [])
-        self.assertEqual(scene.report(1.5), [])
-        self.assertEqual(scene.report(1.5), [ReactionKind.THROTTLE])
-
-    def test_throttling_is_undone_when_calm(self):
-        scene = Scene()
+    def test_step_waits_for_effect_of_previous_step(self):
+        # Guards against escalating too early: reports measured before a throttling step
+        # arrive after it and must not count as evidence that it had no effect.
+        shard = SimulatedShard()
+        shard.report(1.5)
+        self.assertEqual(shard.report(1.5), [ReactionKind.THROTTLE])
+        self.assertEqual(shard.react(), [])
+        self.assertEqual(shard.report(1.5), [])
+        self.assertEqual(shard.report(1.5), [ReactionKind.THROTTLE])
+
+    def test_throttling_is_undone_after_recovery(self):
+        shard = SimulatedShard()
         for _ in range(2):
-            scene.report(1.5)
-        kinds = [kind for _ in range(12) for kind in scene.report(1.01)]
+            shard.report(1.5)
+        kinds = [kind for _ in range(12) for kind in shard.report(1.01)]
         self.assertEqual(kinds, [ReactionKind.UNTHROTTLE])
-        self.assertEqual(scene.state.tasks["batch-0-0"].speed, 1.0)
+        self.assertEqual(shard.state.tasks["batch-0-0"].speed, 1.0)
 
-    def test_a_wave_of_noise_evicts_nothing(self):
-        # Half the night's roster builds are thrown off in a minute. Noise slowed the
-        # services of every worker at once, and each worker evicted on its own.
-        scene = Scene()
-        kinds = {kind for _ in range(40) for kind in scene.report(1.5, range(8))}
+    def test_widespread_slowdown_evicts_nothing(self):
+        # Guards against mass eviction: noise slows the services of all workers at the
+        # same time, and each worker would evict independently.
+        shard = SimulatedShard()
+        kinds = {kind for _ in range(40) for kind in shard.report(1.5, range(8))}
         self.assertEqual(kinds, {ReactionKind.THROTTLE})
 
-    def test_what_is_about_to_end_is_spared(self):
-        scene = Scene(batch=0)
-        run_task(scene.state, build_task("short", declared_run_ms=1_000_000.0))
-        scene.now_ms = 880_000.0
-        kinds = {kind for _ in range(11) for kind in scene.report(1.5)}
+    def test_task_about_to_end_is_not_evicted(self):
+        shard = SimulatedShard(batch=0)
+        run_task(shard.state, build_task("short", declared_run_ms=1_000_000.0))
+        shard.now_ms = 880_000.0
+        kinds = {kind for _ in range(11) for kind in shard.report(1.5)}
         self.assertEqual(kinds, {ReactionKind.THROTTLE})
 
     def test_eviction_budgets(self):
-        # One roster build never ends: it was evicted, started again and evicted again
-        # all night, for it was always the loudest.
+        # Guards against a task that never finishes because it interferes most and is
+        # evicted again after each restart.
         table = [
             ({"task_eviction_limit": 1}, 1),
             ({"victim_rest_ms": 1e12}, 1),
@@ -158,82 +158,84 @@
                 policy = attrs.evolve(
                     LATENCY_FIRST, throttle_floor=1.0, evict_after_ms=0.0, **settings
                 )
-                self.assertEqual(self.count_evictions(Scene(policy=policy)), count)
+                self.assertEqual(
+                    self.count_evictions(SimulatedShard(policy=policy)), count
+                )
 
-    def count_evictions(self, scene):
-        task = scene.state.tasks["batch-0-0"].shape
+    def count_evictions(self, shard):
+        task = shard.state.tasks["batch-0-0"].shape
         evictions = 0
         for _ in range(5):
-            kinds = [kind for _ in range(3) for kind in scene.report(1.5)]
+            kinds = [kind for _ in range(3) for kind in shard.report(1.5)]
             if ReactionKind.CHECKPOINT_EVICT in kinds:
                 evictions += 1
-                scene.state.confirm_stopped(
-                    task.task_id, scene.now_ms, StopOutcome.EVICTED
+                shard.state.confirm_stopped(
+                    task.task_id, shard.now_ms, StopOutcome.EVICTED
                 )
-                run_task(scene.state, task, now_ms=scene.now_ms)
+                run_task(shard.state, task, now_ms=shard.now_ms)
         return evictions
 
 
 class QuarantineTest(unittest.TestCase):
-    """Workers that fail everything, and jobs that fail everywhere."""
+    """Quarantine of faulty workers, and jobs that fail on every worker."""
 
-    def fail_task(self, scene, task_id, worker_id="worker-0"):
-        run_task(scene.state, build_task(task_id), worker_id)
-        scene.state.confirm_stopped(task_id, scene.now_ms, StopOutcome.FAILED)
+    def fail_task(self, shard, task_id, worker_id="worker-0"):
+        run_task(shard.state, build_task(task_id), worker_id)
+        shard.state.confirm_stopped(task_id, shard.now_ms, StopOutcome.FAILED)
 
-    def test_a_worker_that_fails_all_is_closed_and_tried_again(self):
-        # Manifest jobs vanish into one worker that fails everything at once and so
-        # always has room. It must be closed, and not for ever.
-        scene = Scene(workers=1, batch=0)
+    def test_failing_worker_is_quarantined_and_retried(self):
+        # Guards against a faulty worker attracting all jobs: it fails them immediately
+        # and so always has free resources. The quarantine must not be permanent.
+        shard = SimulatedShard(workers=1, batch=0)
         for number in range(3):
-            self.fail_task(scene, f"task-{number}")
-        self.assertEqual(scene.react(), [ReactionKind.QUARANTINE])
-        self.assertEqual(scene.state.table.room[0, ROOM_OPEN], 0.0)
-        scene.now_ms += LATENCY_FIRST.quarantine_ms
-        self.assertEqual(scene.react(), [ReactionKind.RELEASE])
-        self.fail_task(scene, "probe")
-        self.assertEqual(scene.react(), [ReactionKind.QUARANTINE])
-        until_ms = scene.state.workers["worker-0"].health.quarantined_until_ms
-        self.assertEqual(until_ms - scene.now_ms, 2.0 * LATENCY_FIRST.quarantine_ms)
-
-    def test_a_worker_on_probation_gets_one_task_at_a_time(self):
-        # A worker that fails everything takes forty jobs down in its first minute
-        # back: its quarantine was over, and it had the most room of all.
-        scene = Scene(workers=1, batch=0)
+            self.fail_task(shard, f"task-{number}")
+        self.assertEqual(shard.react(), [ReactionKind.QUARANTINE])
+        self.assertEqual(shard.state.table.room[0, ROOM_OPEN], 0.0)
+        shard.now_ms += LATENCY_FIRST.quarantine_ms
+        self.assertEqual(shard.react(), [ReactionKind.RELEASE])
+        self.fail_task(shard, "probe")
+        self.assertEqual(shard.react(), [ReactionKind.QUARANTINE])
+        until_ms = shard.state.workers["worker-0"].health.quarantined_until_ms
+        self.assertEqual(until_ms - shard.now_ms, 2.0 * LATENCY_FIRST.quarantine_ms)
+
+    def test_worker_on_probation_gets_one_task_at_a_time(self):
+        # Guards against many failures after a quarantine: a faulty worker that is
+        # reopened has the most free resources and failed forty jobs within a minute.
+        shard = SimulatedShard(workers=1, batch=0)
         for number in range(3):
-            self.fail_task(scene, f"task-{number}")
-        scene.react()
-        scene.now_ms += LATENCY_FIRST.quarantine_ms
-        scene.react()
-        scene.state.confirm_stopped("service-0", scene.now_ms, StopOutcome.CANCELLED)
-        self.assertEqual(scene.state.table.room[0, ROOM_OPEN], 1.0)
-        run_task(scene.state, build_task("probe"))
-        self.assertEqual(scene.state.table.room[0, ROOM_OPEN], 0.0)
-        scene.state.confirm_stopped("probe", scene.now_ms, StopOutcome.FINISHED)
-        run_task(scene.state, build_task("next"))
-        self.assertEqual(scene.state.table.room[0, ROOM_OPEN], 1.0)
-
-    def test_a_job_is_not_refused_for_its_luck_with_workers(self):
-        # A sound manifest job is refused for good. It happened on three workers in
-        # turn that failed everything.
-        scene = Scene(workers=4, batch=0)
+            self.fail_task(shard, f"task-{number}")
+        shard.react()
+        shard.now_ms += LATENCY_FIRST.quarantine_ms
+        shard.react()
+        shard.state.confirm_stopped("service-0", shard.now_ms, StopOutcome.CANCELLED)
+        self.assertEqual(shard.state.table.room[0, ROOM_OPEN], 1.0)
+        run_task(shard.state, build_task("probe"))
+        self.assertEqual(shard.state.table.room[0, ROOM_OPEN], 0.0)
+        shard.state.confirm_stopped("probe", shard.now_ms, StopOutcome.FINISHED)
+        run_task(shard.state, build_task("next"))
+        self.assertEqual(shard.state.table.room[0, ROOM_OPEN], 1.0)
+
+    def test_failures_on_faulty_workers_do_not_refuse_job(self):
+        # Guards against refusing a valid job because it was tried on three faulty
+        # workers in turn.
+        shard = SimulatedShard(workers=4, batch=0)
         for number in range(3):
             for count in range(3):
-                self.fail_task(scene, f"other-{number}-{count}", f"worker-{number}")
-        scene.react()
+                self.fail_task(shard, f"other-{number}-{count}", f"worker-{number}")
+        shard.react()
         for number in range(3):
-            scene.state.history("task").failed_on.add(f"worker-{number}")
+            shard.state.history("task").failed_on.add(f"worker-{number}")
         rng = np.random.default_rng(1)
         decision = decide_placement(
-            scene.state, build_task(), scene.now_ms, rng, LATENCY_FIRST
+            shard.state, build_task(), shard.now_ms, rng, LATENCY_FIRST
         )
         self.assertNotIsInstance(decision, Impossible)
 
-    def test_jobs_that_fail_everywhere_close_no_worker(self):
-        # A batch of broken jobs closes the whole fleet, one worker after another:
-        # each failure was held against the worker that it happened on.
-        scene = Scene(workers=2, batch=0)
+    def test_faulty_jobs_quarantine_no_worker(self):
+        # Guards against faulty jobs closing one worker after another: a job that fails
+        # on several workers must not count against any of them.
+        shard = SimulatedShard(workers=2, batch=0)
         for number in range(6):
-            self.fail_task(scene, f"broken-{number}", "worker-0")
-            self.fail_task(scene, f"broken-{number}", "worker-1")
-        self.assertEqual(scene.react(), [])
+            self.fail_task(shard, f"broken-{number}", "worker-0")
+            self.fail_task(shard, f"broken-{number}", "worker-1")
+        self.assertEqual(shard.react(), [])
