--- a/trefoilhook/placement/tests/test_decisions.py
+++ b/trefoilhook/placement/tests/test_decisions.py
@@ -294,8 +294,8 @@
             task = build_task(f"s-{number}", cores=2.0, kind=TaskKind.SERVICE)
             run_task(state, task, decide(state, task).worker_id)
         domains = {
-            state.workers[held.worker_id].shape.failure_domain
-            for held in state.tasks.values()
+            state.workers[task.worker_id].shape.failure_domain
+            for task in state.tasks.values()
         }
         self.assertEqual(len(domains), 3)
 
