--- a/trefoilhook/placement/health.py
+++ b/trefoilhook/placement/health.py
@@ -98,11 +98,11 @@
     history = state.histories.get(task_id)
     if history is None or len(history.failed_on) < policy.job_failure_limit:
         return False
-    sound = [name for name in history.failed_on if not _is_suspect(state, name)]
-    return len(sound) >= policy.job_failure_limit
+    counted = [name for name in history.failed_on if not _is_untrusted(state, name)]
+    return len(counted) >= policy.job_failure_limit
 
 
-def _is_suspect(state: ShardRecords, worker_id: str) -> bool:
+def _is_untrusted(state: ShardRecords, worker_id: str) -> bool:
     worker = state.workers.get(worker_id)
     if worker is None:
         return False
--- a/trefoilhook/placement/observation.py
+++ b/trefoilhook/placement/observation.py
@@ -129,8 +129,8 @@
 ) -> None:
     row = worker.slot
     error = statistics.fmean(errors) if errors else 0.0
-    old = float(state.table.residual[row])
-    state.table.residual[row] = old + _RESIDUAL_SMOOTHING * (error - old)
+    previous = float(state.table.residual[row])
+    state.table.residual[row] = previous + _RESIDUAL_SMOOTHING * (error - previous)
 
 
 def _is_past_target(worker: WorkerState) -> bool:
--- a/trefoilhook/placement/refresh.py
+++ b/trefoilhook/placement/refresh.py
@@ -16,11 +16,11 @@
 
 def index_class(state: ShardRecords, task_class: str) -> int:
     """Return the model's index of a task class, assigning one to a new class."""
-    known = state.class_indexes.get(task_class)
-    if known is None:
-        known = min(len(state.class_indexes), CLASS_LIMIT - 1)
-        state.class_indexes[task_class] = known
-    return known
+    index = state.class_indexes.get(task_class)
+    if index is None:
+        index = min(len(state.class_indexes), CLASS_LIMIT - 1)
+        state.class_indexes[task_class] = index
+    return index
 
 
 def refresh_worker(
--- a/trefoilhook/placement/scoring.py
+++ b/trefoilhook/placement/scoring.py
@@ -15,8 +15,8 @@
 is the tolerated excess of the service. Squaring makes interference costly for services
 near their target and cheap for services far from it. The consolidation cost is given
 by :func:`cost_taking_over`. A batch task waits unless a sampled worker is admissible
-and has a negative cost. A worker is inadmissible if a service would exceed
-``admit_ratio`` of its tolerated excess or is past its target.
+and has a negative cost. A worker is inadmissible if a service is past its target, or
+would exceed ``admit_ratio`` of its tolerated excess and the increase is not negligible.
 """
 
 from collections.abc import Callable
--- a/trefoilhook/placement/state.py
+++ b/trefoilhook/placement/state.py
@@ -50,17 +50,17 @@
         UnknownWorkerError
             If the worker is already in use.
         """
-        known = self.workers.get(shape.worker_id)
-        if known is not None and not known.withdrawn:
+        worker = self.workers.get(shape.worker_id)
+        if worker is not None and not worker.withdrawn:
             raise UnknownWorkerError(f"worker {shape.worker_id} is already in use")
-        if known is None:
+        if worker is None:
             slot = add_row(self.table, shape.worker_id)
-            known = WorkerState(shape=shape, slot=slot)
-            self.workers[shape.worker_id] = known
-        known.shape = shape
-        known.withdrawn = False
+            worker = WorkerState(shape=shape, slot=slot)
+            self.workers[shape.worker_id] = worker
+        worker.shape = shape
+        worker.withdrawn = False
         self.capacities[shape.capacity] += 1
-        refresh_worker(self, known)
+        refresh_worker(self, worker)
 
     def remove_worker(self, worker_id: str) -> None:
         """Remove a worker from use.
--- a/trefoilhook/placement/table.py
+++ b/trefoilhook/placement/table.py
@@ -25,16 +25,16 @@
 Floats = npt.NDArray[np.float64]
 
 
-def _column(width: int | None = None) -> Floats:
+def _build_column(width: int | None = None) -> Floats:
     return np.zeros(_INITIAL_ROWS if width is None else (_INITIAL_ROWS, width))
 
 
-def _columns() -> Floats:
-    return _column(CLASS_LIMIT)
+def _build_class_columns() -> Floats:
+    return _build_column(CLASS_LIMIT)
 
 
-def _room_columns() -> Floats:
-    return _column(_ROOM_WIDTH)
+def _build_room_columns() -> Floats:
+    return _build_column(_ROOM_WIDTH)
 
 
 @attrs.define(kw_only=True)
@@ -74,18 +74,18 @@
     """
 
     ids: list[str] = attrs.field(factory=list)
-    room: Floats = attrs.field(factory=_room_columns)
-    capacity_cores: Floats = attrs.field(factory=_column)
-    pressure: Floats = attrs.field(factory=_columns)
-    load: Floats = attrs.field(factory=_column)
-    services: Floats = attrs.field(factory=_columns)
-    scale: Floats = attrs.field(factory=_columns)
-    excess: Floats = attrs.field(factory=_columns)
-    loaded: Floats = attrs.field(factory=_columns)
-    service_cores: Floats = attrs.field(factory=_column)
-    residual: Floats = attrs.field(factory=_column)
-    late: Floats = attrs.field(factory=_column)
-    accelerated: Floats = attrs.field(factory=_column)
+    room: Floats = attrs.field(factory=_build_room_columns)
+    capacity_cores: Floats = attrs.field(factory=_build_column)
+    pressure: Floats = attrs.field(factory=_build_class_columns)
+    load: Floats = attrs.field(factory=_build_column)
+    services: Floats = attrs.field(factory=_build_class_columns)
+    scale: Floats = attrs.field(factory=_build_class_columns)
+    excess: Floats = attrs.field(factory=_build_class_columns)
+    loaded: Floats = attrs.field(factory=_build_class_columns)
+    service_cores: Floats = attrs.field(factory=_build_column)
+    residual: Floats = attrs.field(factory=_build_column)
+    late: Floats = attrs.field(factory=_build_column)
+    accelerated: Floats = attrs.field(factory=_build_column)
 
 
 _COLUMNS = tuple(
