--- a/trefoilhook/soak/__init__.py
+++ b/trefoilhook/soak/__init__.py
@@ -1,10 +1,10 @@
-"""A randomized soak of the real program, as processes, under faults from outside."""
+"""Randomized soak test: runs the daemon as processes and injects external faults."""
 
 from trefoilhook.soak.core import SoakReport, SoakSettings, run_soak
 from trefoilhook.soak.findings import (
     FINDINGS_FOLDER,
     describe_finding,
-    keep_finding,
+    save_finding,
 )
 
 __all__ = [
@@ -12,6 +12,6 @@
     "SoakReport",
     "SoakSettings",
     "describe_finding",
-    "keep_finding",
+    "save_finding",
     "run_soak",
 ]
--- a/trefoilhook/soak/__main__.py
+++ b/trefoilhook/soak/__main__.py
@@ -8,11 +8,11 @@
 import trio
 
 from trefoilhook.soak.core import SoakSettings, run_soak
-from trefoilhook.soak.findings import FINDINGS_FOLDER, keep_finding
+from trefoilhook.soak.findings import FINDINGS_FOLDER, save_finding
 
 __all__ = ["main"]
 
-_EXIT_BROKEN = 1
+_EXIT_VIOLATIONS = 1
 
 
 def _parse_arguments() -> argparse.Namespace:
@@ -27,15 +27,15 @@
 
 
 def main() -> int:
-    """Run the soaks asked for, and print what each found.
+    """Run the soaks and print the result of each.
 
     Returns
     -------
     int
-        0 if nothing was broken.
+        0 if no invariant was violated.
     """
     arguments = _parse_arguments()
-    broken = 0
+    failed_runs = 0
     for seed in range(arguments.seed, arguments.seed + arguments.count):
         with tempfile.TemporaryDirectory() as scratch:
             folder = Path(scratch)
@@ -51,8 +51,8 @@
             )
             report = trio.run(run_soak, settings)
             if report.violations:
-                kept = keep_finding(settings, report, into=FINDINGS_FOLDER)
-                print(f"kept in {kept}", flush=True)
+                archive = save_finding(settings, report, parent=FINDINGS_FOLDER)
+                print(f"kept in {archive}", flush=True)
         verdict = "broken" if report.violations else "held"
         print(
             f"seed {seed}: {verdict}; {len(report.faults)} faults, "
@@ -61,8 +61,8 @@
         )
         for violation in report.violations[:20]:
             print(f"  {violation}", flush=True)
-        broken += bool(report.violations)
-    return _EXIT_BROKEN if broken else 0
+        failed_runs += bool(report.violations)
+    return _EXIT_VIOLATIONS if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/trefoilhook/soak/core.py
+++ b/trefoilhook/soak/core.py
@@ -1,4 +1,4 @@
-"""One soak: the program under faults, and what must hold meanwhile and after it."""
+"""Soak runs: traffic and faults, followed by a check of the recorded runs."""
 
 import random
 import signal
@@ -10,46 +10,46 @@
 from trefoilhook.clock import Clock, build_boot_clock
 from trefoilhook.soak.checks import check_runs
 from trefoilhook.soak.clients import Clients
-from trefoilhook.soak.faults import Faults, InjectedFault
+from trefoilhook.soak.faults import FaultInjector, InjectedFault
 from trefoilhook.soak.fleet import WORKER_CPU, Fleet
 from trefoilhook.soak.history import write_history
-from trefoilhook.soak.ledger import SubmissionOutcome
+from trefoilhook.soak.submissions import SubmissionOutcome
 
 __all__ = ["SoakReport", "SoakSettings", "run_soak"]
 
-_START_S = 3.0
-"""Traffic before the first fault, in s."""
+_WARM_UP_S = 3.0
+"""Time with traffic before the first fault, in s."""
 
-_CALM_S = 40.0
-"""Longest time after the last fault until every job has ended, in s: the longest task
-lease and takeover take some 8 s, and what waited is then run."""
+_SETTLE_TIMEOUT_S = 40.0
+"""Time limit for jobs to end after the last fault, in s. The longest task lease and
+takeover take about 8 s; queued jobs run after that."""
 
-_CRASHING_CALM_S = 60.0
-"""Longest time after that until jobs that crash their workers have ended, in s: five
-crashes, each proved within some 8 s, and the pauses between them."""
+_CRASHING_SETTLE_TIMEOUT_S = 60.0
+"""Additional time limit for jobs that crash their workers, in s: five crashes, each
+confirmed within about 8 s, and the back-off between attempts."""
 
-_ENDED = ("completed", "cancelled", "failed")
+_FINAL_STATES = ("completed", "cancelled", "failed")
 
-_ASK_S = 0.1
-_OK = 200
+_POLL_INTERVAL_S = 0.1
+_STATUS_OK = 200
 
 
 @attrs.frozen(kw_only=True)
 class SoakSettings:
-    """What is soaked.
+    """Configuration of a soak run.
 
     Parameters
     ----------
     seed : int
-        Of jobs and faults; the processes' own timing isn't drawn from it.
+        Seed of jobs and faults; it does not determine the timing of the processes.
     duration_s : float
-        Time with faults, in s.
+        Duration of fault injection, in s.
     instances, workers : int
-        How many of them.
+        Number of instances and of workers.
     task_ms : float
-        Time of a task, in ms.
+        Run time of a task, in ms.
     folder : Path
-        Where settings, logs and the history of runs go.
+        Folder for settings, logs and the run history.
     """
 
     seed: int
@@ -62,16 +62,16 @@
 
 @attrs.frozen(kw_only=True)
 class SoakReport:
-    """What a soak found.
+    """Result of a soak run.
 
     Parameters
     ----------
     violations : tuple of str
-        What was broken, in words.
+        Descriptions of the violated invariants.
     faults : tuple of InjectedFault
-        What was injected, in order.
+        Injected faults, in order.
     submitted, accepted, runs : int
-        How much went through.
+        Numbers of submitted jobs, accepted jobs and task runs.
     """
 
     violations: tuple[str, ...]
@@ -82,7 +82,7 @@
 
 
 async def run_soak(settings: SoakSettings) -> SoakReport:
-    """Run a soak and return what it found."""
+    """Run a soak and return its report."""
     clock = build_boot_clock()
     async with trio.open_nursery() as nursery:
         fleet = Fleet(
@@ -94,117 +94,124 @@
         clients = Clients(
             fleet=fleet,
             clock=clock,
-            choices=random.Random(settings.seed),
-            culprits=random.Random(settings.seed + 2),
+            rng=random.Random(settings.seed),
+            crash_rng=random.Random(settings.seed + 2),
         )
-        faults = Faults(
+        injector = FaultInjector(
             fleet=fleet,
             clock=clock,
-            choices=random.Random(settings.seed + 1),
-            sizes=random.Random(settings.seed + 3),
-            evacuation_choices=random.Random(settings.seed + 4),
+            rng=random.Random(settings.seed + 1),
+            resize_rng=random.Random(settings.seed + 3),
+            evacuation_rng=random.Random(settings.seed + 4),
         )
         try:
             await fleet.start(instances=settings.instances, workers=settings.workers)
-            await _play(settings, fleet, clients, faults, clock)
+            await _run_workload(settings, fleet, clients, injector, clock)
         finally:
             with trio.CancelScope(shield=True):
                 await fleet.close()
                 await clients.close()
             nursery.cancel_scope.cancel()
-    write_history(settings.folder, clients.ledger, fleet.runs)
-    return _report(fleet, clients, faults)
+    write_history(settings.folder, clients.submission_log, fleet.runs)
+    return _build_report(fleet, clients, injector)
 
 
-async def _play(
+async def _run_workload(
     settings: SoakSettings,
     fleet: Fleet,
     clients: Clients,
-    faults: Faults,
+    injector: FaultInjector,
     clock: Clock,
 ) -> None:
-    duration_s = _START_S + settings.duration_s
+    duration_s = _WARM_UP_S + settings.duration_s
     until_ms = clock.monotonic_ms() + duration_s * 1000.0
     async with trio.open_nursery() as nursery:
         nursery.start_soon(clients.run, nursery, until_ms)
-        with trio.CancelScope() as asking:
-            async with trio.open_nursery() as askers:
-                askers.start_soon(_ask_on, clients)
-                await trio.sleep(_START_S)
-                askers.start_soon(_watch_exits, fleet)
-                await faults.run(settings.duration_s)
-                asking.cancel()
+        with trio.CancelScope() as polling_scope:
+            async with trio.open_nursery() as pollers:
+                pollers.start_soon(_poll_job_states, clients)
+                await trio.sleep(_WARM_UP_S)
+                pollers.start_soon(_poll_exits, fleet)
+                await injector.run(settings.duration_s)
+                polling_scope.cancel()
     for instance in fleet.instances:
-        instance.send(signal.SIGCONT)
+        instance.send_signal(signal.SIGCONT)
     settled = False
-    with trio.move_on_after(_CALM_S):
-        await _wait_for_ends(clients, crashing=False)
-        await _check_queues(fleet, clients)
+    with trio.move_on_after(_SETTLE_TIMEOUT_S):
+        await _wait_for_final_states(clients, crashing=False)
+        await _wait_for_newest_queue(fleet, clients)
         settled = True
     if not settled:
-        clients.ledger.violations.append("not all settled after the last fault")
-    with trio.move_on_after(_CRASHING_CALM_S):
-        await _wait_for_ends(clients, crashing=True)
+        clients.submission_log.violations.append("not all settled after the last fault")
+    with trio.move_on_after(_CRASHING_SETTLE_TIMEOUT_S):
+        await _wait_for_final_states(clients, crashing=True)
         return
-    clients.ledger.violations.append("a crashing job isn't ended after the last fault")
+    clients.submission_log.violations.append(
+        "a crashing job isn't ended after the last fault"
+    )
 
 
-async def _watch_exits(fleet: Fleet) -> None:
-    """Look for processes that end by themselves, for good."""
+async def _poll_exits(fleet: Fleet) -> None:
+    """Check for unexpected process exits until cancelled."""
     while True:
-        fleet.note_exits()
-        await trio.sleep(_ASK_S)
+        fleet.record_unexpected_exits()
+        await trio.sleep(_POLL_INTERVAL_S)
 
 
-async def _ask_on(clients: Clients) -> None:
-    """Ask for states, one job after the other, for good."""
+async def _poll_job_states(clients: Clients) -> None:
+    """Query the state of each accepted job in turn until cancelled."""
     while True:
-        for submission in list(clients.ledger.submissions.values()):
+        for submission in list(clients.submission_log.submissions.values()):
             if submission.outcome is SubmissionOutcome.ACCEPTED:
-                await clients.ask(submission)
-            await trio.sleep(_ASK_S)
-        await trio.sleep(_ASK_S)
+                await clients.poll_state(submission)
+            await trio.sleep(_POLL_INTERVAL_S)
+        await trio.sleep(_POLL_INTERVAL_S)
 
 
-async def _wait_for_ends(clients: Clients, *, crashing: bool) -> None:
-    """Wait until each accepted job is told to have ended.
+async def _wait_for_final_states(clients: Clients, *, crashing: bool) -> None:
+    """Wait until each accepted job is reported in a final state.
 
     Parameters
     ----------
     clients : Clients
-        Who ask.
+        Clients that query the state.
     crashing : bool
-        Whether the jobs are meant that crash their workers, or the others.
+        Whether to wait for the jobs that crash their workers, or for the others.
     """
-    for submission in clients.ledger.submissions.values():
+    for submission in clients.submission_log.submissions.values():
         if submission.outcome is not SubmissionOutcome.ACCEPTED:
             continue
         if (submission.crash_ms is not None) is not crashing:
             continue
-        while await clients.ask(submission) not in _ENDED:
-            await trio.sleep(_ASK_S)
+        while await clients.poll_state(submission) not in _FINAL_STATES:
+            await trio.sleep(_POLL_INTERVAL_S)
 
 
-async def _check_queues(fleet: Fleet, clients: Clients) -> None:
-    """Wait until every instance knows the newest queue."""
+async def _wait_for_newest_queue(fleet: Fleet, clients: Clients) -> None:
+    """Wait until every instance serves the most recently added queue."""
     for instance in fleet.instances:
-        while await clients.count(instance, fleet.prefixes[-1]) != _OK:
-            await trio.sleep(_ASK_S)
-
-
-def _report(fleet: Fleet, clients: Clients, faults: Faults) -> SoakReport:
-    submissions = clients.ledger.submissions.values()
-    broken = check_runs(
-        clients.ledger,
+        while (
+            await clients.get_queue_status(instance, fleet.queue_prefixes[-1])
+            != _STATUS_OK
+        ):
+            await trio.sleep(_POLL_INTERVAL_S)
+
+
+def _build_report(
+    fleet: Fleet, clients: Clients, injector: FaultInjector
+) -> SoakReport:
+    submissions = clients.submission_log.submissions.values()
+    violations = check_runs(
+        clients.submission_log,
         fleet.runs,
         cpu=WORKER_CPU,
-        sizes=fleet.sizes,
+        capacity_history=fleet.capacity_history,
         failure_domains=fleet.failure_domains,
         evacuations=fleet.evacuations,
     )
     return SoakReport(
-        violations=(*fleet.exits, *broken),
-        faults=tuple(faults.injected),
+        violations=(*fleet.unexpected_exits, *violations),
+        faults=tuple(injector.injected),
         submitted=len(submissions),
         accepted=sum(s.outcome is SubmissionOutcome.ACCEPTED for s in submissions),
         runs=sum(len(records) for records in fleet.runs.values()),
--- a/trefoilhook/soak/faults.py
+++ b/trefoilhook/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, injected from outside, in series and overlapping."""
+"""Injection of external faults into a soak run; several may overlap."""
 
 import math
 import random
@@ -16,69 +16,70 @@
 from trefoilhook.standins.platform_store import StoreFault
 from trefoilhook.standins.platform_worker import WorkerFault
 
-__all__ = ["Faults", "InjectedFault"]
+__all__ = ["FaultInjector", "InjectedFault"]
 
-_LONGEST_S = 4.0
-_SHORTEST_S = 0.3
-_PAUSE_S = 0.8
-"""Mean pause between two faults, in s: some four overlap."""
+_MAX_FAULT_S = 4.0
+_MIN_FAULT_S = 0.3
+_MEAN_PAUSE_S = 0.8
+"""Mean pause between two faults, in s; about four overlap."""
 
-_RESIZE_PAUSE_S = 1.0
+_MEAN_RESIZE_PAUSE_S = 1.0
 """Mean pause between two changes of a worker's capacity, in s."""
 
-_EVACUATION_PAUSE_S = 3.0
+_MEAN_EVACUATION_PAUSE_S = 3.0
 """Mean pause between attempts to start an evacuation, in s; two may overlap."""
 
-_SHORTEST_EVACUATION_S = 2.0
-_LONGEST_EVACUATION_S = 9.0
+_MIN_EVACUATION_S = 2.0
+_MAX_EVACUATION_S = 9.0
 """Range of evacuation durations, in s; some end before the evacuation deadline."""
 
 _EVACUATION_VALUES: tuple[Any, ...] = ({}, {}, {}, {"until_ms": 5}, ["z"], None)
 """Values of evacuation entries; each of them starts an evacuation."""
 
-_UNLISTED_S = 2.0
-"""A worker that is gone is off the list after so long, in s."""
+_DEREGISTRATION_DELAY_S = 2.0
+"""Delay until the entry of a crashed worker is removed, in s."""
 
 _INTERPRETER_START_S = 0.3
-"""No signal that has a handler is sent to a younger process, in s: until it runs the
-program's first line, after some 20 ms, nothing can keep the signal from ending it."""
+"""Minimum process age for signals that the daemon handles, in s. Until the daemon has
+installed its handlers, such a signal terminates the process; the interpreter alone
+takes about 20 ms to reach the first line of the program."""
 
-_MOST_DELAY_MS = 400.0
+_MAX_DELAY_MS = 400.0
 
-_FOREIGN_KEYS = 4
-"""Keys of workers that never were, so that some are written over and over."""
+_FOREIGN_KEY_COUNT = 4
+"""Number of keys for workers that do not exist; small, so that keys are overwritten."""
 
-Fault = Callable[["Faults"], Awaitable[None]]
+Fault = Callable[["FaultInjector"], Awaitable[None]]
 
 
 @attrs.frozen(kw_only=True)
 class InjectedFault:
-    """A fault, and when it began on the clock of the soak, in ms."""
+    """An injected fault and its start time on the soak's clock, in ms."""
 
     name: str
     at_ms: float
 
 
-class Faults:
-    """Draws faults and undoes them.
+class FaultInjector:
+    """Injects random faults and reverts them.
 
     Parameters
     ----------
     fleet : Fleet
-        What is harmed.
+        Target of the faults.
     clock : Clock
-        Where time comes from.
-    choices : random.Random
-        Where chance comes from.
-    sizes : random.Random
-        Where chance comes from that changes the capacities of workers.
-    evacuation_choices : random.Random
+        Source of time.
+    rng : random.Random
+        Random generator for the faults.
+    resize_rng : random.Random
+        Random generator for changes of worker capacity.
+    evacuation_rng : random.Random
         Random generator for evacuations of failure domains.
 
     Attributes
     ----------
     injected : list of InjectedFault
-        In order.
+        Injected faults, in order.
     """
 
     def __init__(
@@ -86,167 +87,169 @@
         *,
         fleet: Fleet,
         clock: Clock,
-        choices: random.Random,
-        sizes: random.Random,
-        evacuation_choices: random.Random,
+        rng: random.Random,
+        resize_rng: random.Random,
+        evacuation_rng: random.Random,
     ) -> None:
-        self._evacuation_choices = evacuation_choices
-        self._sizes = sizes
+        self._evacuation_rng = evacuation_rng
+        self._resize_rng = resize_rng
         self._fleet = fleet
         self._clock = clock
-        self._choices = choices
+        self._rng = rng
         self.injected: list[InjectedFault] = []
 
     async def run(self, duration_s: float) -> None:
-        """Inject faults for a while; return once all are undone."""
+        """Inject faults for the given time; return once all are reverted."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._resize, duration_s)
-            nursery.start_soon(self._evacuate, duration_s)
+            nursery.start_soon(self._resize_workers, duration_s)
+            nursery.start_soon(self._run_evacuations, duration_s)
             with trio.move_on_after(duration_s):
                 while True:
-                    await trio.sleep(self._choices.expovariate(1.0 / _PAUSE_S))
-                    fault = self._choices.choice(_FAULTS)
-                    self._note(fault.__name__.strip("_"))
+                    await trio.sleep(self._rng.expovariate(1.0 / _MEAN_PAUSE_S))
+                    fault = self._rng.choice(_FAULTS)
+                    self._record(fault.__name__.strip("_"))
                     nursery.start_soon(fault, self)
 
-    def _note(self, name: str) -> None:
+    def _record(self, name: str) -> None:
         at_ms = self._clock.monotonic_ms()
         self.injected.append(InjectedFault(name=name, at_ms=at_ms))
 
-    async def _resize(self, duration_s: float) -> None:
-        """Shrink workers and let them grow again, for a while."""
+    async def _resize_workers(self, duration_s: float) -> None:
+        """Change worker capacities at random for the given time, then restore them."""
         with trio.move_on_after(duration_s):
             while True:
-                await trio.sleep(self._sizes.expovariate(1.0 / _RESIZE_PAUSE_S))
-                place = self._sizes.choice(sorted(self._fleet.workers))
-                cpu = int(WORKER_CPU * self._sizes.uniform(0.1, 1.0))
-                self._note(f"resize worker {place} to {cpu}")
-                self._fleet.resize_worker(place, cpu)
-        for place in self._fleet.workers:
-            self._fleet.resize_worker(place, WORKER_CPU)
-
-    async def _evacuate(self, duration_s: float) -> None:
-        """Start evacuations at random for a while; return once all have ended."""
+                await trio.sleep(
+                    self._resize_rng.expovariate(1.0 / _MEAN_RESIZE_PAUSE_S)
+                )
+                worker_index = self._resize_rng.choice(sorted(self._fleet.workers))
+                cpu = int(WORKER_CPU * self._resize_rng.uniform(0.1, 1.0))
+                self._record(f"resize worker {worker_index} to {cpu}")
+                self._fleet.resize_worker(worker_index, cpu)
+        for worker_index in self._fleet.workers:
+            self._fleet.resize_worker(worker_index, WORKER_CPU)
+
+    async def _run_evacuations(self, duration_s: float) -> None:
+        """Start random evacuations for the given time; return once all have ended."""
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(duration_s):
                 while True:
-                    pause_s = self._evacuation_choices.expovariate(
-                        1.0 / _EVACUATION_PAUSE_S
+                    pause_s = self._evacuation_rng.expovariate(
+                        1.0 / _MEAN_EVACUATION_PAUSE_S
                     )
                     await trio.sleep(pause_s)
                     nursery.start_soon(self._evacuate_failure_domain)
 
     async def _evacuate_failure_domain(self) -> None:
-        failure_domain = self._evacuation_choices.choice(FAILURE_DOMAINS)
-        value = self._evacuation_choices.choice(_EVACUATION_VALUES)
-        evacuation_s = self._evacuation_choices.uniform(
-            _SHORTEST_EVACUATION_S, _LONGEST_EVACUATION_S
+        failure_domain = self._evacuation_rng.choice(FAILURE_DOMAINS)
+        value = self._evacuation_rng.choice(_EVACUATION_VALUES)
+        evacuation_s = self._evacuation_rng.uniform(
+            _MIN_EVACUATION_S, _MAX_EVACUATION_S
         )
         if any(
             record.failure_domain == failure_domain and record.ended_ms == math.inf
             for record in self._fleet.evacuations
         ):
             return
-        self._note(f"evacuate {failure_domain}")
+        self._record(f"evacuate {failure_domain}")
         record = self._fleet.begin_evacuation(failure_domain, value)
         await trio.sleep(evacuation_s)
         self._fleet.end_evacuation(record)
 
-    async def last(self) -> None:
-        """Let a fault last for a while."""
-        await trio.sleep(self._choices.uniform(_SHORTEST_S, _LONGEST_S))
+    async def wait_fault_duration(self) -> None:
+        """Sleep for a random fault duration."""
+        await trio.sleep(self._rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S))
 
-    def draw_instance(self) -> Instance:
-        """Choose an instance."""
-        return self._choices.choice(self._fleet.instances)
+    def choose_instance(self) -> Instance:
+        """Return a random instance."""
+        return self._rng.choice(self._fleet.instances)
 
-    def draw_worker(self) -> int:
-        """Choose the place of a worker."""
-        return self._choices.choice(sorted(self._fleet.workers))
+    def choose_worker_index(self) -> int:
+        """Return the index of a random worker."""
+        return self._rng.choice(sorted(self._fleet.workers))
 
     @property
     def fleet(self) -> Fleet:
-        """What is harmed."""
+        """Target of the faults."""
         return self._fleet
 
     @property
-    def choices(self) -> random.Random:
-        """Where chance comes from."""
-        return self._choices
+    def rng(self) -> random.Random:
+        """Random generator for the faults."""
+        return self._rng
 
 
-async def _restart(instance: Instance, ended: subprocess.Popen[bytes] | None) -> None:
-    """Start an instance again once a process of it is gone, as the platform would.
+async def _restart(instance: Instance, exited: subprocess.Popen[bytes] | None) -> None:
+    """Restart an instance once the given process has exited, as the platform would.
 
-    Another fault may have done so meanwhile.
+    Does nothing if another fault has restarted it in the meantime.
     """
-    while instance.process is ended and instance.is_running:
+    while instance.process is exited and instance.is_running:
         await trio.sleep(0.05)
-    if instance.process is ended:
+    if instance.process is exited:
         instance.start()
 
 
-async def _kill_instance(faults: Faults) -> None:
-    instance = faults.draw_instance()
+async def _kill_instance(injector: FaultInjector) -> None:
+    instance = injector.choose_instance()
     killed = instance.process
-    instance.send(signal.SIGKILL)
-    await faults.last()
+    instance.send_signal(signal.SIGKILL)
+    await injector.wait_fault_duration()
     await _restart(instance, killed)
 
 
-async def _kill_all(faults: Faults) -> None:
-    killed = [(each, each.process) for each in faults.fleet.instances]
+async def _kill_all(injector: FaultInjector) -> None:
+    killed = [(each, each.process) for each in injector.fleet.instances]
     for instance, _ in killed:
-        instance.send(signal.SIGKILL)
-    await faults.last()
+        instance.send_signal(signal.SIGKILL)
+    await injector.wait_fault_duration()
     for instance, process in killed:
         await _restart(instance, process)
 
 
-async def _stop_instance(faults: Faults) -> None:
-    instance = faults.draw_instance()
+async def _stop_instance(injector: FaultInjector) -> None:
+    instance = injector.choose_instance()
     stopped = instance.process
     if instance.age_s < _INTERPRETER_START_S:
         return
-    instance.send(signal.SIGTERM)
+    instance.send_signal(signal.SIGTERM)
     await _restart(instance, stopped)
 
 
-async def _freeze_instance(faults: Faults) -> None:
-    instance = faults.draw_instance()
+async def _freeze_instance(injector: FaultInjector) -> None:
+    instance = injector.choose_instance()
     frozen = instance.process
-    instance.send(signal.SIGSTOP)
-    await faults.last()
+    instance.send_signal(signal.SIGSTOP)
+    await injector.wait_fault_duration()
     if instance.process is frozen:
-        instance.send(signal.SIGCONT)
+        instance.send_signal(signal.SIGCONT)
 
 
-async def _reload_instance(faults: Faults) -> None:
-    instance = faults.draw_instance()
+async def _reload_instance(injector: FaultInjector) -> None:
+    instance = injector.choose_instance()
     instance.write_settings()
     if instance.age_s > _INTERPRETER_START_S:
-        instance.send(signal.SIGHUP)
+        instance.send_signal(signal.SIGHUP)
 
 
-async def _harm_store(faults: Faults) -> None:
-    store = faults.fleet.store
-    store.fault = faults.choices.choice(
+async def _harm_store(injector: FaultInjector) -> None:
+    store = injector.fleet.store
+    store.fault = injector.rng.choice(
         (StoreFault.BUSY, StoreFault.SILENT, StoreFault.LOSES_ANSWERS)
     )
-    await faults.last()
+    await injector.wait_fault_duration()
     store.fault = StoreFault.NONE
 
 
-async def _forget_history(faults: Faults) -> None:
-    faults.fleet.store.forget_history()
+async def _forget_history(injector: FaultInjector) -> None:
+    injector.fleet.store.forget_history()
 
 
-async def _change_configuration(faults: Faults) -> None:
-    faults.fleet.configure()
+async def _change_configuration(injector: FaultInjector) -> None:
+    injector.fleet.write_configuration()
 
 
-async def _harm_link(faults: Faults, link: TcpCut) -> None:
-    kind = faults.choices.choice(("partition", "delay", "forget", "reset"))
+async def _harm_link(injector: FaultInjector, link: TcpCut) -> None:
+    kind = injector.rng.choice(("partition", "delay", "forget", "reset"))
     if kind == "forget":
         link.forget_connections()
         return
@@ -254,56 +257,58 @@
         await link.reset_connections()
         return
     if kind == "delay":
-        link.set(CutSettings(delay_ms=faults.choices.uniform(5.0, _MOST_DELAY_MS)))
+        link.set(CutSettings(delay_ms=injector.rng.uniform(5.0, _MAX_DELAY_MS)))
     else:
         partitions = [each for each in Partition if each is not Partition.NONE]
-        link.set(CutSettings(partition=faults.choices.choice(partitions)))
-    await faults.last()
+        link.set(CutSettings(partition=injector.rng.choice(partitions)))
+    await injector.wait_fault_duration()
     link.set(CutSettings())
 
 
-async def _harm_store_link(faults: Faults) -> None:
-    await _harm_link(faults, faults.draw_instance().link)
+async def _harm_store_link(injector: FaultInjector) -> None:
+    await _harm_link(injector, injector.choose_instance().link)
 
 
-async def _harm_worker_link(faults: Faults) -> None:
-    await _harm_link(faults, faults.fleet.workers[faults.draw_worker()].link)
+async def _harm_worker_link(injector: FaultInjector) -> None:
+    await _harm_link(
+        injector, injector.fleet.workers[injector.choose_worker_index()].link
+    )
 
 
-async def _harm_worker(faults: Faults) -> None:
-    worker = faults.fleet.workers[faults.draw_worker()].worker
-    worker.fault = faults.choices.choice(
+async def _harm_worker(injector: FaultInjector) -> None:
+    worker = injector.fleet.workers[injector.choose_worker_index()].worker
+    worker.fault = injector.rng.choice(
         (WorkerFault.SILENT, WorkerFault.FAILS_TASKS, WorkerFault.LATE_STARTS)
     )
-    await faults.last()
+    await injector.wait_fault_duration()
     worker.fault = WorkerFault.NONE
 
 
-async def _crash_worker(faults: Faults) -> None:
-    place = faults.draw_worker()
-    worker_id = faults.fleet.crash_worker(place)
-    await faults.last()
-    if faults.fleet.workers[place].worker.worker_id == worker_id:
-        await faults.fleet.start_worker(place)
-    await trio.sleep(_UNLISTED_S)
-    faults.fleet.unlist_worker(worker_id)
+async def _crash_worker(injector: FaultInjector) -> None:
+    worker_index = injector.choose_worker_index()
+    worker_id = injector.fleet.crash_worker(worker_index)
+    await injector.wait_fault_duration()
+    if injector.fleet.workers[worker_index].worker.worker_id == worker_id:
+        await injector.fleet.start_worker(worker_index)
+    await trio.sleep(_DEREGISTRATION_DELAY_S)
+    injector.fleet.deregister_worker(worker_id)
 
 
-async def _write_foreign_entry(faults: Faults) -> None:
-    worker_id = f"x{faults.choices.randrange(_FOREIGN_KEYS)}"
-    faults.fleet.write_foreign_entry(worker_id, faults.choices)
-    await faults.last()
-    faults.fleet.unlist_worker(worker_id)
+async def _write_foreign_entry(injector: FaultInjector) -> None:
+    worker_id = f"x{injector.rng.randrange(_FOREIGN_KEY_COUNT)}"
+    injector.fleet.write_foreign_entry(worker_id, injector.rng)
+    await injector.wait_fault_duration()
+    injector.fleet.deregister_worker(worker_id)
 
 
-async def _overwrite_worker(faults: Faults) -> None:
-    """Overwrite the entry of a worker, until its next heartbeat."""
-    place = faults.draw_worker()
-    worker_id = faults.fleet.workers[place].worker.worker_id
-    faults.fleet.write_foreign_entry(worker_id, faults.choices)
-    await faults.last()
-    if faults.fleet.workers[place].worker.worker_id == worker_id:
-        faults.fleet.list_worker(place)
+async def _overwrite_worker(injector: FaultInjector) -> None:
+    """Overwrite the entry of a worker, and restore it later."""
+    worker_index = injector.choose_worker_index()
+    worker_id = injector.fleet.workers[worker_index].worker.worker_id
+    injector.fleet.write_foreign_entry(worker_id, injector.rng)
+    await injector.wait_fault_duration()
+    if injector.fleet.workers[worker_index].worker.worker_id == worker_id:
+        injector.fleet.register_worker(worker_index)
 
 
 _FAULTS: tuple[Fault, ...] = (
--- a/trefoilhook/soak/findings.py
+++ b/trefoilhook/soak/findings.py
@@ -1,7 +1,7 @@
-"""What is kept of a soak that broke a promise, so that it can be traced.
+"""Archives the files of soak runs that violated an invariant.
 
-A soak repeats its script but not the timing of its processes: what was broken once may
-not come again, and then the logs of that one play are all that there is.
+A seed reproduces the jobs and faults but not the timing of the processes. A violation
+may not recur, so the logs of the run in which it occurred must be kept.
 """
 
 import shutil
@@ -11,58 +11,58 @@
 from trefoilhook.soak.core import SoakReport, SoakSettings
 from trefoilhook.soak.history import HISTORY_FILE
 
-__all__ = ["FINDINGS_FOLDER", "describe_finding", "keep_finding"]
+__all__ = ["FINDINGS_FOLDER", "describe_finding", "save_finding"]
 
 FINDINGS_FOLDER = Path("build") / "soak"
-"""Where findings are kept unless told otherwise, from the root of the repository."""
+"""Default folder for findings, relative to the root of the repository."""
 
 _VIOLATIONS_FILE = "violations.txt"
 
-_MOST_LINES = 150
-"""Lines of runs and logs in a description: the last thousand of a test's output may be
-all that is kept of it, and the story of one job takes some twenty."""
+_MAX_LINES = 150
+"""Maximum number of run and log lines in a description. CI may keep only the last 1000
+lines of a test's output; one job takes about 20 lines."""
 
 _JOB_ID_LENGTH = 16
 
 
-def keep_finding(settings: SoakSettings, report: SoakReport, *, into: Path) -> Path:
-    """Keep all that a soak left behind, and return the folder where that is.
+def save_finding(settings: SoakSettings, report: SoakReport, *, parent: Path) -> Path:
+    """Copy the files of a soak run to a new folder, and return that folder.
 
     Parameters
     ----------
     settings : SoakSettings
-        What was soaked; its folder is copied.
+        Settings of the run; its folder is copied.
     report : SoakReport
-        What was found.
-    into : Path
-        Parent of the new folder; earlier findings there stay.
+        Report of the run.
+    parent : Path
+        Parent of the new folder; earlier findings in it are kept.
     """
-    into.mkdir(parents=True, exist_ok=True)
+    parent.mkdir(parents=True, exist_ok=True)
     number = 1
-    while (into / f"seed-{settings.seed}-{number}").exists():
+    while (parent / f"seed-{settings.seed}-{number}").exists():
         number += 1
-    kept = into / f"seed-{settings.seed}-{number}"
-    shutil.copytree(settings.folder, kept)
+    target = parent / f"seed-{settings.seed}-{number}"
+    shutil.copytree(settings.folder, target)
     text = describe_finding(settings, report)
-    (kept / _VIOLATIONS_FILE).write_text(text, encoding="utf-8")
-    return kept
+    (target / _VIOLATIONS_FILE).write_text(text, encoding="utf-8")
+    return target
 
 
 def describe_finding(settings: SoakSettings, report: SoakReport) -> str:
-    """Tell what was broken, the faults before it, and what is known of its jobs."""
+    """Describe the violations, the injected faults, and the affected jobs."""
     lines = [
         f"seed {settings.seed}, {settings.duration_s} s of faults, "
         f"{settings.instances} instances, {settings.workers} workers"
     ]
     lines += [f"broken: {violation}" for violation in report.violations]
     lines += [f"at {fault.at_ms:.0f} ms: {fault.name}" for fault in report.faults]
-    jobs = _find_jobs(report.violations)
-    lines += _list_lines(settings.folder, jobs)[:_MOST_LINES]
+    job_ids = _find_job_ids(report.violations)
+    lines += _collect_lines(settings.folder, job_ids)[:_MAX_LINES]
     return "\n".join(lines)
 
 
-def _find_jobs(violations: Iterable[str]) -> set[str]:
-    """Return the ids of the jobs that violations name."""
+def _find_job_ids(violations: Iterable[str]) -> set[str]:
+    """Return the ids of the jobs mentioned in violations."""
     words = (word for text in violations for word in text.replace(".", " ").split())
     return {
         word
@@ -71,13 +71,13 @@
     }
 
 
-def _list_lines(folder: Path, jobs: set[str]) -> list[str]:
-    """Return the lines of a soak's files that name one of some jobs."""
+def _collect_lines(folder: Path, job_ids: set[str]) -> list[str]:
+    """Return the lines of a soak's files that mention one of the jobs."""
     files = [folder / HISTORY_FILE, *sorted(folder.glob("*/log.jsonl"))]
     return [
         f"{path.relative_to(folder)}: {line}"
         for path in files
         if path.exists()
         for line in path.read_text(encoding="utf-8", errors="replace").splitlines()
-        if any(job in line for job in jobs)
+        if any(job in line for job in job_ids)
     ]
--- a/trefoilhook/soak/fleet.py
+++ b/trefoilhook/soak/fleet.py
@@ -1,4 +1,4 @@
-"""What a soak runs: the real program as processes, and the platform's stand-ins."""
+"""System under test: daemon processes and stand-ins for the platform's services."""
 
 import contextlib
 import json
@@ -38,49 +38,49 @@
     "EvacuationRecord",
     "Fleet",
     "Instance",
-    "LivingWorker",
+    "RunningWorker",
     "WORKER_CPU",
     "find_free_port",
 ]
 
 WORKER_CPU = 4000
-"""Thousandths of a core that a stand-in worker has."""
+"""CPU capacity of a stand-in worker, in thousandths of a core."""
 
 SERVICE = "s"
 
 FAILURE_DOMAINS = ("z0", "z1", "z2")
 
 DECOY = "decoy"
-"""A worker that no sound entry names: nothing may run there."""
+"""Id of a worker that only foreign entries refer to; no task may run on it."""
 
-_SLOW_CLOCK = 0.98
-"""A worker's own clock may be 2 % slow, by the platform's statement."""
+_WORKER_CLOCK_RATE = 0.98
+"""Clock rate of every second worker; the platform allows clocks to run 2 % slow."""
 
-_REBIRTH_MS = 1500.0
-"""A worker that a task has crashed is back after so long, in ms."""
+_WORKER_RESTART_DELAY_MS = 1500.0
+"""Delay until a worker that a task has crashed is restarted, in ms."""
 
-_ENTRY_LIFE_MS = 3000.0
-"""Its entry goes so long after the crash, in ms."""
+_DEREGISTRATION_DELAY_MS = 3000.0
+"""Delay from the crash until the worker's old entry is removed, in ms."""
 
 _MAX_ATTEMPTS = 1000
-"""No job of a soak fails for good: the workers that fail tasks recover."""
+"""High enough that no job fails permanently while faulty workers recover."""
 
-_PORTS = range(10_000, 32_000)
-"""Where instances listen: under the range (32,768 and up) from which systems give ports
-to connections, so that a port is still free after its process was killed."""
+_LISTEN_PORTS = range(10_000, 32_000)
+"""Listening ports of instances, below the ephemeral port range (32,768 and up), so that
+a port stays free after its process was killed."""
 
 _EXPECTED_EXITS = {0, -signal.SIGKILL}
 
 
 def find_free_port() -> int:
-    """Return a port that no connection will take while its process is down.
+    """Return a free port outside the ephemeral port range.
 
-    Guards against an instance that can't start again after a kill: a port of the range
-    that the machine hands out to connections may be some client's by then.
+    An ephemeral port could be assigned to an outgoing connection while the instance is
+    down, and the instance could then not listen on it again.
     """
-    choices = random.SystemRandom()
+    rng = random.SystemRandom()
     while True:
-        port = choices.choice(_PORTS)
+        port = rng.choice(_LISTEN_PORTS)
         with socket.socket() as probe, contextlib.suppress(OSError):
             probe.bind(("127.0.0.1", port))
             return port
@@ -88,20 +88,20 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Instance:
-    """One process of the system.
+    """One instance of the daemon, run as a process.
 
     Parameters
     ----------
     name : str
-        Its name.
+        Name of the instance.
     port, readiness_port : int
-        Where it serves clients, and tells whether it is ready.
+        Ports for clients and for readiness checks.
     link : TcpCut
-        Its way to the store.
+        Proxy for its connections to the store.
     folder : Path
-        Where its settings and its log are.
+        Folder of its settings and its log.
     process : subprocess.Popen or None
-        While it runs.
+        The process; None before the first start.
     """
 
     name: str
@@ -115,11 +115,11 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is running."""
         return self.process is not None and self.process.poll() is None
 
     def write_settings(self) -> None:
-        """Write its settings, each time with another unknown field."""
+        """Write its settings file, with a different unknown field each time."""
         self.revision += 1
         settings = build_settings(
             name=self.name,
@@ -129,12 +129,12 @@
             revision=self.revision,
         )
         path = self.folder / "settings.json"
-        fresh = self.folder / "settings.new"
-        fresh.write_text(json.dumps(settings), encoding="utf-8")
-        fresh.replace(path)
+        temporary_path = self.folder / "settings.new"
+        temporary_path.write_text(json.dumps(settings), encoding="utf-8")
+        temporary_path.replace(path)
 
     def start(self) -> None:
-        """Start its process."""
+        """Write its settings and start its process."""
         self.write_settings()
         path = self.folder / "settings.json"
         self.started_s = time.monotonic()
@@ -148,18 +148,18 @@
 
     @property
     def age_s(self) -> float:
-        """How long ago its process was started, in s."""
+        """Time since its process was started, in s."""
         return time.monotonic() - self.started_s
 
-    def send(self, number: signal.Signals) -> None:
-        """Send its process a signal; one that is gone gets none."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to its process, if that is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
 
 @attrs.define(kw_only=True, eq=False)
-class LivingWorker:
-    """One life of a worker, and the way to it."""
+class RunningWorker:
+    """A running worker, and the proxy for connections to it."""
 
     worker: PlatformWorker
     link: TcpCut
@@ -176,18 +176,18 @@
 
 
 class Fleet:
-    """Store, workers and instances of one soak.
+    """Store, workers and instances of a soak run.
 
     Parameters
     ----------
     nursery : trio.Nursery
-        Where they run.
+        Nursery that runs the stand-ins.
     clock : Clock
-        Where time comes from.
+        Source of time.
     folder : Path
-        Where settings and logs go.
+        Folder for settings and logs.
     task_ms : float
-        Time of a task, in ms.
+        Run time of a task, in ms.
     """
 
     def __init__(
@@ -197,27 +197,27 @@
         self._clock = clock
         self._folder = folder
         self._task_ms = task_ms
-        self._lives = 0
-        self._version = 0
-        self.prefixes: list[str] = []
+        self._worker_count = 0
+        self._configuration_version = 0
+        self.queue_prefixes: list[str] = []
         self.store = PlatformStore(clock=clock)
         self.instances: list[Instance] = []
-        self.workers: dict[int, LivingWorker] = {}
+        self.workers: dict[int, RunningWorker] = {}
         self.decoy = PlatformWorker(worker_id=DECOY, clock=clock, task_ms=task_ms)
         self.runs: dict[str, list[TaskRecord]] = {}
-        self.crashes: dict[str, float] = {}
-        self.sizes: dict[str, list[tuple[float, int]]] = {}
+        self.crash_delays_ms: dict[str, float] = {}
+        self.capacity_history: dict[str, list[tuple[float, int]]] = {}
         self.failure_domains: dict[str, str] = {}
         self.evacuations: list[EvacuationRecord] = []
-        self.exits: list[str] = []
+        self.unexpected_exits: list[str] = []
 
     async def start(self, *, instances: int, workers: int) -> None:
-        """Start everything."""
+        """Start the store, the workers and the instances."""
         await self._nursery.start(self.store.server.run)
         self._nursery.start_soon(self.store.expire_leases)
-        self.configure()
-        for place in range(workers):
-            await self.start_worker(place)
+        self.write_configuration()
+        for worker_index in range(workers):
+            await self.start_worker(worker_index)
         await self._nursery.start(self.decoy.run)
         self.runs[DECOY] = self.decoy.records
         for number in range(instances):
@@ -242,40 +242,44 @@
         await self._nursery.start(link.run)
         return link
 
-    def configure(self) -> None:
-        """Write a configuration with one more queue."""
-        self._version += 3
-        self.prefixes.append(f"/q{self._version}/")
+    def write_configuration(self) -> None:
+        """Write a configuration with one additional queue."""
+        self._configuration_version += 3
+        self.queue_prefixes.append(f"/q{self._configuration_version}/")
         document = build_configuration(
-            self._version,
-            *self.prefixes,
+            self._configuration_version,
+            *self.queue_prefixes,
             host="127.0.0.1",
             service=SERVICE,
             max_attempts=_MAX_ATTEMPTS,
         )
         self.store.write(CONFIGURATION_KEY, document)
 
-    async def start_worker(self, place: int, *, link: TcpCut | None = None) -> None:
-        """Start a new life of the worker at a place, and list it.
+    async def start_worker(
+        self, worker_index: int, *, link: TcpCut | None = None
+    ) -> None:
+        """Start a new worker at an index, and write its entry.
 
         Parameters
         ----------
-        place : int
-            The place.
+        worker_index : int
+            Index of the worker.
         link : TcpCut, optional
-            The way to its last life, whose address it takes; without it, it has a new
+            Proxy of its predecessor, whose address it reuses; by default it gets a new
             one.
         """
-        self._lives += 1
-        worker_id = f"w{place}-{self._lives}"
+        self._worker_count += 1
+        worker_id = f"w{worker_index}-{self._worker_count}"
         worker = PlatformWorker(
             worker_id=worker_id,
             clock=self._clock,
             task_ms=self._task_ms,
-            rate=_SLOW_CLOCK if place % 2 else 1.0,
-            failure_domain=FAILURE_DOMAINS[place % len(FAILURE_DOMAINS)],
-            crashes=self.crashes,
-            on_crash=lambda: self._nursery.start_soon(self._replace, place, worker_id),
+            rate=_WORKER_CLOCK_RATE if worker_index % 2 else 1.0,
+            failure_domain=FAILURE_DOMAINS[worker_index % len(FAILURE_DOMAINS)],
+            crashes=self.crash_delays_ms,
+            on_crash=lambda: self._nursery.start_soon(
+                self._restart_crashed_worker, worker_index, worker_id
+            ),
         )
         scope = trio.CancelScope()
         await self._nursery.start(self._run_worker, worker, scope)
@@ -284,32 +288,36 @@
         else:
             link.retarget(worker.server.port)
             link.set(CutSettings())
-        self.workers[place] = LivingWorker(worker=worker, link=link, scope=scope)
+        self.workers[worker_index] = RunningWorker(
+            worker=worker, link=link, scope=scope
+        )
         self.runs[worker_id] = worker.records
         self.failure_domains[worker_id] = worker.failure_domain
-        self.sizes[worker_id] = [(self._clock.monotonic_ms(), WORKER_CPU)]
-        self.list_worker(place)
+        self.capacity_history[worker_id] = [(self._clock.monotonic_ms(), WORKER_CPU)]
+        self.register_worker(worker_index)
 
-    async def _replace(self, place: int, worker_id: str) -> None:
-        """Start the next life of a worker that a task has crashed, at its address."""
-        living = self.workers[place]
-        if living.worker.worker_id != worker_id:
+    async def _restart_crashed_worker(self, worker_index: int, worker_id: str) -> None:
+        """Replace a worker that a task has crashed by a new one at its address."""
+        current = self.workers[worker_index]
+        if current.worker.worker_id != worker_id:
             return
-        living.scope.cancel()
-        living.link.set(CutSettings(partition=Partition.REFUSED))
-        await living.link.reset_connections()
-        await self._clock.sleep_ms(_REBIRTH_MS)
-        if self.workers[place] is living:
-            await self.start_worker(place, link=living.link)
-        await self._clock.sleep_ms(_ENTRY_LIFE_MS - _REBIRTH_MS)
-        self.unlist_worker(worker_id)
-
-    def resize_worker(self, place: int, cpu: int) -> None:
-        """Have the worker at a place report another capacity, and note it."""
-        worker = self.workers[place].worker
+        current.scope.cancel()
+        current.link.set(CutSettings(partition=Partition.REFUSED))
+        await current.link.reset_connections()
+        await self._clock.sleep_ms(_WORKER_RESTART_DELAY_MS)
+        if self.workers[worker_index] is current:
+            await self.start_worker(worker_index, link=current.link)
+        await self._clock.sleep_ms(_DEREGISTRATION_DELAY_MS - _WORKER_RESTART_DELAY_MS)
+        self.deregister_worker(worker_id)
+
+    def resize_worker(self, worker_index: int, cpu: int) -> None:
+        """Change the capacity that a worker reports, and record the change."""
+        worker = self.workers[worker_index].worker
         worker.capacity = {**worker.capacity, "cpu": cpu}
-        self.sizes[worker.worker_id].append((self._clock.monotonic_ms(), cpu))
-        self.list_worker(place)
+        self.capacity_history[worker.worker_id].append(
+            (self._clock.monotonic_ms(), cpu)
+        )
+        self.register_worker(worker_index)
 
     def begin_evacuation(self, failure_domain: str, value: Any) -> EvacuationRecord:
         """Write the evacuation entry of a failure domain, with the given value."""
@@ -325,16 +333,16 @@
         record.ended_ms = self._clock.monotonic_ms()
         self.store.remove(EVACUATION_PREFIX + record.failure_domain)
 
-    def list_worker(self, place: int) -> None:
-        """Write the entry of the worker at a place."""
-        living = self.workers[place]
-        entry = living.worker.describe(SERVICE, port=living.link.port)
-        self.store.write(WORKER_PREFIX + living.worker.worker_id, entry)
+    def register_worker(self, worker_index: int) -> None:
+        """Write the entry of a worker."""
+        current = self.workers[worker_index]
+        entry = current.worker.describe(SERVICE, port=current.link.port)
+        self.store.write(WORKER_PREFIX + current.worker.worker_id, entry)
 
-    def write_foreign_entry(self, worker_id: str, choices: random.Random) -> None:
-        """Leave an entry of another writer at a worker's key, leading to the decoy."""
+    def write_foreign_entry(self, worker_id: str, rng: random.Random) -> None:
+        """Write a foreign entry that refers to the decoy at a worker's key."""
         entries = build_foreign_entries(self.decoy.describe(SERVICE))
-        self.store.write_bytes(WORKER_PREFIX + worker_id, choices.choice(entries))
+        self.store.write_bytes(WORKER_PREFIX + worker_id, rng.choice(entries))
 
     async def _run_worker(
         self,
@@ -346,29 +354,31 @@
         with scope:
             await worker.run(task_status=task_status)
 
-    def unlist_worker(self, worker_id: str) -> None:
-        """Remove the entry of a worker that is gone."""
+    def deregister_worker(self, worker_id: str) -> None:
+        """Remove the entry of a worker."""
         self.store.remove(WORKER_PREFIX + worker_id)
 
-    def crash_worker(self, place: int) -> str:
-        """End a life of a worker; its entry stays, and is to be removed later."""
-        living = self.workers[place]
-        living.scope.cancel()
-        living.worker.power_off()
-        return living.worker.worker_id
+    def crash_worker(self, worker_index: int) -> str:
+        """Crash a worker and return its id; the caller must remove its entry."""
+        current = self.workers[worker_index]
+        current.scope.cancel()
+        current.worker.power_off()
+        return current.worker.worker_id
 
-    def note_exits(self) -> None:
-        """Note processes that ended as no fault explains, and start them again."""
+    def record_unexpected_exits(self) -> None:
+        """Record processes that no fault has ended, and restart them."""
         for instance in self.instances:
             code = instance.process.poll() if instance.process is not None else None
             if code is not None and code not in _EXPECTED_EXITS:
-                self.exits.append(f"{instance.name} ended by itself with {code}")
+                self.unexpected_exits.append(
+                    f"{instance.name} ended by itself with {code}"
+                )
                 instance.start()
 
     async def close(self) -> None:
-        """End the processes of the soak, each by its id."""
+        """Kill the processes of all instances and wait for them to exit."""
         for instance in self.instances:
-            instance.send(signal.SIGCONT)
-            instance.send(signal.SIGKILL)
+            instance.send_signal(signal.SIGCONT)
+            instance.send_signal(signal.SIGKILL)
             if instance.process is not None:
                 await trio.to_thread.run_sync(instance.process.wait)
--- a/trefoilhook/soak/history.py
+++ b/trefoilhook/soak/history.py
@@ -1,4 +1,4 @@
-"""What ran on the workers of a soak and what clients were told, as a file of lines."""
+"""Writes the submissions and task runs of a soak to a JSON Lines file."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -6,7 +6,7 @@
 
 import attrs
 
-from trefoilhook.soak.ledger import Ledger
+from trefoilhook.soak.submissions import SubmissionLog
 from trefoilhook.standins.platform_worker import TaskRecord
 
 __all__ = ["HISTORY_FILE", "write_history"]
@@ -15,22 +15,24 @@
 
 
 def write_history(
-    folder: Path, ledger: Ledger, runs: Mapping[str, Iterable[TaskRecord]]
+    folder: Path,
+    submission_log: SubmissionLog,
+    runs: Mapping[str, Iterable[TaskRecord]],
 ) -> None:
-    """Write each submission and each run as a line of JSON.
+    """Write each submission and each task run as a line of JSON.
 
     Parameters
     ----------
     folder : Path
-        Where the file goes.
-    ledger : Ledger
-        What clients sent and were told.
+        Folder of the file.
+    submission_log : SubmissionLog
+        Submissions and the responses to them.
     runs : mapping of str to iterable of TaskRecord
-        What ran, by worker.
+        Task runs, by worker.
     """
     rows: list[dict[str, object]] = [
         {**attrs.asdict(submission), "outcome": submission.outcome.value}
-        for submission in ledger.submissions.values()
+        for submission in submission_log.submissions.values()
     ]
     rows += [
         {"worker": worker, **attrs.asdict(run)}
--- a/trefoilhook/soak/tests/test_checks.py
+++ b/trefoilhook/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each check of the soak finds what it is for, and nothing in a sound history."""
+"""Tests that each check detects its violation, and accepts valid histories."""
 
 import math
 import unittest
@@ -7,14 +7,19 @@
 
 from trefoilhook.soak.checks import check_runs
 from trefoilhook.soak.fleet import DECOY, EvacuationRecord
-from trefoilhook.soak.ledger import Ledger, Submission, SubmissionOutcome, TaskDemand
+from trefoilhook.soak.submissions import (
+    Submission,
+    SubmissionLog,
+    SubmissionOutcome,
+    TaskDemand,
+)
 from trefoilhook.standins.platform_worker import TaskRecord
 
 _JOB = "00000000000000a1"
 _CPU = 1000
 
 
-def _run(step: int = 0, index: int = 0, **fields) -> TaskRecord:
+def _build_run(step: int = 0, index: int = 0, **fields) -> TaskRecord:
     values = {
         "attempt": 1,
         "token": 1,
@@ -27,7 +32,7 @@
     return TaskRecord(task=f"{_JOB}.0.{step}.{index}", **values)
 
 
-def _ledger(**fields) -> Ledger:
+def _build_log(**fields) -> SubmissionLog:
     submission = Submission(
         job_id=_JOB,
         steps=(TaskDemand(cpu=600, count=1), TaskDemand(cpu=600, count=1)),
@@ -38,57 +43,57 @@
             **fields,
         },
     )
-    return Ledger(submissions={_JOB: submission})
+    return SubmissionLog(submissions={_JOB: submission})
 
 
-_SOUND = [_run(), _run(step=1, started_ms=20.0, ended_ms=30.0)]
+_VALID_RUNS = [_build_run(), _build_run(step=1, started_ms=20.0, ended_ms=30.0)]
 _ANOTHER_JOB = TaskRecord(
     task="00000000000000b2.0.0.0", attempt=1, token=1, started_ms=0.0, ended_ms=1.0
 )
 
 
 class CheckTest(unittest.TestCase):
-    """Histories with one thing wrong."""
+    """Valid histories, and histories with a single violation."""
 
     def _check(self, runs: dict, **fields) -> list[str]:
-        return check_runs(_ledger(**fields), runs, cpu=_CPU)
-
-    def test_sound_history(self):
-        self.assertEqual(self._check({"w": _SOUND}), [])
-
-    def test_crashed_and_repeated(self):
-        # A worker crashes, and the task runs again elsewhere; another ends without
-        # anybody having noted it, as its worker was lost.
-        crashed = _run(ended_ms=5.0, how="crashed", acknowledged=False)
-        unnoted = _run(started_ms=5.0, ended_ms=7.0, acknowledged=False)
-        again = [_run(started_ms=8.0, ended_ms=12.0), _SOUND[1]]
-        found = self._check({"a": [crashed], "b": [unnoted], "c": again})
+        return check_runs(_build_log(**fields), runs, cpu=_CPU)
+
+    def test_valid_history(self):
+        self.assertEqual(self._check({"w": _VALID_RUNS}), [])
+
+    def test_repeated_runs_without_acknowledgement(self):
+        # One run ends with a crash of its worker; the end of the second is never
+        # acknowledged, as its worker was lost. Both may be repeated.
+        crashed = _build_run(ended_ms=5.0, how="crashed", acknowledged=False)
+        unacknowledged = _build_run(started_ms=5.0, ended_ms=7.0, acknowledged=False)
+        again = [_build_run(started_ms=8.0, ended_ms=12.0), _VALID_RUNS[1]]
+        found = self._check({"a": [crashed], "b": [unacknowledged], "c": again})
         self.assertEqual(found, [])
 
     def test_broken_histories(self):
-        late = _run(attempt=2, started_ms=5.0, ended_ms=40.0, how="stopped")
-        again = _run(attempt=2, started_ms=50.0, ended_ms=60.0)
+        late = _build_run(attempt=2, started_ms=5.0, ended_ms=40.0, how="stopped")
+        again = _build_run(attempt=2, started_ms=50.0, ended_ms=60.0)
         rejected = {"outcome": SubmissionOutcome.REJECTED, "state": ""}
         cases = (
-            ("nobody sent it", {"w": [*_SOUND, _ANOTHER_JOB]}, {}),
-            ("never would", {"w": _SOUND}, rejected),
-            ("ran on the decoy", {"w": _SOUND[1:], DECOY: _SOUND[:1]}, {}),
-            ("twice at a time", {"w": _SOUND, "v": [late]}, {}),
-            ("again after it was done", {"w": _SOUND, "v": [again]}, {}),
-            ("held 1200 of 1000", {"w": [*_SOUND, late]}, {}),
-            ("before step 0 was done", {"w": [_SOUND[0], _run(step=1)]}, {}),
-            ("told completed, and isn't", {"w": _SOUND[:1]}, {}),
-            ("ended as 'running'", {"w": _SOUND}, {"state": "running"}),
+            ("nobody sent it", {"w": [*_VALID_RUNS, _ANOTHER_JOB]}, {}),
+            ("never would", {"w": _VALID_RUNS}, rejected),
+            ("ran on the decoy", {"w": _VALID_RUNS[1:], DECOY: _VALID_RUNS[:1]}, {}),
+            ("twice at a time", {"w": _VALID_RUNS, "v": [late]}, {}),
+            ("again after it was done", {"w": _VALID_RUNS, "v": [again]}, {}),
+            ("held 1200 of 1000", {"w": [*_VALID_RUNS, late]}, {}),
+            ("before step 0 was done", {"w": [_VALID_RUNS[0], _build_run(step=1)]}, {}),
+            ("told completed, and isn't", {"w": _VALID_RUNS[:1]}, {}),
+            ("ended as 'running'", {"w": _VALID_RUNS}, {"state": "running"}),
         )
         for words, runs, fields in cases:
             with self.subTest(words=words):
                 found = self._check(runs, **fields)
                 self.assertTrue(any(words in line for line in found), found)
 
-    def _crash(self, count: int) -> list[TaskRecord]:
-        """Return runs of a task that crashed as many workers."""
+    def _build_crashed_runs(self, count: int) -> list[TaskRecord]:
+        """Return runs of a task that crashed the given number of workers."""
         return [
-            _run(
+            _build_run(
                 attempt=number + 1,
                 started_ms=100.0 * number,
                 ended_ms=100.0 * number + 20.0,
@@ -107,21 +112,23 @@
             (6, "started 3 times more after 3 workers"),
         ):
             with self.subTest(count=count):
-                found = self._check({"w": self._crash(count)}, **fields)
+                found = self._check({"w": self._build_crashed_runs(count)}, **fields)
                 self.assertEqual(len(found), int(bool(words)))
                 self.assertIn(words, "".join(found))
 
-    def test_bystander_that_was_given_up(self):
-        found = self._check({"w": self._crash(3)}, state="failed")
+    def test_failed_job_without_crashing_task(self):
+        found = self._check({"w": self._build_crashed_runs(3)}, state="failed")
         self.assertTrue(any("could be done" in line for line in found), found)
 
-    def test_crashing_task_that_is_never_given_up(self):
-        found = self._check({"w": self._crash(3)}, crash_ms=20.0, state="running")
+    def test_crashing_job_that_never_fails(self):
+        found = self._check(
+            {"w": self._build_crashed_runs(3)}, crash_ms=20.0, state="running"
+        )
         self.assertEqual(len(found), 1)
 
-    def test_worker_that_has_shrunk(self):
-        second = _run(step=1, started_ms=20.0, ended_ms=30.0)
-        early = _run(ended_ms=6000.0)
+    def test_reduced_capacity(self):
+        second = _build_run(step=1, started_ms=20.0, ended_ms=30.0)
+        early = _build_run(ended_ms=6000.0)
         late = attrs.evolve(second, started_ms=5000.0, ended_ms=6000.0)
         table = (
             ([early, second], [(0.0, 2000), (10.0, 1000)], False),
@@ -132,16 +139,19 @@
         for records, history, is_broken in table:
             with self.subTest(history=history, started_ms=records[1].started_ms):
                 found = check_runs(
-                    _ledger(), {"w": records}, cpu=4000, sizes={"w": history}
+                    _build_log(),
+                    {"w": records},
+                    cpu=4000,
+                    capacity_history={"w": history},
                 )
                 broken = [line for line in found if "which then held" in line]
                 self.assertEqual(bool(broken), is_broken)
 
-    def test_what_clients_saw_counts(self):
-        ledger = _ledger()
-        ledger.violations.append("a job is said to be unknown")
-        found = check_runs(ledger, {"w": _SOUND}, cpu=_CPU)
-        self.assertEqual(found, ledger.violations)
+    def test_client_violations_are_reported(self):
+        submission_log = _build_log()
+        submission_log.violations.append("a job is said to be unknown")
+        found = check_runs(submission_log, {"w": _VALID_RUNS}, cpu=_CPU)
+        self.assertEqual(found, submission_log.violations)
 
 
 class EvacuationTest(unittest.TestCase):
@@ -151,9 +161,9 @@
         evacuation = EvacuationRecord(
             failure_domain="z0", began_ms=1000.0, ended_ms=ended_ms
         )
-        run = _run(started_ms=started_ms, ended_ms=started_ms + 10.0)
+        run = _build_run(started_ms=started_ms, ended_ms=started_ms + 10.0)
         return check_runs(
-            _ledger(state="cancelled", cancel_sent=True),
+            _build_log(state="cancelled", cancel_sent=True),
             {"w": [run]},
             cpu=_CPU,
             failure_domains={"w": "z0"},
--- a/trefoilhook/soak/tests/test_fleet.py
+++ b/trefoilhook/soak/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What the soak runs must not break promises by itself."""
+"""Tests that the soak's own components cause no violations."""
 
 import socket
 import unittest
@@ -13,27 +13,28 @@
 
 
 class PortTest(unittest.TestCase):
-    """An instance is killed, and ends by itself when it is started again.
+    """A restarted instance must find its listening port free.
 
-    While it was down a client's connection was given the port that it listens at.
+    An ephemeral port may be assigned to a client's connection while the instance is
+    down.
     """
 
-    def test_ports_are_none_that_connections_are_given(self):
-        given = []
+    def test_ports_are_outside_the_ephemeral_range(self):
+        ephemeral_ports = []
         for _ in range(20):
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", 0))
-                given.append(probe.getsockname()[1])
+                ephemeral_ports.append(probe.getsockname()[1])
         ports = {find_free_port() for _ in range(200)}
-        self.assertLess(max(ports), min(given))
+        self.assertLess(max(ports), min(ephemeral_ports))
         self.assertLess(max(ports), 32_768)
 
 
 class CrashTest(unittest.TestCase):
-    """A task seems to run twice at a time, first on a worker that has crashed.
+    """A crashed worker must not record a task start.
 
-    A start had arrived in the turn of the crash. The stand-in went on to note it, and
-    as the worker was gone that run never ended.
+    A start request that arrives during the crash would be recorded as a run that never
+    ends, and be reported as running concurrently with the task's next attempt.
     """
 
     def test_crashed_worker_starts_nothing(self):
--- a/trefoilhook/soak/tests/test_soak.py
+++ b/trefoilhook/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of the real processes, the same faults each time."""
+"""Short soak of daemon processes with a fixed seed."""
 
 import tempfile
 import unittest
@@ -10,20 +10,20 @@
     FINDINGS_FOLDER,
     SoakSettings,
     describe_finding,
-    keep_finding,
     run_soak,
+    save_finding,
 )
 
 _SEED = 7
 _DURATION_S = 10.0
 _TIMEOUT_S = 120.0
-"""Generous: the soak itself gives up after some 55 s."""
+"""Overall time limit, in s; the soak itself gives up after about 55 s."""
 
 
 class SoakTest(unittest.TestCase):
     """Three processes, four workers, overlapping faults."""
 
-    def test_promises_hold(self):
+    def test_invariants_hold(self):
         with tempfile.TemporaryDirectory() as folder:
             settings = SoakSettings(
                 seed=_SEED,
@@ -39,9 +39,9 @@
 
             report = trio.run(main)
             if report.violations:
-                keep_finding(settings, report, into=FINDINGS_FOLDER)
-            story = describe_finding(settings, report)
-        self.assertEqual(report.violations, (), story)
+                save_finding(settings, report, parent=FINDINGS_FOLDER)
+            description = describe_finding(settings, report)
+        self.assertEqual(report.violations, (), description)
         self.assertGreater(len(report.faults), 5)
         self.assertGreater(report.accepted, 10)
         self.assertGreaterEqual(report.runs, report.accepted)
