--- a/trefoilhook/soak/fleet.py
+++ b/trefoilhook/soak/fleet.py
@@ -274,7 +274,7 @@
             worker_id=worker_id,
             clock=self._clock,
             task_ms=self._task_ms,
-            rate=_WORKER_CLOCK_RATE if worker_index % 2 else 1.0,
+            clock_rate=_WORKER_CLOCK_RATE if worker_index % 2 else 1.0,
             failure_domain=FAILURE_DOMAINS[worker_index % len(FAILURE_DOMAINS)],
             crashes=self.crash_delays_ms,
             on_crash=lambda: self._nursery.start_soon(
@@ -286,7 +286,7 @@
         if link is None:
             link = await self._open_link(worker.server.port)
         else:
-            link.retarget(worker.server.port)
+            link.set_target_port(worker.server.port)
             link.set(CutSettings())
         self.workers[worker_index] = RunningWorker(
             worker=worker, link=link, scope=scope
--- a/trefoilhook/standins/__init__.py
+++ b/trefoilhook/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the outside, for tests and the demo."""
+"""Stand-ins for external services, for tests and the demo."""
 
 from trefoilhook.standins.cut import CutSettings, Partition, TcpCut
 from trefoilhook.standins.executor import (
--- a/trefoilhook/standins/__main__.py
+++ b/trefoilhook/standins/__main__.py
@@ -1,6 +1,6 @@
-"""Runs one stand-in as a process of its own: ``python -m trefoilhook.standins KIND``.
+"""Runs a stand-in as a separate process: ``python -m trefoilhook.standins KIND``.
 
-Its first line on standard output tells the ports, as JSON.
+The first line on standard output contains the ports as JSON.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 __all__ = ["main"]
 
-_WRONG_USE = 2
+_EXIT_USAGE = 2
 
 
 class _Standin(Protocol):
@@ -46,7 +46,7 @@
         raise NotImplementedError
 
     def handle(self) -> int:
-        """Run it until it is ended."""
+        """Run the stand-in until the process is terminated."""
         try:
             address = {
                 "host": self.option("host"),
@@ -57,7 +57,7 @@
             standin = self.build(build_system_clock(), settings, address)
         except (ValueError, cattrs.BaseValidationError) as error:
             self.line_error(f"wrong option: {error!r}")
-            return _WRONG_USE
+            return _EXIT_USAGE
         trio.run(_serve, standin)
         return 0
 
--- a/trefoilhook/standins/core.py
+++ b/trefoilhook/standins/core.py
@@ -1,7 +1,7 @@
-"""An HTTP server whose faults can be switched while it runs.
+"""An HTTP server with faults that can be changed while it runs.
 
-Each stand-in is one of these: its calls go to one port and may meet faults; a second
-port takes orders from tests and is never at fault.
+Each stand-in uses such a server. Calls go to one port and are subject to the faults; a
+second port serves control requests of tests and is never faulty.
 """
 
 from collections.abc import Awaitable, Callable
@@ -20,7 +20,7 @@
     "Control",
     "FaultyServer",
     "RefusalError",
-    "answer_refusal",
+    "encode_refusal",
     "decode_body",
     "encode_answer",
 ]
@@ -35,16 +35,16 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class RefusalError(Exception):
-    """A call is refused; nothing was changed.
+    """The call is refused; nothing was changed.
 
     Parameters
     ----------
     status : int
-        Status of the answer.
+        HTTP status of the response.
     error : str
-        Name of the error, as the interface lists it.
+        Error name defined by the interface.
     details : object, optional
-        An attrs instance whose fields the answer carries too.
+        An attrs instance whose fields are added to the response.
     """
 
     status: int
@@ -53,12 +53,12 @@
 
 
 def decode_body(request: HttpRequest, kind: type[_T]) -> _T:
-    """Read a call's body as an instance of ``kind``.
+    """Decode the body of a request as an instance of ``kind``.
 
     Raises
     ------
     RefusalError
-        If it is not one.
+        If the body is not valid.
     """
     try:
         return _converter.structure(request.parse_json(), kind)
@@ -67,12 +67,12 @@
 
 
 def encode_answer(value: object, *, status: int = 200) -> HttpResponse:
-    """Build the answer that carries an attrs instance."""
+    """Return a response whose body is an encoded attrs instance."""
     return HttpResponse.from_json(_converter.unstructure(value), status=status)
 
 
-def answer_refusal(refusal: RefusalError) -> HttpResponse:
-    """Build the answer that tells of a refusal."""
+def encode_refusal(refusal: RefusalError) -> HttpResponse:
+    """Return the response for a refused call."""
     body: dict[str, Any] = {"error": refusal.error}
     if refusal.details is not None:
         body.update(_converter.unstructure(refusal.details))
@@ -109,53 +109,53 @@
 
 
 class FaultyServer:
-    """Serves a stand-in's calls, with faults, and the orders of its test.
+    """Serves calls to a stand-in, with faults, and control requests.
 
     Parameters
     ----------
     handler : callable
-        Carries a call out; may raise `RefusalError`.
-    name_call : callable
-        Names the kind of a call, for counting and for faults.
+        Executes a call; may raise `RefusalError`.
+    get_call_kind : callable
+        Returns the kind of a call, to which faults may be restricted.
     clock : Clock
-        Where delays are waited for.
+        Clock for delays.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port for calls; 0 takes a free one.
+        Port for calls; 0 selects a free one.
     control : callable, optional
-        Answers orders other than those about faults.
+        Handles control requests other than those for faults.
     control_port : int, optional
-        Port for orders; 0 takes a free one.
+        Port for control requests; 0 selects a free one.
     limits : HttpLimits, optional
-        Bounds on what a client may send.
-    is_refusing_surplus : bool, optional
-        Close connections above the limit at once, in place of letting them wait.
+        Limits on connections and requests.
+    closes_excess_connections : bool, optional
+        Whether connections above the limit are closed at once instead of queued.
     """
 
     def __init__(
         self,
         *,
         handler: Handler,
-        name_call: Callable[[HttpRequest], str],
+        get_call_kind: Callable[[HttpRequest], str],
         clock: Clock,
         host: str = "127.0.0.1",
         port: int = 0,
         control: Control | None = None,
         control_port: int = 0,
         limits: HttpLimits = _LIMITS,
-        is_refusing_surplus: bool = False,
+        closes_excess_connections: bool = False,
     ) -> None:
         self._handler = handler
-        self._name_call = name_call
+        self._get_call_kind = get_call_kind
         self._clock = clock
         self._control = control
         self._control_server = HttpServer(
-            handler=self._obey, host=host, port=control_port
+            handler=self._handle_control, host=host, port=control_port
         )
         self._limits = limits
         self._connections = _ConnectionCounts(
-            limit=limits.max_connections if is_refusing_surplus else None
+            limit=limits.max_connections if closes_excess_connections else None
         )
         self._scope = trio.CancelScope()
         self._is_listening = False
@@ -166,17 +166,17 @@
 
     @property
     def control_port(self) -> int:
-        """Port for orders, once the server runs."""
+        """Port for control requests; valid once the server runs."""
         return self._control_server.port
 
     @property
     def refused_connections(self) -> int:
-        """Connections closed for being too many."""
+        """Number of connections closed because of the limit."""
         return self._connections.refused
 
     @property
     def high_water_connections(self) -> int:
-        """Most connections at once."""
+        """Maximum number of simultaneous connections."""
         return self._connections.high_water
 
     async def run(
@@ -188,16 +188,16 @@
             await self._listen(nursery)
             task_status.started(self.port)
             while True:
-                await self._follow_availability(nursery)
+                await self._apply_availability(nursery)
 
     async def change_faults(self, settings: FaultSettings) -> None:
-        """Put other faults in force and wait until they are."""
+        """Change the active faults and wait until they have taken effect."""
         self.faults.set(settings)
         is_wanted = settings.availability is not Availability.REFUSING
         while self._is_listening is not is_wanted:
             await self._listening_changed.wait()
 
-    async def _follow_availability(self, nursery: trio.Nursery) -> None:
+    async def _apply_availability(self, nursery: trio.Nursery) -> None:
         is_wanted = self.faults.settings.availability is not Availability.REFUSING
         if is_wanted is self._is_listening:
             await self.faults.wait_change()
@@ -209,9 +209,9 @@
 
     async def _listen(self, nursery: trio.Nursery) -> None:
         self.port = await nursery.start(self._serve_once)
-        self._note_listening(True)
+        self._set_listening(True)
 
-    def _note_listening(self, is_listening: bool) -> None:
+    def _set_listening(self, is_listening: bool) -> None:
         self._is_listening = is_listening
         changed = self._listening_changed
         self._listening_changed = trio.Event()
@@ -229,30 +229,30 @@
         )
         with trio.CancelScope() as self._scope:
             await server.run(task_status=task_status)
-        self._note_listening(False)
+        self._set_listening(False)
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
-        await self._hang_while_down()
+        await self._wait_while_hanging()
         if self.faults.settings.delay_ms > 0:
             await self._clock.sleep_ms(self.faults.settings.delay_ms)
-        kind = self._name_call(request)
+        kind = self._get_call_kind(request)
         try:
             response = await self._handler(request)
         except RefusalError as refusal:
-            return answer_refusal(refusal)
-        await self._hang_while_down()
-        if self.faults.take_lost_answer(kind):
+            return encode_refusal(refusal)
+        await self._wait_while_hanging()
+        if self.faults.consume_lost_answer(kind):
             drop_connection()
         return response
 
-    async def _hang_while_down(self) -> None:
+    async def _wait_while_hanging(self) -> None:
         if self.faults.settings.availability is not Availability.HANGING:
             return
         while self.faults.settings.availability is Availability.HANGING:
             await self.faults.wait_change()
         drop_connection()
 
-    async def _obey(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_control(self, request: HttpRequest) -> HttpResponse:
         try:
             if (request.method, request.path) == ("GET", "/faults"):
                 return encode_answer(self.faults.settings)
@@ -263,9 +263,9 @@
                 return self._control(request)
             raise RefusalError(status=404, error="not_found")
         except RefusalError as refusal:
-            return answer_refusal(refusal)
+            return encode_refusal(refusal)
 
 
 def drop_connection() -> None:
-    """Close the connection of the call being handled, without an answer."""
-    raise trio.BrokenResourceError("dropped by a fault that a test asked for")
+    """Close the connection of the current call without a response."""
+    raise trio.BrokenResourceError("connection dropped by an injected fault")
--- a/trefoilhook/standins/cut.py
+++ b/trefoilhook/standins/cut.py
@@ -1,4 +1,4 @@
-"""A forwarding proxy that loses track of connections when a test asks for it."""
+"""A TCP proxy that injects network faults."""
 
 import enum
 import struct
@@ -10,18 +10,18 @@
 
 __all__ = ["CutSettings", "Partition", "TcpCut"]
 
-_QUEUED_CHUNKS = 256
+_MAX_QUEUED_CHUNKS = 256
 
-_ABORT = struct.pack("ii", 1, 0)
-"""Socket option by which closing sends a reset."""
+_LINGER_ZERO = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER with which closing a socket sends a reset."""
 
 
 class Partition(enum.Enum):
-    """What the cut does with connections.
+    """Network partition between clients and the target.
 
-    NONE: forwards. SILENT: takes them, and drops every byte. REQUESTS_LOST and
-    ANSWERS_LOST: drops what goes one way. REFUSED: refuses new ones and drops every
-    byte of the open ones.
+    NONE: data is forwarded. SILENT: connections are accepted, and all data is dropped.
+    REQUESTS_LOST and ANSWERS_LOST: data in one direction is dropped. REFUSED: new
+    connections are refused, and all data of open ones is dropped.
     """
 
     NONE = "none"
@@ -33,14 +33,14 @@
 
 @attrs.frozen(kw_only=True)
 class CutSettings:
-    """How the cut forwards.
+    """Faults of a `TcpCut`.
 
     Parameters
     ----------
     delay_ms : float, optional
-        One-way delay, in ms; order is kept.
+        One-way delay, in ms; the order of data is preserved.
     partition : Partition, optional
-        Whether it forwards at all.
+        Partition in effect.
     """
 
     delay_ms: float = 0.0
@@ -49,27 +49,27 @@
 
 @attrs.define(kw_only=True, eq=False)
 class _Pipe:
-    """State of one connection: once forgotten it stays silent for good."""
+    """State of a connection; a forgotten one never carries data again."""
 
     is_forgotten: bool = False
     ends: tuple[trio.SocketStream, ...] = ()
 
 
 class TcpCut:
-    """Forwards TCP connections to a target.
+    """TCP proxy that forwards connections to a target, with faults.
 
     Parameters
     ----------
     clock : Clock
-        Where delays are waited for.
+        Clock for delays.
     target_host : str
-        Address of the target, an IP number.
+        IP address of the target.
     target_port : int
         Port of the target.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port to listen on; 0 takes a free one.
+        Port to listen on; 0 selects a free one.
     """
 
     def __init__(
@@ -90,21 +90,21 @@
         self._changed = trio.Event()
         self._listen_scope = trio.CancelScope()
         self.port = port
-        self.taken_connections = 0
+        self.accepted_connections = 0
         self.dropped_bytes = 0
 
     @property
     def open_connections(self) -> int:
-        """Connections that are open, forgotten ones included."""
+        """Number of open connections, including forgotten ones."""
         return len(self._pipes)
 
     @property
     def settings(self) -> CutSettings:
-        """How it forwards now."""
+        """Faults in effect."""
         return self._settings
 
     def set(self, settings: CutSettings) -> None:
-        """Forward in another way, from now on."""
+        """Change the faults from now on."""
         self._settings = settings
         changed = self._changed
         self._changed = trio.Event()
@@ -112,33 +112,35 @@
         if settings.partition is Partition.REFUSED:
             self._listen_scope.cancel()
 
-    def retarget(self, port: int) -> None:
-        """Forward new connections to another port of the target's host."""
+    def set_target_port(self, port: int) -> None:
+        """Forward new connections to another port of the target host."""
         self._target_port = port
 
     def forget_connections(self) -> int:
-        """Drop what the open connections carry, for good; new ones work.
+        """Drop all further data of the open connections; new ones work.
 
         Returns
         -------
         int
-            How many connections went silent.
+            Number of connections affected.
         """
         for pipe in self._pipes:
             pipe.is_forgotten = True
         return len(self._pipes)
 
     async def reset_connections(self) -> None:
-        """Reset every open connection, at both ends; new ones work."""
+        """Reset all open connections at both ends; new ones work."""
         for end in [end for pipe in self._pipes for end in pipe.ends]:
             if end.socket.fileno() >= 0:
-                end.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, _ABORT)
+                end.setsockopt(
+                    trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, _LINGER_ZERO
+                )
                 await trio.aclose_forcefully(end)
 
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Forward until cancelled; reports the port."""
+        """Forward until cancelled; the start value is the port."""
         async with trio.open_nursery() as pipes:
             while True:
                 listeners = await trio.open_tcp_listeners(self.port, host=self._host)
@@ -152,39 +154,55 @@
                 while self._settings.partition is Partition.REFUSED:
                     await self._changed.wait()
 
-    async def _forward(self, near: trio.SocketStream) -> None:
-        self.taken_connections += 1
+    async def _forward(self, client: trio.SocketStream) -> None:
+        self.accepted_connections += 1
         pipe = _Pipe()
         self._pipes.add(pipe)
         try:
-            async with near:
-                far = await trio.open_tcp_stream(self._target_host, self._target_port)
-                async with far, trio.open_nursery() as ways:
-                    pipe.ends = near, far
-                    lost = Partition.REQUESTS_LOST
-                    ways.start_soon(
-                        self._carry, near, far, pipe, ways.cancel_scope, lost
+            async with client:
+                target = await trio.open_tcp_stream(
+                    self._target_host, self._target_port
+                )
+                async with target, trio.open_nursery() as directions:
+                    pipe.ends = client, target
+                    blocking_partition = Partition.REQUESTS_LOST
+                    directions.start_soon(
+                        self._relay,
+                        client,
+                        target,
+                        pipe,
+                        directions.cancel_scope,
+                        blocking_partition,
                     )
-                    lost = Partition.ANSWERS_LOST
-                    ways.start_soon(
-                        self._carry, far, near, pipe, ways.cancel_scope, lost
+                    blocking_partition = Partition.ANSWERS_LOST
+                    directions.start_soon(
+                        self._relay,
+                        target,
+                        client,
+                        pipe,
+                        directions.cancel_scope,
+                        blocking_partition,
                     )
         except OSError:
             return
         finally:
             self._pipes.discard(pipe)
 
-    async def _carry(
+    async def _relay(
         self,
         source: trio.SocketStream,
         sink: trio.SocketStream,
         pipe: _Pipe,
         scope: trio.CancelScope,
-        lost: Partition,
+        blocking_partition: Partition,
     ) -> None:
-        sender, receiver = trio.open_memory_channel[tuple[float, bytes]](_QUEUED_CHUNKS)
+        sender, receiver = trio.open_memory_channel[tuple[float, bytes]](
+            _MAX_QUEUED_CHUNKS
+        )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._deliver, receiver, sink, pipe, scope, lost)
+            nursery.start_soon(
+                self._deliver, receiver, sink, pipe, scope, blocking_partition
+            )
             async with sender:
                 try:
                     async for chunk in source:
@@ -199,13 +217,16 @@
         sink: trio.SocketStream,
         pipe: _Pipe,
         scope: trio.CancelScope,
-        lost: Partition,
+        blocking_partition: Partition,
     ) -> None:
         async for due_ms, chunk in receiver:
             left_ms = due_ms - self._clock.monotonic_ms()
             if left_ms > 0:
                 await self._clock.sleep_ms(left_ms)
-            if not self._is_open(pipe) or self._settings.partition is lost:
+            if (
+                not self._is_open(pipe)
+                or self._settings.partition is blocking_partition
+            ):
                 self.dropped_bytes += len(chunk)
                 continue
             try:
@@ -215,12 +236,12 @@
         if self._is_open(pipe):
             scope.cancel()
         else:
-            # An end that closes is not heard of by the other one either.
+            # Closing one end must not be visible at the other end.
             await trio.sleep_forever()
 
     def _is_open(self, pipe: _Pipe) -> bool:
-        # Bytes lost in a partition never come later, so that what carried them is
-        # silent for good, as a connection is whose state was dropped on the way.
+        # Data dropped in a partition is not retransmitted, so the connection stays
+        # silent afterwards, as if a middlebox had lost its state.
         if self._settings.partition in (Partition.SILENT, Partition.REFUSED):
             pipe.is_forgotten = True
         return not pipe.is_forgotten
--- a/trefoilhook/standins/executor.py
+++ b/trefoilhook/standins/executor.py
@@ -31,21 +31,21 @@
 
 @attrs.frozen(kw_only=True)
 class ExecutorSettings:
-    """What an executor has and how it behaves.
+    """Configuration of an executor.
 
     Parameters
     ----------
     executor_id : str
-        Its name.
+        Id of the executor.
     slots : int, optional
-        Requests that it can run at once.
+        Maximum number of simultaneous requests.
     max_connections : int, optional
-        Connections that it takes; further ones are closed at once.
+        Maximum number of connections; further ones are closed at once.
     service_time_ms : float, optional
-        How long a request runs, in ms. A body that is a JSON object may name its own
-        as ``service_time_ms``.
+        Run time of a request, in ms. A body that is a JSON object may override it by
+        ``service_time_ms``.
     status : int, optional
-        Status that it answers with.
+        HTTP status of its responses.
     """
 
     executor_id: str
@@ -57,16 +57,16 @@
 
 @attrs.frozen(kw_only=True)
 class RunRecord:
-    """One request that an executor ran.
+    """A request run by an executor.
 
     Parameters
     ----------
     request_id : str
-        Its header ``x-request-id``; empty without one.
+        Value of the header ``x-request-id``; empty if missing.
     body : bytes
-        Its body.
+        Body of the request.
     started_ms : float
-        Wall time of the start, in ms.
+        Wall-clock time of the start, in ms.
     """
 
     request_id: str
@@ -76,22 +76,22 @@
 
 @attrs.frozen(kw_only=True)
 class ExecutorRecords:
-    """What an executor saw happen, for a test to check.
+    """Record of an executor's activity, for checks in tests.
 
     Parameters
     ----------
     runs : tuple of RunRecord
-        Every request that it began to run, in its order.
+        All requests started, in order.
     ended_runs : int
-        Requests that it ran to their end.
+        Number of requests completed.
     high_water : int
-        Most requests at once.
+        Maximum number of simultaneous requests.
     overloads : int
-        Requests begun while all slots were taken.
+        Number of requests started while all slots were in use.
     refused_connections : int
-        Connections closed for being too many.
+        Number of connections closed because of the limit.
     high_water_connections : int
-        Most connections at once.
+        Maximum number of simultaneous connections.
     """
 
     runs: tuple[RunRecord, ...]
@@ -102,7 +102,7 @@
     high_water_connections: int
 
     def find_repeated(self) -> tuple[str, ...]:
-        """Return the request ids that were run more than once."""
+        """Return the ids of requests that were run more than once."""
         counts = Counter(run.request_id for run in self.runs)
         return tuple(name for name, count in counts.items() if count > 1)
 
@@ -126,7 +126,7 @@
 
 
 def check_answer(answer: bytes, *, request_id: str, body: bytes) -> bool:
-    """Tell whether an answer is the whole answer to this very request."""
+    """Return whether a response is complete and belongs to the given request."""
     try:
         value = json.loads(answer)
     except ValueError:
@@ -137,26 +137,26 @@
     return found == (request_id, len(body), _digest(body))
 
 
-def name_executor_call(request: HttpRequest) -> str:
-    """Name the kind of a call to an executor."""
+def get_executor_call_kind(request: HttpRequest) -> str:
+    """Return the kind of a call to an executor."""
     return request.path.removeprefix("/")
 
 
 class ExecutorStandin:
-    """An executor that tests can put at fault.
+    """Executor with injectable faults.
 
     Parameters
     ----------
     clock : Clock
-        Where service times are waited for.
+        Clock for service times.
     settings : ExecutorSettings
-        What it has and how it behaves.
+        Configuration of the executor.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port for calls; 0 takes a free one.
+        Port for calls; 0 selects a free one.
     control_port : int, optional
-        Port for orders; 0 takes a free one.
+        Port for control requests; 0 selects a free one.
     """
 
     def __init__(
@@ -177,28 +177,28 @@
         self.settings = settings
         self.server = FaultyServer(
             handler=self._handle,
-            name_call=name_executor_call,
+            get_call_kind=get_executor_call_kind,
             clock=clock,
             host=host,
             port=port,
-            control=self._obey,
+            control=self._handle_control,
             control_port=control_port,
             limits=HttpLimits(
                 max_body_bytes=_MAX_BODY_BYTES,
                 max_connections=settings.max_connections,
                 idle_timeout_ms=600_000.0,
             ),
-            is_refusing_surplus=True,
+            closes_excess_connections=True,
         )
 
     @property
     def faults(self) -> FaultSwitch:
-        """Switch of the faults that every stand-in knows."""
+        """Faults common to all stand-ins."""
         return self.server.faults
 
     @property
     def records(self) -> ExecutorRecords:
-        """What happened so far."""
+        """Activity so far."""
         return ExecutorRecords(
             runs=tuple(self._runs),
             ended_runs=self._ended_runs,
@@ -211,7 +211,7 @@
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; reports the port for calls."""
+        """Serve until cancelled; the start value is the port for calls."""
         await self.server.run(task_status=task_status)
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
@@ -225,9 +225,9 @@
 
     async def _run(self, request: HttpRequest) -> HttpResponse:
         request_id = request.get_header(REQUEST_ID_HEADER) or ""
-        self._begin(request_id, request.body)
+        self._record_start(request_id, request.body)
         try:
-            await self._clock.sleep_ms(self._choose_service_time(request))
+            await self._clock.sleep_ms(self._get_service_time_ms(request))
             self._ended_runs += 1
         finally:
             self._in_use -= 1
@@ -239,7 +239,7 @@
         )
         return encode_answer(answer, status=self.settings.status)
 
-    def _begin(self, request_id: str, body: bytes) -> None:
+    def _record_start(self, request_id: str, body: bytes) -> None:
         if self._in_use >= self.settings.slots:
             self._overloads += 1
         self._in_use += 1
@@ -248,7 +248,7 @@
         run = RunRecord(request_id=request_id, body=body, started_ms=started_ms)
         self._runs.append(run)
 
-    def _choose_service_time(self, request: HttpRequest) -> float:
+    def _get_service_time_ms(self, request: HttpRequest) -> float:
         try:
             value = request.parse_json()
         except ValueError:
@@ -258,11 +258,11 @@
             return float(own)
         return self.settings.service_time_ms
 
-    def _obey(self, request: HttpRequest) -> HttpResponse:
-        order = (request.method, request.path)
-        if order == ("GET", "/records"):
+    def _handle_control(self, request: HttpRequest) -> HttpResponse:
+        route = (request.method, request.path)
+        if route == ("GET", "/records"):
             return encode_answer(self.records)
-        if order == ("PUT", "/settings"):
+        if route == ("PUT", "/settings"):
             self.settings = decode_body(request, ExecutorSettings)
             return encode_answer(self.settings)
         raise RefusalError(status=404, error="not_found")
--- a/trefoilhook/standins/faults.py
+++ b/trefoilhook/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in shows when told to."""
+"""Injectable faults of stand-ins."""
 
 import enum
 
@@ -11,7 +11,7 @@
 
 
 class Availability(enum.Enum):
-    """How a stand-in takes connections and calls."""
+    """Availability of a stand-in."""
 
     UP = "up"
     REFUSING = "refusing"
@@ -20,20 +20,20 @@
 
 @attrs.frozen(kw_only=True)
 class FaultSettings:
-    """The faults in force.
+    """Faults of a stand-in.
 
     Parameters
     ----------
     availability : Availability, optional
-        Up; refusing connections; or taking calls without ever answering.
+        Up; refusing connections; or accepting calls without ever responding.
     delay_ms : float, optional
-        Added before each call is carried out, in ms.
+        Delay before each call is executed, in ms.
     lost_answers : int, optional
-        How many of the next calls are carried out and then not answered.
+        Number of subsequent calls that are executed and then left without a response.
     lost_kind : str, optional
-        Only calls of this kind lose their answer; ``any`` for all.
+        Kind of the calls that lose their response; ``any`` for all.
     silent_watches : int, optional
-        How many of the next watches never answer, while other calls do.
+        Number of subsequent watches that never respond; other calls are unaffected.
     """
 
     availability: Availability = Availability.UP
@@ -44,7 +44,7 @@
 
 
 class FaultSwitch:
-    """Holds the faults in force and wakes what waits for a change of them."""
+    """Holds the active faults and notifies waiting tasks of changes."""
 
     def __init__(self) -> None:
         self._settings = FaultSettings()
@@ -52,22 +52,22 @@
 
     @property
     def settings(self) -> FaultSettings:
-        """The faults in force."""
+        """The active faults."""
         return self._settings
 
     def set(self, settings: FaultSettings) -> None:
-        """Put other faults in force, from now on."""
+        """Change the active faults from now on."""
         self._settings = settings
         changed = self._changed
         self._changed = trio.Event()
         changed.set()
 
     async def wait_change(self) -> None:
-        """Wait until other faults are put in force."""
+        """Wait until the active faults change."""
         await self._changed.wait()
 
-    def take_lost_answer(self, kind: str) -> bool:
-        """Tell whether the answer to a call of ``kind`` is to be lost; counts it."""
+    def consume_lost_answer(self, kind: str) -> bool:
+        """Return whether to lose the response to a call, and count it if so."""
         settings = self._settings
         if settings.lost_answers <= 0 or settings.lost_kind not in (ANY_CALL, kind):
             return False
@@ -75,8 +75,8 @@
         self._settings = attrs.evolve(settings, lost_answers=left)
         return True
 
-    def take_silent_watch(self) -> bool:
-        """Tell whether a new watch is to be silent; counts it."""
+    def consume_silent_watch(self) -> bool:
+        """Return whether a new watch must not respond, and count it if so."""
         left = self._settings.silent_watches - 1
         if left < 0:
             return False
--- a/trefoilhook/standins/instances.py
+++ b/trefoilhook/standins/instances.py
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class InstanceLists:
-    """The truth that the list tells with a lag.
+    """Current instances, which the instance list reports with a lag.
 
     Parameters
     ----------
@@ -58,28 +58,28 @@
     lists: InstanceLists
 
 
-def name_list_call(request: HttpRequest) -> str:
-    """Name the kind of a call to the instance list."""
+def get_list_call_kind(request: HttpRequest) -> str:
+    """Return the kind of a call to the instance list."""
     return request.path.removeprefix("/v1/")
 
 
 class InstanceListStandin:
-    """An instance list that lags.
+    """Instance list that reports changes with a lag.
 
     Parameters
     ----------
     clock : Clock
-        Its time.
+        Clock for the lag.
     lag_ms : float, optional
-        How far behind the truth it is, in ms.
+        Delay until a change is reported, in ms.
     lists : InstanceLists, optional
-        The truth at the start, which it has always told.
+        Initial instances, reported without a lag.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port for calls; 0 takes a free one.
+        Port for calls; 0 selects a free one.
     control_port : int, optional
-        Port for orders; 0 takes a free one.
+        Port for control requests; 0 selects a free one.
     """
 
     def __init__(
@@ -98,26 +98,26 @@
         self.lag_ms = lag_ms
         self.server = FaultyServer(
             handler=self._handle,
-            name_call=name_list_call,
+            get_call_kind=get_list_call_kind,
             clock=clock,
             host=host,
             port=port,
-            control=self._obey,
+            control=self._handle_control,
             control_port=control_port,
         )
 
     @property
     def faults(self) -> FaultSwitch:
-        """Switch of the faults that every stand-in knows."""
+        """Faults common to all stand-ins."""
         return self.server.faults
 
     @property
     def lists(self) -> InstanceLists:
-        """The truth now."""
+        """Current instances."""
         return self._versions[-1].lists
 
     def change(self, lists: InstanceLists) -> None:
-        """Let another truth hold from now on."""
+        """Replace the current instances."""
         since_ms = self._clock.monotonic_ms()
         self._versions.append(_Version(since_ms=since_ms, lists=lists))
 
@@ -125,49 +125,49 @@
         """Change the state of one executor or worker."""
         self.change(
             InstanceLists(
-                executors=_change_executor(self.lists.executors, instance_id, state),
-                workers=_change_worker(self.lists.workers, instance_id, state),
+                executors=_set_executor_state(self.lists.executors, instance_id, state),
+                workers=_set_worker_state(self.lists.workers, instance_id, state),
             )
         )
 
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; reports the port for calls."""
+        """Serve until cancelled; the start value is the port for calls."""
         await self.server.run(task_status=task_status)
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         if (request.method, request.path) != ("GET", "/v1/instances"):
             raise RefusalError(status=404, error="not_found")
-        lists = self._find_told()
+        lists = self._find_reported_lists()
         page = BackendPage(
             executors=lists.executors, workers=lists.workers, age_ms=self.lag_ms
         )
         return encode_answer(page)
 
-    def _find_told(self) -> InstanceLists:
+    def _find_reported_lists(self) -> InstanceLists:
         as_of_ms = self._clock.monotonic_ms() - self.lag_ms
-        told = self._versions[0]
+        reported = self._versions[0]
         for version in self._versions:
             if version.since_ms <= as_of_ms:
-                told = version
-        return told.lists
+                reported = version
+        return reported.lists
 
-    def _obey(self, request: HttpRequest) -> HttpResponse:
-        order = (request.method, request.path)
-        if order == ("PUT", "/lists"):
+    def _handle_control(self, request: HttpRequest) -> HttpResponse:
+        route = (request.method, request.path)
+        if route == ("PUT", "/lists"):
             self.change(decode_body(request, InstanceLists))
-        elif order == ("PUT", "/state"):
+        elif route == ("PUT", "/state"):
             change = decode_body(request, _StateOrder)
             self.set_state(change.instance_id, change.state)
-        elif order == ("PUT", "/lag"):
+        elif route == ("PUT", "/lag"):
             self.lag_ms = decode_body(request, _LagOrder).lag_ms
-        elif order != ("GET", "/lists"):
+        elif route != ("GET", "/lists"):
             raise RefusalError(status=404, error="not_found")
         return encode_answer(self.lists)
 
 
-def _change_executor(
+def _set_executor_state(
     records: Iterable[ExecutorRecord], instance_id: str, state: InstanceState
 ) -> tuple[ExecutorRecord, ...]:
     return tuple(
@@ -178,7 +178,7 @@
     )
 
 
-def _change_worker(
+def _set_worker_state(
     records: Iterable[WorkerRecord], instance_id: str, state: InstanceState
 ) -> tuple[WorkerRecord, ...]:
     return tuple(
--- a/trefoilhook/standins/platform_advice.py
+++ b/trefoilhook/standins/platform_advice.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' service that tells which workers a step may run on."""
+"""Stand-in for the users' service that decides which workers may run a step."""
 
 from collections.abc import Collection
 
@@ -8,7 +8,7 @@
 
 
 class PlatformAdvice:
-    """The service; it allows the same workers for every step.
+    """Advice service that allows the same workers for every step.
 
     Parameters
     ----------
@@ -18,18 +18,18 @@
     Attributes
     ----------
     asked : list of (str, tuple of str)
-        Steps and workers it was asked about.
+        Steps and workers of the requests received.
     is_busy : bool
-        Whether it turns calls away.
+        Whether it rejects calls with status 429.
     """
 
     def __init__(self, *, allowed: Collection[str]) -> None:
         self._allowed = allowed
         self.asked: list[tuple[str, tuple[str, ...]]] = []
         self.is_busy = False
-        self.server = HttpServer(handler=self._answer, host="127.0.0.1", port=0)
+        self.server = HttpServer(handler=self._handle_request, host="127.0.0.1", port=0)
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, request: HttpRequest) -> HttpResponse:
         if request.path != "/trefoilhook/advise":
             return HttpResponse(status=404)
         body = request.parse_json()
--- a/trefoilhook/standins/platform_documents.py
+++ b/trefoilhook/standins/platform_documents.py
@@ -1,4 +1,4 @@
-"""What the users' operator and platform write: configurations and settings files."""
+"""Configurations and settings files as written by the users' operator and platform."""
 
 from typing import Any
 
--- a/trefoilhook/standins/platform_foreign.py
+++ b/trefoilhook/standins/platform_foreign.py
@@ -1,4 +1,4 @@
-"""Entries that look like a worker's and are another writer's."""
+"""Invalid worker entries, as left by other writers."""
 
 import json
 from typing import Any
@@ -6,16 +6,16 @@
 __all__ = ["NESTED", "build_foreign_entries"]
 
 NESTED = b"[" * 100_000
-"""Nested more deeply than Python's parser follows."""
+"""JSON nested too deeply for Python's parser."""
 
 
 def build_foreign_entries(entry: dict[str, Any]) -> list[bytes]:
-    """Build entries that are a worker's but for one fault each, and some that aren't.
+    """Build worker entries with one defect each, and values that are no entries.
 
     Parameters
     ----------
     entry : dict
-        A sound entry of a worker that can be reached.
+        A valid entry of a reachable worker.
     """
     no_state = {name: value for name, value in entry.items() if name != "state"}
     host = entry["address"].partition(":")[0]
--- a/trefoilhook/standins/platform_store.py
+++ b/trefoilhook/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the users' platform's key-value store."""
+"""Stand-in for the key-value store of the users' platform."""
 
 import base64
 import enum
@@ -18,7 +18,7 @@
 
 
 class StoreFault(enum.Enum):
-    """How the store misbehaves."""
+    """Faults of the store."""
 
     NONE = "none"
     BUSY = "busy"
@@ -41,21 +41,21 @@
 
 
 class PlatformStore:
-    """The store, with faults that a test switches on.
+    """Key-value store with injectable faults.
 
     Parameters
     ----------
     clock : Clock
-        Where time comes from.
+        Source of time.
 
     Attributes
     ----------
     fault : StoreFault
-        How it misbehaves now.
+        Active fault.
     unreadable_prefix : str or None
-        Reads of keys under this prefix are answered with status 503.
+        Reads of keys under this prefix fail with status 503.
     calls : int
-        Calls received.
+        Number of calls received.
     """
 
     def __init__(self, *, clock: Clock) -> None:
@@ -63,22 +63,22 @@
         self._items: dict[str, _Item] = {}
         self._leases: dict[int, _Lease] = {}
         self._history: list[dict[str, Any]] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._revision = 10
         self._changed = trio.Event()
         self.fault = StoreFault.NONE
         self.unreadable_prefix: str | None = None
         self.calls = 0
-        self.server = HttpServer(handler=self._answer, host="127.0.0.1", port=0)
+        self.server = HttpServer(handler=self._handle_request, host="127.0.0.1", port=0)
 
-    # What a test or an operator does.
+    # Operations for tests.
 
     def write(self, key: str, value: Any) -> None:
-        """Write a key, as the operator or a worker would."""
+        """Write a value as JSON, as the operator or a worker would."""
         self.write_bytes(key, json.dumps(value).encode())
 
     def write_bytes(self, key: str, data: bytes) -> None:
-        """Write a key, as a writer would that follows no format."""
+        """Write raw bytes, which need not be a valid value."""
         self._put(key, base64.b64encode(data).decode(), 0)
 
     def remove(self, key: str) -> None:
@@ -88,25 +88,25 @@
             self._remove(key)
 
     def read(self, key: str) -> Any:
-        """Return what stands at a key; None when there is none."""
+        """Return the value of a key; None if it does not exist."""
         item = self._items.get(key)
         return json.loads(base64.b64decode(item.value)) if item is not None else None
 
     def list_keys(self, prefix: str) -> list[str]:
-        """Return the keys under a prefix."""
-        self._expire()
+        """Return the keys under a prefix in order."""
+        self._remove_expired_leases()
         return sorted(key for key in self._items if key.startswith(prefix))
 
     def forget_history(self) -> None:
-        """Drop the changes that watches could still ask for."""
-        self._forgotten = self._revision
+        """Compact the history: watches from earlier revisions fail."""
+        self._compacted_revision = self._revision
         self._history.clear()
 
-    # What instances ask for.
+    # Requests of instances.
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, request: HttpRequest) -> HttpResponse:
         self.calls += 1
-        self._expire()
+        self._remove_expired_leases()
         if self.fault is StoreFault.BUSY:
             return HttpResponse(status=503)
         if self.fault is StoreFault.SILENT:
@@ -144,10 +144,10 @@
             held.ends_ms = self._clock.monotonic_ms() + held.ttl_ms
             return HttpResponse.from_json({"ttl_ms": held.ttl_ms})
         self._leases[int(lease)].ends_ms = float("-inf")
-        self._expire()
+        self._remove_expired_leases()
         return HttpResponse.from_json({})
 
-    def _show(self, key: str) -> dict[str, Any]:
+    def _describe_item(self, key: str) -> dict[str, Any]:
         item = self._items[key]
         return {
             "key": key,
@@ -160,18 +160,20 @@
     def _get(self, key: str) -> HttpResponse:
         if key not in self._items:
             return HttpResponse(status=404)
-        return HttpResponse.from_json({**self._show(key), "as_of": self._revision})
+        return HttpResponse.from_json(
+            {**self._describe_item(key), "as_of": self._revision}
+        )
 
     def _range(self, query: dict[str, str]) -> HttpResponse:
-        found = [
+        keys = [
             key
             for key in sorted(self._items)
             if key.startswith(query["prefix"]) and key > query.get("after", "")
         ]
         return HttpResponse.from_json(
             {
-                "items": [self._show(key) for key in found[:_PAGE_ITEMS]],
-                "has_more": len(found) > _PAGE_ITEMS,
+                "items": [self._describe_item(key) for key in keys[:_PAGE_ITEMS]],
+                "has_more": len(keys) > _PAGE_ITEMS,
                 "as_of": self._revision,
             }
         )
@@ -180,7 +182,7 @@
         after = int(query["after"])
         with trio.move_on_after(int(query["wait_ms"]) / 1000.0):
             while True:
-                if after < self._forgotten:
+                if after < self._compacted_revision:
                     return HttpResponse(status=410)
                 events = [
                     event
@@ -191,7 +193,7 @@
                 if events:
                     break
                 await self._changed.wait()
-        if after < self._forgotten:
+        if after < self._compacted_revision:
             return HttpResponse(status=410)
         events = [
             event
@@ -207,8 +209,12 @@
         if any(put.get("lease", 0) not in {0, *self._leases} for put in body["puts"]):
             return HttpResponse(status=404)
         expected = body["precondition"]
-        if any(self._find(row["key"]) != row["revision"] for row in expected):
-            items = [self._show(r["key"]) for r in expected if r["key"] in self._items]
+        if any(self._get_revision(row["key"]) != row["revision"] for row in expected):
+            items = [
+                self._describe_item(r["key"])
+                for r in expected
+                if r["key"] in self._items
+            ]
             return HttpResponse.from_json({"items": items}, status=412)
         self._revision += 1
         for put in body["puts"]:
@@ -216,10 +222,10 @@
         for key in body["remove"]:
             if key in self._items:
                 self._remove(key)
-        self._tell()
+        self._notify_watches()
         return HttpResponse.from_json({"revision": self._revision})
 
-    def _find(self, key: str) -> int:
+    def _get_revision(self, key: str) -> int:
         return self._items[key].revision if key in self._items else 0
 
     def _grant(self, ttl_ms: float) -> HttpResponse:
@@ -232,7 +238,7 @@
     def _put(self, key: str, value: str, lease: int) -> None:
         self._revision += 1
         self._store(key, value, lease)
-        self._tell()
+        self._notify_watches()
 
     def _store(self, key: str, value: str, lease: int) -> None:
         known = self._items.get(key)
@@ -242,18 +248,18 @@
             created=known.created if known is not None else self._revision,
             lease=lease,
         )
-        self._history.append(self._show(key))
+        self._history.append(self._describe_item(key))
 
     def _remove(self, key: str) -> None:
         del self._items[key]
         self._history.append({"key": key, "revision": self._revision, "deleted": True})
-        self._tell()
+        self._notify_watches()
 
-    def _tell(self) -> None:
+    def _notify_watches(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
-    def _expire(self) -> None:
+    def _remove_expired_leases(self) -> None:
         now_ms = self._clock.monotonic_ms()
         for lease, held in list(self._leases.items()):
             if held.ends_ms > now_ms:
@@ -264,12 +270,15 @@
                 self._remove(key)
 
     async def expire_leases(self) -> None:
-        """End leases as their time comes, for good; they pause while it is away."""
+        """Expire leases until cancelled.
+
+        Leases are suspended while the store is unavailable.
+        """
         while True:
-            began_ms = self._clock.monotonic_ms()
+            started_ms = self._clock.monotonic_ms()
             await self._clock.sleep_ms(20.0)
             if self.fault in (StoreFault.BUSY, StoreFault.SILENT):
-                away_ms = self._clock.monotonic_ms() - began_ms
+                unavailable_ms = self._clock.monotonic_ms() - started_ms
                 for lease in self._leases.values():
-                    lease.ends_ms += away_ms
-            self._expire()
+                    lease.ends_ms += unavailable_ms
+            self._remove_expired_leases()
--- a/trefoilhook/standins/platform_worker.py
+++ b/trefoilhook/standins/platform_worker.py
@@ -1,4 +1,4 @@
-"""Stand-in of a worker of the users' platform: tasks that take their time."""
+"""Stand-in for a worker of the users' platform."""
 
 import enum
 import math
@@ -15,7 +15,7 @@
 
 
 class WorkerFault(enum.Enum):
-    """How the worker misbehaves."""
+    """Faults of the worker."""
 
     NONE = "none"
     SILENT = "silent"
@@ -25,26 +25,26 @@
 
 @attrs.define(kw_only=True)
 class TaskRecord:
-    """One run of a task.
+    """Record of a task run.
 
     Parameters
     ----------
     task : str
-        Its name.
+        Name of the task.
     attempt : int
-        Number of the attempt.
+        Attempt number.
     token : int
-        Fencing token of the order.
+        Fencing token of the start request.
     started_ms : float
-        When it started, in ms.
+        Start time, in ms.
     ended_ms : float or None
-        When it ended, in ms.
+        End time, in ms; None while the task runs.
     how : str
-        How it ended.
+        Outcome of the run.
     checkpoint : str
-        Where it began.
+        Checkpoint from which it was started.
     acknowledged : bool
-        Whether its end was acknowledged.
+        Whether the end was acknowledged.
     """
 
     task: str
@@ -58,46 +58,46 @@
 
 
 class PlatformWorker:
-    """One life of a worker.
+    """Worker of the users' platform, from its start until it is powered off.
 
     Parameters
     ----------
     worker_id : str
-        Its id.
+        Id of the worker.
     clock : Clock
-        Where time comes from.
+        Source of time.
     task_ms : float
-        Time of each task, in ms.
-    rate : float, optional
-        How fast its own clock runs, by which it judges deadlines.
+        Run time of each task, in ms.
+    clock_rate : float, optional
+        Rate of its local clock, which it uses for deadlines.
     checks_token : bool, optional
-        Whether it refuses calls with a lower fencing token than it has seen.
+        Whether it refuses calls with a lower fencing token than a previous one.
     failure_domain : str, optional
-        Failure domain that its entry reports.
+        Failure domain given in its entry.
     port : int, optional
-        Where it takes orders; 0 takes a free port.
+        Port to listen on; 0 selects a free one.
     crashes : mapping of str to float, optional
-        Tasks that crash the worker, by the beginning of their names, and the time from
-        their start to the crash, in ms.
+        Name prefixes of tasks that crash the worker, and the delay from their start to
+        the crash, in ms.
     on_crash : callable, optional
-        Called once a task has crashed the worker, to end its process.
+        Called after a task has crashed the worker.
 
     Attributes
     ----------
     records : list of TaskRecord
-        Every run, in order.
+        All task runs, in order.
     fault : WorkerFault
-        How it misbehaves now.
+        Active fault.
     late_ms : float
-        How much later a late start is carried out, in ms.
+        Delay of starts under the fault LATE_STARTS, in ms.
     calls : int
-        Calls received.
+        Number of calls received.
     capacity : dict of str to int
-        What it has, as it reports it.
+        Reported capacity.
     odd_running, odd_ends : list
-        Rows of another format, put before those that it lists.
+        Malformed rows, placed before the valid ones in responses.
     words : dict of str to str
-        What it says in place of a word for how a task ended.
+        Replacements for reported task outcomes.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         worker_id: str,
         clock: Clock,
         task_ms: float,
-        rate: float = 1.0,
+        clock_rate: float = 1.0,
         checks_token: bool = True,
         failure_domain: str = "z",
         port: int = 0,
@@ -115,17 +115,17 @@
     ) -> None:
         self._crashes = crashes if crashes is not None else {}
         self._on_crash = on_crash
-        self._rate = rate
+        self._clock_rate = clock_rate
         self._checks_token = checks_token
         self.worker_id = worker_id
         self.failure_domain = failure_domain
         self._clock = clock
         self._task_ms = task_ms
-        self._token = 0
+        self._highest_token = 0
         self._deadline_ms = 0.0
-        self._ends: list[tuple[int, TaskRecord]] = []
-        self._count = 0
-        self._forbidden: dict[str, int] = {}
+        self._unacknowledged_ends: list[tuple[int, TaskRecord]] = []
+        self._end_count = 0
+        self._settled_attempts: dict[str, int] = {}
         self._changed = trio.Event()
         self._nursery: trio.Nursery | None = None
         self.records: list[TaskRecord] = []
@@ -133,24 +133,26 @@
         self.late_ms = 600.0
         self.capacity = {"cpu": 4000, "mem_mb": 8000, "gpu": 0}
         self.calls = 0
-        self._is_off = False
+        self._is_powered_off = False
         self.odd_running: list[Any] = []
         self.odd_ends: list[Any] = []
         self.words: dict[str, str] = {}
-        self.server = HttpServer(handler=self._answer, host="127.0.0.1", port=port)
+        self.server = HttpServer(
+            handler=self._handle_request, host="127.0.0.1", port=port
+        )
 
-    def _read_own_clock(self) -> float:
-        return self._clock.monotonic_ms() * self._rate
+    def _read_local_clock(self) -> float:
+        return self._clock.monotonic_ms() * self._clock_rate
 
     def describe(self, service: str, *, port: int | None = None) -> dict[str, Any]:
-        """Return the entry that the worker keeps in the store.
+        """Return the entry of the worker in the store.
 
         Parameters
         ----------
         service : str
-            The service whose tasks it runs.
+            Service whose tasks it runs.
         port : int, optional
-            Where it takes orders, if something stands in between.
+            Port to report, if a proxy is placed in front of the worker.
         """
         return {
             "service": service,
@@ -162,7 +164,7 @@
             "cold_left_ms": 0,
             "capacity": dict(self.capacity),
             "labels": ["a", "r1"],
-            "clock_ms": int(self._read_own_clock()),
+            "clock_ms": int(self._read_local_clock()),
             "sequence": 1,
         }
 
@@ -184,19 +186,19 @@
     def _advance(self) -> None:
         now_ms = self._clock.monotonic_ms()
         for record in self._list_running():
-            if now_ms - record.started_ms >= self._find_crash(record.task):
+            if now_ms - record.started_ms >= self._get_crash_delay_ms(record.task):
                 self.power_off()
                 if self._on_crash is not None:
                     self._on_crash()
                 return
-            if self._read_own_clock() > self._deadline_ms:
+            if self._read_local_clock() > self._deadline_ms:
                 self._end(record, "lapsed")
             elif now_ms - record.started_ms >= self._task_ms:
                 fails = self.fault is WorkerFault.FAILS_TASKS
                 self._end(record, "failed" if fails else "done")
 
-    def _find_crash(self, task: str) -> float:
-        """Return how long after its start a task crashes the worker, in ms."""
+    def _get_crash_delay_ms(self, task: str) -> float:
+        """Return the delay from a task's start until it crashes the worker, in ms."""
         return min(
             (ms for name, ms in self._crashes.items() if task.startswith(name)),
             default=math.inf,
@@ -205,51 +207,51 @@
     def _end(self, record: TaskRecord, how: str) -> None:
         record.ended_ms = self._clock.monotonic_ms()
         record.how = how
-        self._count += 1
-        self._ends.append((self._count, record))
-        self._forbid(record.task, record.attempt)
+        self._end_count += 1
+        self._unacknowledged_ends.append((self._end_count, record))
+        self._settle_attempt(record.task, record.attempt)
         self._changed.set()
         self._changed = trio.Event()
 
-    def _forbid(self, task: str, attempt: int) -> None:
-        self._forbidden[task] = max(self._forbidden.get(task, 0), attempt)
+    def _settle_attempt(self, task: str, attempt: int) -> None:
+        self._settled_attempts[task] = max(self._settled_attempts.get(task, 0), attempt)
 
     def crash(self) -> None:
-        """End all that runs; nothing of it is listed any more."""
+        """Record all running tasks as crashed; they are no longer reported."""
         for record in self._list_running():
             record.ended_ms = self._clock.monotonic_ms()
             record.how = "crashed"
 
     def power_off(self) -> None:
-        """End all that runs, and answer no call any more.
+        """Crash the worker; it no longer responds to calls.
 
-        A call that had arrived goes on until it next waits: without a mark it would
-        start a task on a worker that is gone.
+        A call in progress continues until its next await, and must not start a task on
+        the crashed worker; the flag set here prevents that.
         """
-        self._is_off = True
+        self._is_powered_off = True
         self.crash()
 
-    async def _answer(self, request: HttpRequest) -> HttpResponse:
+    async def _handle_request(self, request: HttpRequest) -> HttpResponse:
         self.calls += 1
-        await self._keep_silent()
-        response = await self._carry_out(request)
-        # What was asked before the silence began isn't answered in it either.
-        await self._keep_silent()
+        await self._block_while_silent()
+        response = await self._dispatch(request)
+        # A call that arrived before the fault was set must not be answered either.
+        await self._block_while_silent()
         return response
 
-    async def _keep_silent(self) -> None:
+    async def _block_while_silent(self) -> None:
         if self.fault is WorkerFault.SILENT:
             await trio.sleep_forever()
 
-    async def _carry_out(self, request: HttpRequest) -> HttpResponse:
-        if self._is_off:
+    async def _dispatch(self, request: HttpRequest) -> HttpResponse:
+        if self._is_powered_off:
             raise trio.BrokenResourceError
         if request.get_header("expect-instance") != self.worker_id:
             return HttpResponse(status=421)
         body = request.parse_json()
         if self._is_fenced(body):
             return self._refuse("fence")
-        self._token = max(self._token, body["fencing_token"])
+        self._highest_token = max(self._highest_token, body["fencing_token"])
         name = request.path.removeprefix("/trefoilhook/")
         if name == "run-start":
             if self.fault is WorkerFault.LATE_STARTS:
@@ -262,15 +264,15 @@
         return self._reply({})
 
     def _is_fenced(self, body: dict[str, Any]) -> bool:
-        """Tell whether a call comes from an earlier owner than one seen."""
-        return self._checks_token and body["fencing_token"] < self._token
+        """Return whether a call comes from a superseded owner."""
+        return self._checks_token and body["fencing_token"] < self._highest_token
 
     async def _start_late(self, body: dict[str, Any]) -> None:
         if self._nursery is not None:
-            self._nursery.start_soon(self._start_after, body)
+            self._nursery.start_soon(self._start_delayed, body)
         raise trio.BrokenResourceError
 
-    async def _start_after(self, body: dict[str, Any]) -> None:
+    async def _start_delayed(self, body: dict[str, Any]) -> None:
         await self._clock.sleep_ms(self.late_ms)
         if not self._is_fenced(body):
             self._start(body)
@@ -282,9 +284,9 @@
         for record in self._list_running():
             if (record.task, record.attempt) == (task, attempt):
                 return self._reply({})
-        if attempt <= self._forbidden.get(task, 0):
+        if attempt <= self._settled_attempts.get(task, 0):
             return self._refuse("old")
-        if self._read_own_clock() > body["deadline_ms"]:
+        if self._read_local_clock() > body["deadline_ms"]:
             return self._refuse("late")
         self.records.append(
             TaskRecord(
@@ -301,21 +303,23 @@
         for record in self._list_running():
             if (record.task, record.attempt) == (body["task"], body["attempt"]):
                 self._end(record, "stopped")
-        self._forbid(body["task"], body["attempt"])
+        self._settle_attempt(body["task"], body["attempt"])
         return self._reply({})
 
     async def _hold(self, body: dict[str, Any]) -> HttpResponse:
         self._deadline_ms = max(self._deadline_ms, body.get("deadline_ms", 0))
-        for number, record in self._ends:
+        for number, record in self._unacknowledged_ends:
             record.acknowledged = record.acknowledged or number <= body["acked"]
-        self._ends = [end for end in self._ends if end[0] > body["acked"]]
+        self._unacknowledged_ends = [
+            end for end in self._unacknowledged_ends if end[0] > body["acked"]
+        ]
         with trio.move_on_after(body.get("wait_ms", 0) / 1000.0):
-            while not self._ends:
+            while not self._unacknowledged_ends:
                 await self._changed.wait()
         running = [[r.task, r.attempt, "", 10, 0] for r in self._list_running()]
         ends = [
             [n, r.task, r.attempt, self.words.get(r.how, r.how), ""]
-            for n, r in self._ends
+            for n, r in self._unacknowledged_ends
         ]
         return self._reply(
             {
@@ -325,9 +329,9 @@
         )
 
     def _reply(self, value: dict[str, Any]) -> HttpResponse:
-        value["clock_ms"] = int(self._read_own_clock())
+        value["clock_ms"] = int(self._read_local_clock())
         return HttpResponse.from_json(value)
 
     def _refuse(self, reason: str) -> HttpResponse:
-        value = {"clock_ms": int(self._read_own_clock()), "reason": reason}
+        value = {"clock_ms": int(self._read_local_clock()), "reason": reason}
         return HttpResponse.from_json(value, status=409)
--- a/trefoilhook/standins/store.py
+++ b/trefoilhook/standins/store.py
@@ -29,15 +29,15 @@
 
 @attrs.frozen(kw_only=True)
 class CallCounts:
-    """Calls that a store has taken, by kind.
+    """Numbers of calls to a store.
 
     Parameters
     ----------
     calls : dict of str to int
-        Calls of each kind, those refused for the rate included; a watch counts as one
-        however long it waits.
+        Calls by kind, including those refused by the rate limit. A watch is a single
+        call however long it waits.
     refused_calls : int
-        Calls refused for the rate.
+        Calls refused by the rate limit.
     """
 
     calls: dict[str, int]
@@ -67,8 +67,8 @@
     revision: int
 
 
-def name_store_call(request: HttpRequest) -> str:
-    """Name the kind of a call to the store."""
+def get_store_call_kind(request: HttpRequest) -> str:
+    """Return the kind of a call to the store."""
     names = {
         ("GET", "/v1/entry"): "get",
         ("GET", "/v1/entries"): "list",
@@ -85,22 +85,22 @@
 
 
 class StoreStandin:
-    """A store that tests can put at fault.
+    """Store with injectable faults.
 
     Parameters
     ----------
     clock : Clock
-        Its time; leases lapse on it also while the store is down.
+        Clock of the store; leases also expire while the store is unavailable.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port for calls; 0 takes a free one.
+        Port for calls; 0 selects a free one.
     control_port : int, optional
-        Port for orders; 0 takes a free one.
+        Port for control requests; 0 selects a free one.
     settings : StoreSettings, optional
-        What the store allows.
+        Limits of the store.
     token : str, optional
-        Bearer token that every call must carry; without one anybody may call.
+        Bearer token required on every call; by default none is required.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         self._token = token
         self._settings = settings or StoreSettings()
         self._changed = trio.Event()
-        self._silenced = trio.Event()
+        self._watches_silenced = trio.Event()
         self._expiry_scope = trio.CancelScope()
         self._state: StoreState | None = None
         self._calls: dict[str, _Call] = {
@@ -131,17 +131,17 @@
         }
         self.server = FaultyServer(
             handler=self._handle,
-            name_call=name_store_call,
+            get_call_kind=get_store_call_kind,
             clock=clock,
             host=host,
             port=port,
-            control=self._obey,
+            control=self._handle_control,
             control_port=control_port,
         )
 
     @property
     def state(self) -> StoreState:
-        """What the store holds; there once it runs."""
+        """Contents of the store; created on first access."""
         if self._state is None:
             self._state = StoreState(
                 settings=self._settings, monotonic_ms=self._clock.monotonic_ms
@@ -150,26 +150,26 @@
 
     @property
     def faults(self) -> FaultSwitch:
-        """Switch of the faults that every stand-in knows."""
+        """Faults common to all stand-ins."""
         return self.server.faults
 
     @property
     def counts(self) -> CallCounts:
-        """Calls taken so far."""
+        """Calls received so far."""
         return CallCounts(
             calls=dict(self.state.calls), refused_calls=self.state.refused_calls
         )
 
     def silence_watches(self) -> None:
-        """Let the watches that wait now never answer; new ones work."""
-        silenced = self._silenced
-        self._silenced = trio.Event()
+        """Leave pending watches without a response for good; new ones work."""
+        silenced = self._watches_silenced
+        self._watches_silenced = trio.Event()
         silenced.set()
 
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; reports the port for calls."""
+        """Serve until cancelled; the start value is the port for calls."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._expire_leases)
             await self.server.run(task_status=task_status)
@@ -196,7 +196,7 @@
                 changed.set()
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
-        kind = name_store_call(request)
+        kind = get_store_call_kind(request)
         call = self._calls.get(kind)
         if call is None:
             raise RefusalError(status=404, error="not_found")
@@ -206,8 +206,8 @@
         return await call(request)
 
     def _check_token(self, request: HttpRequest) -> None:
-        # Free ports are used again: a daemon of an earlier test run that still looks
-        # for its own store here would otherwise write into this one.
+        # Ports are reused: a daemon left over from an earlier test run could otherwise
+        # write to this store in place of its own.
         if self._token is None:
             return
         if request.get_header("authorization") != f"Bearer {self._token}":
@@ -252,12 +252,12 @@
         return encode_answer(_RevisionAnswer(revision=revision))
 
     async def _watch(self, request: HttpRequest) -> HttpResponse:
-        if self.faults.take_silent_watch():
+        if self.faults.consume_silent_watch():
             await trio.sleep_forever()
         prefix = request.query.get("prefix", "")
         after_revision = int(_read_number(request, "after_revision", default=0))
         wait_ms = min(_read_number(request, "wait_ms", default=0), _MAX_WAIT_MS)
-        silenced = self._silenced
+        silenced = self._watches_silenced
         batch = await self._wait_for_batch(prefix, after_revision, wait_ms)
         if silenced.is_set():
             await trio.sleep_forever()
@@ -277,11 +277,11 @@
             with trio.move_on_after(left_ms / _MS_PER_S):
                 await self._changed.wait()
 
-    def _obey(self, request: HttpRequest) -> HttpResponse:
-        order = (request.method, request.path)
-        if order == ("GET", "/counts"):
+    def _handle_control(self, request: HttpRequest) -> HttpResponse:
+        route = (request.method, request.path)
+        if route == ("GET", "/counts"):
             return encode_answer(self.counts)
-        if order == ("POST", "/silence-watches"):
+        if route == ("POST", "/silence-watches"):
             self.silence_watches()
             return encode_answer(self.counts)
         raise RefusalError(status=404, error="not_found")
--- a/trefoilhook/standins/store_state.py
+++ b/trefoilhook/standins/store_state.py
@@ -1,4 +1,4 @@
-"""What a store holds, without any input or output."""
+"""State of a simulated store, without any input or output."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -25,16 +25,16 @@
 
 @attrs.frozen(kw_only=True)
 class StoreSettings:
-    """What a store allows.
+    """Limits of a store.
 
     Parameters
     ----------
     writes_per_s : float, optional
-        Swaps and lease calls that it takes in a second.
+        Allowed swaps and lease calls per second.
     reads_per_s : float, optional
-        Gets, lists and watches that it takes in a second.
+        Allowed gets, lists and watches per second.
     history_events : int, optional
-        How many changes it remembers for watches.
+        Number of changes retained for watches.
     """
 
     writes_per_s: float = 400.0
@@ -44,7 +44,7 @@
 
 @attrs.define(kw_only=True)
 class _Bucket:
-    """A token bucket that holds one second's worth."""
+    """Token bucket with a capacity of one second's tokens."""
 
     rate_per_s: float
     tokens: float
@@ -80,14 +80,14 @@
 
 
 class StoreState:
-    """Keys, leases, history and call counts of one store.
+    """Keys, leases, history and call counts of a store.
 
     Parameters
     ----------
     settings : StoreSettings
-        What the store allows.
+        Limits of the store.
     monotonic_ms : callable
-        The store's time, in ms.
+        Returns the store's time, in ms.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         self._entries: dict[str, StoreEntry] = {}
         self._leases: dict[str, _HeldLease] = {}
         self._history: deque[_Change] = deque()
-        self._forgotten_revision = 0
+        self._compacted_revision = 0
         self._lease_count = 0
         self._writes = self._build_bucket(settings.writes_per_s)
         self._reads = self._build_bucket(settings.reads_per_s)
@@ -112,12 +112,12 @@
         )
 
     def count_call(self, kind: str, *, is_write: bool) -> None:
-        """Count one call.
+        """Count a call against the rate limit.
 
         Raises
         ------
         RefusalError
-            If it is above the store's rate.
+            If the call exceeds the rate limit.
         """
         self.calls[kind] += 1
         bucket = self._writes if is_write else self._reads
@@ -126,18 +126,18 @@
             raise RefusalError(status=429, error="rate_exceeded")
 
     def expire_leases(self) -> None:
-        """Delete the leases that have lapsed, with their keys."""
+        """Delete expired leases and their keys."""
         now_ms = self._now_ms()
-        lapsed = [
+        expired = [
             lease_id
             for lease_id, lease in self._leases.items()
             if lease.expires_at_ms <= now_ms
         ]
-        for lease_id in lapsed:
+        for lease_id in expired:
             self._drop_lease(lease_id)
 
     def find_next_expiry_ms(self) -> float | None:
-        """Return when the next lease lapses, in ms; None without a lease."""
+        """Return the time of the next lease expiry, in ms; None without a lease."""
         return min(
             (lease.expires_at_ms for lease in self._leases.values()), default=None
         )
@@ -147,7 +147,7 @@
         return self._entries.get(key)
 
     def list_entries(self, prefix: str, *, after_key: str, limit: int) -> StorePage:
-        """Return a page of entries by the order of their keys."""
+        """Return a page of entries in key order."""
         keys = sorted(
             key for key in self._entries if key.startswith(prefix) and key > after_key
         )
@@ -165,12 +165,12 @@
         )
 
     def swap(self, request: SwapRequest) -> int:
-        """Change a key if it is at the expected revision; return the new revision.
+        """Change a key if it has the expected revision; return the store's revision.
 
         Raises
         ------
         RefusalError
-            If it is not, the lease has lapsed, or the value is too large.
+            If the revision differs, the lease has expired or the value is too large.
         """
         if request.value is not None and len(request.value) > MAX_VALUE_BYTES:
             raise RefusalError(status=413, error="too_large")
@@ -199,20 +199,20 @@
         return Lease(lease_id=lease_id, ttl_ms=ttl_ms)
 
     def keep_alive(self, lease_id: str) -> int:
-        """Start a lease's time anew; return the revision."""
+        """Renew a lease; return the revision."""
         lease = self._find_lease(lease_id)
         lease.expires_at_ms = self._now_ms() + lease.ttl_ms
         return self.revision
 
     def revoke_lease(self, lease_id: str) -> int:
-        """End a lease; return the revision."""
+        """Revoke a lease; return the revision."""
         self._find_lease(lease_id)
         self._drop_lease(lease_id)
         return self.revision
 
     def read_changes(self, prefix: str, *, after_revision: int) -> WatchBatch | None:
-        """Return what changed under ``prefix`` since; None when nothing did."""
-        is_known = self._forgotten_revision <= after_revision <= self.revision
+        """Return changes under ``prefix`` since a revision; None if there are none."""
+        is_known = self._compacted_revision <= after_revision <= self.revision
         if not is_known:
             return WatchBatch(
                 entries=(), deleted=(), revision=self.revision, is_reset=True
@@ -280,4 +280,4 @@
         self.revision += 1
         self._history.append(_Change(key=key, revision=self.revision))
         if len(self._history) > self._settings.history_events:
-            self._forgotten_revision = self._history.popleft().revision
+            self._compacted_revision = self._history.popleft().revision
--- a/trefoilhook/standins/tests/test_cut.py
+++ b/trefoilhook/standins/tests/test_cut.py
@@ -1,4 +1,4 @@
-"""The TCP cut: silent connections, partitions and delays."""
+"""Tests of the fault-injecting TCP proxy."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 def run_with_cut(scenario) -> None:
-    """Run ``scenario`` against a server behind a cut, in virtual time."""
+    """Run ``scenario`` against a server behind the proxy, in virtual time."""
 
     async def answer(request: HttpRequest) -> HttpResponse:
         return HttpResponse(status=200, body=request.body)
@@ -35,9 +35,9 @@
 
 
 class TcpCutTest(unittest.TestCase):
-    """What passes and what does not."""
+    """Silent connections, partitions and delays."""
 
-    def test_forgotten_connection_is_silent_while_new_ones_work(self):
+    def test_forgotten_connection_is_silent_and_new_ones_work(self):
         async def scenario(cut: TcpCut, client: HttpClient) -> None:
             await client.send(_GET, timeout_ms=1_000)
             self.assertEqual(cut.forget_connections(), 1)
@@ -45,7 +45,7 @@
                 await client.send(_GET, timeout_ms=1_000)
             self.assertGreater(cut.dropped_bytes, 0)
             answer = await client.send(_GET, timeout_ms=1_000)
-            self.assertEqual((answer.status, cut.taken_connections), (200, 2))
+            self.assertEqual((answer.status, cut.accepted_connections), (200, 2))
 
         run_with_cut(scenario)
 
--- a/trefoilhook/standins/tests/test_executor.py
+++ b/trefoilhook/standins/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""Contract of executors, and what the stand-in counts."""
+"""Tests of the executor stand-in and its records."""
 
 import json
 import unittest
@@ -39,7 +39,7 @@
 
 
 def build_run(request_id: str, body: bytes = b"body") -> HttpRequest:
-    """Build the request that has ``body`` run."""
+    """Build a run request."""
     headers = (("x-request-id", request_id),)
     return HttpRequest(method="POST", target="/run", headers=headers, body=body)
 
@@ -47,7 +47,7 @@
 class ExecutorTest(unittest.TestCase):
     """Slots, connections, records and faults."""
 
-    def test_answer_is_checkable(self):
+    def test_check_answer(self):
         async def scenario(executor: ExecutorStandin, client: HttpClient) -> None:
             answer = await client.send(build_run("r1"))
             body = answer.body
@@ -58,7 +58,7 @@
 
         run_with_executor(scenario)
 
-    def test_overload_and_repetition_are_counted(self):
+    def test_overloads_and_repeated_requests_are_counted(self):
         # (requests at once, overloads, high water)
         for at_once, overloads in [(8, 0), (11, 3)]:
             with self.subTest(at_once=at_once):
@@ -98,7 +98,7 @@
 
         run_with_executor(scenario, service_time_ms=1_000.0)
 
-    def test_health_tells_slots_in_use(self):
+    def test_health_reports_slots_in_use(self):
         async def scenario(executor: ExecutorStandin, client: HttpClient) -> None:
             async with trio.open_nursery() as nursery:
                 body = json.dumps({"service_time_ms": 5_000}).encode()
--- a/trefoilhook/standins/tests/test_process.py
+++ b/trefoilhook/standins/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Each stand-in as a process of its own, and its orders over HTTP."""
+"""Tests of stand-ins as separate processes with control requests over HTTP."""
 
 import json
 import subprocess
@@ -10,16 +10,16 @@
 from trefoilhook.exceptions import NotSentError
 from trefoilhook.http import HttpClient, HttpRequest
 
-_START_S = 60
+_START_TIMEOUT_S = 60
 
 
 class ProcessTest(unittest.TestCase):
-    """Ports are told, orders obeyed, faults shown."""
+    """Reported ports, control requests and faults of each stand-in."""
 
-    def test_kinds(self):
-        # (kind, settings, a path for calls, orders and their bodies)
+    def test_standins(self):
+        # (kind, settings, path for calls, control requests with their bodies)
         state = {"instance_id": "e1", "state": "leaving"}
-        hole = {"worker_id": "w1", "is_black_hole": True}
+        black_hole = {"worker_id": "w1", "is_black_hole": True}
         store = [("GET", "/counts", None), ("POST", "/silence-watches", None)]
         instances = [
             ("GET", "/lists", None),
@@ -29,7 +29,7 @@
         ]
         worker = [
             ("GET", "/records", None),
-            ("PUT", "/settings", hole),
+            ("PUT", "/settings", black_hole),
             ("POST", "/lose-memory", None),
         ]
         executor = [
@@ -42,41 +42,41 @@
             ("worker", {"worker_id": "w1"}, "/v1/nothing", worker),
             ("executor", {"executor_id": "e1"}, "/health", executor),
         ]
-        for kind, settings, call, orders in table:
+        for kind, settings, call, control_requests in table:
             with self.subTest(kind=kind):
                 command = [sys.executable, "-m", "trefoilhook.standins", kind]
                 command += ["--settings", json.dumps(settings)]
                 with subprocess.Popen(command, stdout=subprocess.PIPE) as process:
                     try:
                         ports = json.loads(process.stdout.readline())
-                        trio.run(self._check, ports, call, orders)
+                        trio.run(self._check, ports, call, control_requests)
                     finally:
                         process.kill()
 
     async def _check(self, ports, call, table) -> None:
         calls = HttpClient(host="127.0.0.1", port=ports["port"])
-        orders = HttpClient(host="127.0.0.1", port=ports["control_port"])
-        with trio.fail_after(_START_S):
+        control = HttpClient(host="127.0.0.1", port=ports["control_port"])
+        with trio.fail_after(_START_TIMEOUT_S):
             answer = await calls.send(HttpRequest(method="GET", target=call))
             self.assertIn(answer.status, (200, 404, 405))
             for method, path, body in table:
                 data = json.dumps(body).encode() if body is not None else b""
-                order = HttpRequest(method=method, target=path, body=data)
-                self.assertEqual((await orders.send(order)).status, 200, msg=path)
+                request = HttpRequest(method=method, target=path, body=data)
+                self.assertEqual((await control.send(request)).status, 200, msg=path)
             unknown = HttpRequest(method="POST", target="/nothing")
-            self.assertEqual((await orders.send(unknown)).status, 404)
-            await self._set_faults(orders, availability="refusing")
+            self.assertEqual((await control.send(unknown)).status, 404)
+            await self._set_faults(control, availability="refusing")
             with self.assertRaises(NotSentError):
                 await calls.send(HttpRequest(method="GET", target=call))
-            await self._set_faults(orders, availability="up")
+            await self._set_faults(control, availability="up")
             await calls.send(HttpRequest(method="GET", target=call))
 
-    async def _set_faults(self, orders: HttpClient, **faults: object) -> None:
+    async def _set_faults(self, control: HttpClient, **faults: object) -> None:
         body = json.dumps(faults).encode()
         request = HttpRequest(method="PUT", target="/faults", body=body)
-        self.assertEqual((await orders.send(request)).status, 200)
+        self.assertEqual((await control.send(request)).status, 200)
 
-    def test_wrong_settings_are_refused(self):
+    def test_invalid_settings_are_rejected(self):
         command = [sys.executable, "-m", "trefoilhook.standins", "worker"]
         done = subprocess.run(command, capture_output=True, check=False)
         self.assertEqual(done.returncode, 2)
--- a/trefoilhook/standins/virtual.py
+++ b/trefoilhook/standins/virtual.py
@@ -1,8 +1,7 @@
-"""Store and links inside one process, without sockets, for tests on virtual time.
+"""In-process store and links without sockets, for tests on virtual time.
 
-They stand where ``StoreClient`` and ``InnerNode`` do. The store's behaviour is that of
-the store's stand-in; the links carry the real messages between the nodes of one test
-and can be cut.
+They replace ``StoreClient`` and ``InnerNode``. The store behaves as the HTTP stand-in;
+the links carry the protocol messages between the nodes of a test and can be cut.
 """
 
 from collections.abc import Awaitable, Callable, Iterable
@@ -46,18 +45,18 @@
 
 @attrs.define(kw_only=True)
 class VirtualStore:
-    """One store shared by the clients of a test.
+    """Store shared by the clients of a test.
 
     Parameters
     ----------
     clock : Clock
-        The test's time.
+        Clock of the test.
     settings : StoreSettings, optional
-        What the store allows.
+        Limits of the store.
     is_down : bool
-        No client reaches it.
+        Whether the store is unreachable for all clients.
     call_ms : float
-        Time of one call, in ms.
+        Duration of a call, in ms.
     """
 
     clock: Clock
@@ -78,7 +77,7 @@
         Raises
         ------
         StoreError
-            What the adapter would raise for the refusal.
+            The error that ``StoreClient`` raises for the refusal.
         """
         self.expire_leases()
         before = self.state.revision
@@ -88,15 +87,15 @@
         except RefusalError as refusal:
             raise _translate(refusal) from refusal
         finally:
-            self._announce(before)
+            self._notify_watches(before)
 
     def expire_leases(self) -> None:
-        """Delete the leases that have lapsed, with their keys."""
+        """Delete expired leases and their keys."""
         before = self.state.revision
         self.state.expire_leases()
-        self._announce(before)
+        self._notify_watches(before)
 
-    def _announce(self, before: int) -> None:
+    def _notify_watches(self, before: int) -> None:
         if self.state.revision != before:
             self.changed.set()
             self.changed = trio.Event()
@@ -105,32 +104,32 @@
 def _translate(refusal: RefusalError) -> StoreError:
     if refusal.status == 409:
         current = getattr(refusal.details, "current", None)
-        return ConflictError("another revision is current", current=current)
+        return ConflictError("key has another revision", current=current)
     if refusal.status == 404:
-        return LeaseLostError("the lease has lapsed")
+        return LeaseLostError("store lease has expired")
     if refusal.status == 429:
-        return StoreRateError("the store's rate is used up")
+        return StoreRateError("store rate limit exceeded")
     return StoreError(refusal.error)
 
 
 @attrs.define(kw_only=True)
 class VirtualStoreClient:
-    """One instance's way to the store.
+    """An instance's client for the store.
 
     Parameters
     ----------
     store : VirtualStore
-        The store.
+        Store to call.
     timeout_ms : float
-        Longest time for one call, in ms.
+        Timeout of a call, in ms.
     is_cut : bool
-        This instance alone does not reach it.
+        Whether the store is unreachable for this instance.
     answers_to_lose : int
-        Answers of changes that get lost after the effect.
+        Number of subsequent swaps that take effect but lose their response.
     is_watch_silent : bool
-        Watches wait for good.
+        Whether watches time out without a response.
     is_unsent : bool
-        A call that does not reach the store surely never left.
+        Whether calls that do not reach the store are known not to have been sent.
     """
 
     store: VirtualStore
@@ -161,7 +160,7 @@
         expected_revision: int,
         lease_id: str | None = None,
     ) -> int:
-        """Change a key if it is at the expected revision."""
+        """Change a key if it has the expected revision."""
         request = SwapRequest(
             key=key,
             value=value,
@@ -171,15 +170,15 @@
         return await self._call("swap", lambda state: state.swap(request))
 
     async def grant_lease(self, ttl_ms: float) -> Lease:
-        """Take a lease."""
+        """Request a lease."""
         return await self._call("grant", lambda state: state.grant_lease(ttl_ms))
 
     async def keep_alive(self, lease_id: str) -> int:
-        """Start a lease's time anew."""
+        """Renew a lease."""
         return await self._call("keep_alive", lambda state: state.keep_alive(lease_id))
 
     async def revoke_lease(self, lease_id: str) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         await self._call("revoke", lambda state: state.revoke_lease(lease_id))
 
     async def watch(
@@ -189,13 +188,14 @@
         deadline_ms = self.store.clock.monotonic_ms() + wait_ms
         await self._call("watch", lambda state: None)
         while True:
-            # Leases lapse without a call; the step is how late a watch sees that.
+            # Leases expire without a call; the step bounds the delay until a watch
+            # detects that.
             with trio.move_on_after(_WATCH_STEP_MS / 1000.0):
                 await self.store.changed.wait()
             self._check_reachable()
             if self.is_watch_silent:
                 await self.store.clock.sleep_ms(wait_ms + self.timeout_ms)
-                raise StoreUnavailableError("the watch is silent")
+                raise StoreUnavailableError("watch timed out without a response")
             self.store.expire_leases()
             state = self.store.state
             batch = state.read_changes(prefix, after_revision=after_revision)
@@ -209,12 +209,12 @@
         if self.store.is_down or self.is_cut:
             await self.store.clock.sleep_ms(self.timeout_ms)
             if self.is_unsent:
-                raise StoreUnsentError("the store is not reached")
+                raise StoreUnsentError("store is unreachable; request not sent")
             raise StoreUnavailableError("the store does not answer")
         result = self.store.apply(kind, change)
         if kind == "swap" and self.answers_to_lose:
             self.answers_to_lose -= 1
-            raise StoreUnavailableError("the answer was lost")
+            raise StoreUnavailableError("response from store was lost")
         return result
 
     def _check_reachable(self) -> None:
@@ -224,14 +224,14 @@
 
 @attrs.define(kw_only=True)
 class VirtualLinks:
-    """The network between the nodes of a test.
+    """Network between the nodes of a test.
 
     Parameters
     ----------
     clock : Clock
-        The test's time.
+        Clock of the test.
     delay_ms : float
-        Time of a message one way, in ms.
+        One-way delay of messages, in ms.
     """
 
     clock: Clock
@@ -240,32 +240,32 @@
     _cuts: set[frozenset[str]] = attrs.field(factory=set)
 
     def cut(self, one: str, other: str) -> None:
-        """Let no message pass between two instances."""
+        """Cut the link between two instances."""
         self._cuts.add(frozenset((one, other)))
 
     def isolate(self, instance_id: str) -> None:
-        """Let no message pass between an instance and any other."""
+        """Cut the links between an instance and all others."""
         for other in self.nodes:
             self.cut(instance_id, other)
 
     def heal(self) -> None:
-        """Let all messages pass again."""
+        """Restore all links."""
         self._cuts.clear()
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether messages pass between two instances."""
+        """Return whether the link between two instances is cut."""
         return frozenset((one, other)) in self._cuts
 
 
 class VirtualNode:
-    """One instance's links.
+    """Links of an instance.
 
     Parameters
     ----------
     instance_id : str
-        The instance.
+        Id of the instance.
     links : VirtualLinks
-        The network.
+        Network of the test.
     """
 
     def __init__(self, *, instance_id: str, links: VirtualLinks) -> None:
@@ -273,8 +273,8 @@
         self._links = links
         self._peers: set[str] = set()
         self._handlers: dict[type[Message], Callable[[Call], Awaitable[Message]]] = {}
-        self._read_heartbeat: Callable[[], Heartbeat] = Heartbeat
-        self._hear: Callable[[str, Heartbeat], None] = lambda sender, beat: None
+        self._heartbeat_source: Callable[[], Heartbeat] = Heartbeat
+        self._on_heartbeat: Callable[[str, Heartbeat], None] = lambda sender, beat: None
         self.is_dead = False
         links.nodes[instance_id] = self
 
@@ -283,23 +283,23 @@
         message_type: type[Message],
         handler: Callable[[Call], Awaitable[Message]],
     ) -> None:
-        """Let ``handler`` answer calls of a type."""
+        """Register the handler for calls of a message type."""
         self._handlers[message_type] = handler
 
     def set_heartbeat_source(self, source: Callable[[], Heartbeat]) -> None:
-        """Let ``source`` fill in the heartbeats."""
-        self._read_heartbeat = source
+        """Set the function that builds heartbeats."""
+        self._heartbeat_source = source
 
     def on_heartbeat(self, hear: Callable[[str, Heartbeat], None]) -> None:
-        """Call ``hear`` with each heartbeat."""
-        self._hear = hear
+        """Set the callback for received heartbeats."""
+        self._on_heartbeat = hear
 
     def set_peers(self, peers: Iterable[PeerAddress]) -> None:
-        """Keep links to these peers."""
+        """Set the peers to keep links to."""
         self._peers = {peer.instance_id for peer in peers}
 
     def peer_state(self, instance_id: str) -> PeerState:
-        """Return what is known about a peer."""
+        """Return the state of the link to a peer."""
         if instance_id not in self._peers:
             return PeerState.DOWN
         if self._links.is_cut(self.instance_id, instance_id):
@@ -313,10 +313,12 @@
         """Send heartbeats until cancelled."""
         while True:
             await self._links.clock.sleep_ms(_HEARTBEAT_MS)
-            beat = self._read_heartbeat()
+            heartbeat = self._heartbeat_source()
             for peer_id in list(self._peers):
                 if self.peer_state(peer_id) is PeerState.UP:
-                    self._links.nodes[peer_id]._hear(self.instance_id, beat)
+                    self._links.nodes[peer_id]._on_heartbeat(
+                        self.instance_id, heartbeat
+                    )
 
     async def call(
         self, instance_id: str, message: Message, *, timeout_ms: float
@@ -340,13 +342,13 @@
         return reply
 
     def tell(self, instance_id: str, message: Message) -> bool:
-        """Drop a one-way message: no test needs them."""
+        """Drop a one-way message; tests do not use them."""
         return False
 
     async def answer(
         self, sender_id: str, message: Message, timeout_ms: float
     ) -> Message:
-        """Answer a message as the handler does."""
+        """Return the reply of the message's handler."""
         handler = self._handlers.get(type(message))
         if handler is None:
             raise OutcomeError(f"no handler for {type(message).__name__}")
--- a/trefoilhook/standins/virtual_worker.py
+++ b/trefoilhook/standins/virtual_worker.py
@@ -1,4 +1,4 @@
-"""A worker inside the test's process, on virtual time, without sockets."""
+"""In-process worker on virtual time, without sockets."""
 
 from collections.abc import Callable, Sequence
 from typing import TypeVar
@@ -32,20 +32,20 @@
 
 @attrs.define(kw_only=True)
 class VirtualWorker:
-    """A worker that tests can cut off.
+    """Worker that can be made unreachable.
 
     Parameters
     ----------
     clock : Clock
-        The test's time.
+        Clock of the test.
     settings : WorkerSettings
-        What it has.
+        Configuration of the worker.
     is_cut : bool
-        Nobody reaches it.
+        Whether the worker is unreachable.
     cut_owners : set of str
-        Instances that don't reach it.
+        Instances that cannot reach the worker.
     answers_to_lose : int
-        Answers that get lost after the effect.
+        Number of subsequent calls that take effect but lose their response.
     """
 
     clock: Clock
@@ -63,14 +63,14 @@
 
 @attrs.define(kw_only=True)
 class VirtualWorkerClient:
-    """One owner's way to a worker; stands where ``WorkerClient`` does.
+    """An owner's client for a worker; replaces ``WorkerClient``.
 
     Parameters
     ----------
     worker : VirtualWorker
-        The worker.
+        Worker to call.
     owner_id : str
-        The instance that calls.
+        Calling instance.
     """
 
     worker: VirtualWorker
@@ -79,7 +79,7 @@
     async def take_lease(
         self, owner_id: str, epoch: int, ttl_ms: float
     ) -> WorkerInventory:
-        """Become the worker's owner."""
+        """Take the lease of the worker."""
         request = LeaseRequest(
             worker_id=self.worker.settings.worker_id,
             owner_id=owner_id,
@@ -89,36 +89,36 @@
         return await self._call(lambda: self.worker.state.take_lease(request))
 
     async def renew(self, epoch: int, ttl_ms: float) -> WorkerHeartbeat:
-        """Start the lease's time anew."""
+        """Renew the lease."""
         return await self._call(lambda: self.worker.state.renew(epoch, ttl_ms))
 
     async def command(
         self, epoch: int, commands: Sequence[WorkerCommand]
     ) -> tuple[CommandResult, ...]:
-        """Have commands carried out."""
+        """Execute commands on the worker."""
         return await self._call(lambda: self.worker.state.command(epoch, commands))
 
     async def close(self) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as there are no connections."""
 
     async def _call(self, change: Callable[[], _T]) -> _T:
         await self.worker.clock.sleep_ms(_CALL_MS)
         if self.worker.is_cut or self.owner_id in self.worker.cut_owners:
             await self.worker.clock.sleep_ms(_TIMEOUT_MS)
-            raise NotSentError("the worker is not reached")
+            raise NotSentError("worker is unreachable")
         try:
             result = change()
         except RefusalError as refusal:
             raise _translate(refusal) from refusal
         if self.worker.answers_to_lose:
             self.worker.answers_to_lose -= 1
-            raise AnswerLostError("the answer was lost")
+            raise AnswerLostError("response from worker was lost")
         return result
 
 
 def _translate(refusal: RefusalError) -> TrefoilhookError:
     if refusal.error == "fenced":
-        return FencedError("a higher epoch was seen")
+        return FencedError("worker has seen a higher epoch")
     if refusal.error == "lease_lost":
-        return LeaseLostError("the lease has lapsed")
+        return LeaseLostError("worker lease has expired")
     return AnswerLostError(refusal.error)
--- a/trefoilhook/standins/worker.py
+++ b/trefoilhook/standins/worker.py
@@ -27,16 +27,16 @@
 
 @attrs.frozen(kw_only=True)
 class WorkerRecords:
-    """What a worker saw happen, for a test to check.
+    """Record of a worker's activity, for checks in tests.
 
     Parameters
     ----------
     starts : tuple of StartRecord
-        Every start, in its order.
+        All task starts, in order.
     high_water : Resources
-        The most that was held at once, of each kind.
+        Maximum of each resource reserved at one time.
     refused_starts : int
-        Starts that would have exceeded the capacity.
+        Number of starts refused for lack of capacity.
     """
 
     starts: tuple[StartRecord, ...]
@@ -44,26 +44,26 @@
     refused_starts: int
 
 
-def name_worker_call(request: HttpRequest) -> str:
-    """Name the kind of a call to a worker."""
+def get_worker_call_kind(request: HttpRequest) -> str:
+    """Return the kind of a call to a worker."""
     return request.path.removeprefix("/v1/")
 
 
 class WorkerStandin:
-    """A worker that tests can put at fault.
+    """Worker with injectable faults.
 
     Parameters
     ----------
     clock : Clock
-        Its time; tasks and lease go on while it can't be reached.
+        Clock of the worker; tasks and the lease also advance while it is unreachable.
     settings : WorkerSettings
-        What it has and how it behaves.
+        Configuration of the worker.
     host : str, optional
         Address to listen on.
     port : int, optional
-        Port for calls; 0 takes a free one.
+        Port for calls; 0 selects a free one.
     control_port : int, optional
-        Port for orders; 0 takes a free one.
+        Port for control requests; 0 selects a free one.
     """
 
     def __init__(
@@ -80,17 +80,17 @@
         self._state: WorkerState | None = None
         self.server = FaultyServer(
             handler=self._handle,
-            name_call=name_worker_call,
+            get_call_kind=get_worker_call_kind,
             clock=clock,
             host=host,
             port=port,
-            control=self._obey,
+            control=self._handle_control,
             control_port=control_port,
         )
 
     @property
     def state(self) -> WorkerState:
-        """What the worker holds; there once it runs."""
+        """State of the worker; created on first access."""
         if self._state is None:
             self._state = WorkerState(
                 settings=self._settings, monotonic_ms=self._clock.monotonic_ms
@@ -99,12 +99,12 @@
 
     @property
     def faults(self) -> FaultSwitch:
-        """Switch of the faults that every stand-in knows."""
+        """Faults common to all stand-ins."""
         return self.server.faults
 
     @property
     def records(self) -> WorkerRecords:
-        """What happened so far."""
+        """Activity so far."""
         offset_ms = self._clock.wall_ms() - self._clock.monotonic_ms()
         return WorkerRecords(
             starts=self.state.list_records(wall_offset_ms=offset_ms),
@@ -113,14 +113,14 @@
         )
 
     def change_settings(self, settings: WorkerSettings) -> None:
-        """Put other settings in force, from now on."""
+        """Change the settings from now on."""
         self.state.advance()
         self.state.settings = settings
 
     async def run(
         self, *, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; reports the port for calls."""
+        """Serve until cancelled; the start value is the port for calls."""
         self.state.advance()
         await self.server.run(task_status=task_status)
 
@@ -129,33 +129,33 @@
             raise RefusalError(status=405, error="method_not_allowed")
         if request.path == "/v1/lease":
             lease = decode_body(request, LeaseRequest)
-            self._check_addressee(lease.worker_id)
+            self._check_worker_id(lease.worker_id)
             return encode_answer(self.state.take_lease(lease))
         if request.path == "/v1/renew":
             renewal = decode_body(request, RenewRequest)
-            self._check_addressee(renewal.worker_id)
+            self._check_worker_id(renewal.worker_id)
             return encode_answer(self.state.renew(renewal.epoch, renewal.ttl_ms))
         if request.path == "/v1/commands":
-            order = decode_body(request, CommandsRequest)
-            self._check_addressee(order.worker_id)
-            results = self.state.command(order.epoch, order.commands)
+            batch = decode_body(request, CommandsRequest)
+            self._check_worker_id(batch.worker_id)
+            results = self.state.command(batch.epoch, batch.commands)
             return encode_answer(CommandsAnswer(results=results))
         raise RefusalError(status=404, error="not_found")
 
-    def _check_addressee(self, worker_id: str) -> None:
-        # Addresses are used again: a command meant for a worker that is gone must not
-        # start anything on the one that has its address now.
+    def _check_worker_id(self, worker_id: str) -> None:
+        # Addresses are reused: a command for a removed worker must not start anything
+        # on the worker that now has its address.
         if worker_id != self._settings.worker_id:
             raise RefusalError(status=421, error="wrong_worker")
 
-    def _obey(self, request: HttpRequest) -> HttpResponse:
-        order = (request.method, request.path)
-        if order == ("GET", "/records"):
+    def _handle_control(self, request: HttpRequest) -> HttpResponse:
+        route = (request.method, request.path)
+        if route == ("GET", "/records"):
             return encode_answer(self.records)
-        if order == ("PUT", "/settings"):
+        if route == ("PUT", "/settings"):
             self.change_settings(decode_body(request, WorkerSettings))
             return encode_answer(self.state.settings)
-        if order == ("POST", "/lose-memory"):
+        if route == ("POST", "/lose-memory"):
             self.state.lose_memory()
             return encode_answer(self.records)
         raise RefusalError(status=404, error="not_found")
--- a/trefoilhook/standins/worker_measure.py
+++ b/trefoilhook/standins/worker_measure.py
@@ -1,4 +1,4 @@
-"""How tasks slow each other, and when a measurement of it can be told."""
+"""Mutual slowdown of tasks, and delayed reporting of measurements."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -14,21 +14,21 @@
 def compute_slowdowns(
     running: Sequence[SimulatedTask], *, pairs: Sequence[PairSlowdown], cores: float
 ) -> list[float]:
-    """Return each task's time over its time when running alone.
+    """Return the ratio of each task's run time to its run time alone.
 
     Parameters
     ----------
     running : sequence of SimulatedTask
-        All that runs on the worker.
+        Tasks running on the worker.
     pairs : sequence of PairSlowdown
-        Hidden slowdown of each pair of classes.
+        Slowdown of each pair of task classes.
     cores : float
-        Cores of the worker.
+        Number of cores of the worker.
 
     Notes
     -----
-    The excesses that a task's neighbours cause add up, and shrink in proportion when
-    fewer of the worker's cores are in use.
+    The excesses over 1 caused by neighbouring tasks are added, and scaled by the
+    fraction of the worker's cores in use.
     """
     factors = {(pair.victim_class, pair.neighbour_class): pair.factor for pair in pairs}
     used_cores = sum(task.used.cores * task.throttle_factor for task in running)
@@ -52,33 +52,33 @@
 
 @attrs.define(kw_only=True)
 class Measurements:
-    """Measurements that can't be told yet, and the newest that can.
+    """Measurements not yet reportable, and the newest reportable one.
 
     Parameters
     ----------
     next_ms : float
-        When the next one is due, in ms.
+        Time of the next measurement, in ms.
     """
 
     next_ms: float
-    _made: deque[_Measurement] = attrs.field(factory=deque, init=False)
+    _pending: deque[_Measurement] = attrs.field(factory=deque, init=False)
 
     def add(
         self, usages: tuple[TaskUsage, ...], *, interval_ms: float, lag_ms: float
     ) -> None:
-        """Add the measurement that is due, and forget those nobody asks for."""
-        made_at_ms = self.next_ms
-        self._made.append(_Measurement(measured_at_ms=made_at_ms, usages=usages))
+        """Add the measurement that is due, and drop obsolete ones."""
+        measured_at_ms = self.next_ms
+        self._pending.append(_Measurement(measured_at_ms=measured_at_ms, usages=usages))
         self.next_ms += interval_ms
-        while len(self._made) > 1 and (
-            self._made[1].measured_at_ms <= made_at_ms - lag_ms
+        while len(self._pending) > 1 and (
+            self._pending[1].measured_at_ms <= measured_at_ms - lag_ms
         ):
-            self._made.popleft()
+            self._pending.popleft()
 
     def find_report(self, now_ms: float, *, lag_ms: float) -> UsageReport | None:
-        """Return the newest measurement that is old enough to be told."""
+        """Return the newest measurement that is at least as old as the lag."""
         newest: UsageReport | None = None
-        for measurement in self._made:
+        for measurement in self._pending:
             age_ms = now_ms - measurement.measured_at_ms
             if age_ms < lag_ms:
                 break
@@ -86,5 +86,5 @@
         return newest
 
     def clear(self) -> None:
-        """Forget all."""
-        self._made.clear()
+        """Drop all measurements."""
+        self._pending.clear()
--- a/trefoilhook/standins/worker_state.py
+++ b/trefoilhook/standins/worker_state.py
@@ -1,4 +1,4 @@
-"""What a worker holds and does, in simulated time, without any input or output."""
+"""State of a simulated worker, without any input or output."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -28,29 +28,30 @@
 
 __all__ = ["WorkerSettings", "WorkerState"]
 
-_SETTLED_JOBS = 10_000
-_CORES_ROUNDING = 1e-9
-_NOTHING = Resources(cores=0.0, memory_bytes=0)
+_MAX_SETTLED_JOBS = 10_000
+_CORES_TOLERANCE = 1e-9
+_NO_RESOURCES = Resources(cores=0.0, memory_bytes=0)
 
 
 @attrs.frozen(kw_only=True)
 class WorkerSettings:
-    """What a worker has and how it behaves.
+    """Configuration of a worker.
 
     Parameters
     ----------
     worker_id : str
-        Its name.
+        Id of the worker.
     capacity : Resources, optional
-        All that it has.
+        Total resources.
     report_interval_ms : float, optional
         Time between measurements, in ms.
     report_lag_ms : float, optional
-        Time until a measurement can be told, in ms.
+        Delay until a measurement is reported, in ms.
     slowdowns : tuple of PairSlowdown, optional
-        Hidden slowdown of each pair of classes; other pairs don't slow each other.
+        Slowdown of each pair of task classes, unknown to the owner; other pairs do not
+        slow each other.
     is_black_hole : bool, optional
-        Whether it fails everything that it starts.
+        Whether every task fails as soon as it is started.
     """
 
     worker_id: str
@@ -78,13 +79,13 @@
 
 def _fits(wanted: Resources, capacity: Resources) -> bool:
     return (
-        wanted.cores <= capacity.cores + _CORES_ROUNDING
+        wanted.cores <= capacity.cores + _CORES_TOLERANCE
         and wanted.memory_bytes <= capacity.memory_bytes
         and wanted.accelerators <= capacity.accelerators
     )
 
 
-def _take_highest(left: Resources, right: Resources) -> Resources:
+def _get_maximum(left: Resources, right: Resources) -> Resources:
     return Resources(
         cores=max(left.cores, right.cores),
         memory_bytes=max(left.memory_bytes, right.memory_bytes),
@@ -93,15 +94,15 @@
 
 
 class WorkerState:
-    """Lease, tasks and records of one worker.
+    """Lease, tasks and records of a worker.
 
     Parameters
     ----------
     settings : WorkerSettings
-        What the worker has.
+        Configuration of the worker.
     monotonic_ms : callable
-        The worker's time, in ms. Nothing happens between calls: each first lets the
-        simulated time catch up.
+        Returns the worker's time, in ms. Simulated time only advances at the start of
+        each call.
     """
 
     def __init__(
@@ -115,22 +116,22 @@
         self._lease: _HeldLease | None = None
         self._highest_epoch = 0
         self._tasks: dict[AttemptKey, SimulatedTask] = {}
-        self._settled: OrderedDict[str, tuple[int, int]] = OrderedDict()
+        self._settled_attempts: OrderedDict[str, tuple[int, int]] = OrderedDict()
         self._started: list[SimulatedTask] = []
         self.settings = settings
-        self.high_water = _NOTHING
+        self.high_water = _NO_RESOURCES
         self.refused_starts: list[WorkerCommand] = []
 
     @property
     def held(self) -> Resources:
-        """What the running tasks hold together."""
-        total = _NOTHING
+        """Total resources reserved by running tasks."""
+        total = _NO_RESOURCES
         for task in self._list_running():
             total = _add(total, task.held)
         return total
 
     def list_records(self, *, wall_offset_ms: float) -> tuple[StartRecord, ...]:
-        """Return every start in its order."""
+        """Return records of all task starts, in order."""
         self.advance()
         worker_id = self.settings.worker_id
         return tuple(
@@ -139,19 +140,19 @@
         )
 
     def lose_memory(self) -> None:
-        """Behave as a worker that died and came back with nothing."""
+        """Lose all state, as after a crash and restart of the worker."""
         self.advance()
         for task in self._list_running():
             task.end(TaskState.STOPPED, at_ms=self._advanced_to_ms)
             task.is_lost = True
         self._tasks.clear()
-        self._settled.clear()
+        self._settled_attempts.clear()
         self._measurements.clear()
         self._lease = None
         self._highest_epoch = 0
 
     def take_lease(self, request: LeaseRequest) -> WorkerInventory:
-        """Grant the lease; refused when fenced or lapsed."""
+        """Grant the lease; refused if fenced or lost."""
         self.advance()
         self._check_takeover(request)
         self._highest_epoch = request.epoch
@@ -172,15 +173,15 @@
         lease = self._lease
         if request.epoch < self._highest_epoch:
             raise RefusalError(status=409, error="fenced")
-        # A lapsed lease has stopped the tasks that its owner counts on; taken again at
-        # the same epoch, it would look to the owner as if it had never lapsed.
+        # The tasks of an expired lease were stopped. Granting it again at the same
+        # epoch would hide the expiry from its owner.
         if lease is None:
             raise RefusalError(status=410, error="lease_lost")
         if lease.owner_id != request.owner_id:
             raise RefusalError(status=409, error="fenced")
 
     def renew(self, epoch: int, ttl_ms: float) -> WorkerHeartbeat:
-        """Start the lease's time anew."""
+        """Extend the lease and return ended tasks and measurements."""
         lease = self.check_lease(epoch)
         lease.expires_at_ms = self._now_ms() + ttl_ms
         ended = (
@@ -196,7 +197,7 @@
         )
 
     def check_lease(self, epoch: int) -> _HeldLease:
-        """Return the lease if ``epoch`` holds it; else refuse."""
+        """Return the lease if ``epoch`` is its current epoch; otherwise refuse."""
         self.advance()
         if epoch < self._highest_epoch:
             raise RefusalError(status=409, error="fenced")
@@ -207,20 +208,20 @@
     def command(
         self, epoch: int, commands: Sequence[WorkerCommand]
     ) -> tuple[CommandResult, ...]:
-        """Carry commands out in their order."""
+        """Execute commands in order."""
         self.check_lease(epoch)
-        return tuple(self._carry_out(epoch, command) for command in commands)
+        return tuple(self._execute(epoch, command) for command in commands)
 
-    def _carry_out(self, epoch: int, command: WorkerCommand) -> CommandResult:
+    def _execute(self, epoch: int, command: WorkerCommand) -> CommandResult:
         key = (command.job_id, command.attempt_epoch, command.attempt_sequence)
         if command.kind is CommandKind.START:
             status = self._start(epoch, key, command)
         elif key not in self._tasks:
             status = CommandStatus.UNKNOWN_TASK
             if command.kind is CommandKind.STOP:
-                self._settle(key)
+                self._settle_attempt(key)
         else:
-            status = self._change(self._tasks[key], command)
+            status = self._apply_command(self._tasks[key], command)
         task = self._tasks.get(key)
         return CommandResult(
             job_id=command.job_id,
@@ -247,35 +248,39 @@
         task.started_ms = self._advanced_to_ms
         self._tasks[key] = task
         self._started.append(task)
-        self.high_water = _take_highest(self.high_water, self.held)
+        self.high_water = _get_maximum(self.high_water, self.held)
         if self.settings.is_black_hole:
             task.end(TaskState.FAILED, at_ms=task.started_ms, result="failed at start")
         return CommandStatus.DONE
 
     def _is_stale(self, key: AttemptKey) -> bool:
-        # A start can arrive long after it was sent, behind its own stop or behind the
-        # acknowledgement of a repetition; run then, the attempt would run twice.
+        # A delayed start may arrive after the attempt's own stop, or after its
+        # repetition was acknowledged. Accepting it would run the attempt twice.
         job_id, *attempt = key
-        if self._settled.get(job_id, (0, 0)) >= tuple(attempt):
+        if self._settled_attempts.get(job_id, (0, 0)) >= tuple(attempt):
             return True
         return any(
             known[0] == job_id and known[1:] > tuple(attempt) for known in self._tasks
         )
 
-    def _settle(self, key: AttemptKey) -> None:
+    def _settle_attempt(self, key: AttemptKey) -> None:
         job_id, *attempt = key
-        latest = max(self._settled.pop(job_id, (0, 0)), (attempt[0], attempt[1]))
-        self._settled[job_id] = latest
-        if len(self._settled) > _SETTLED_JOBS:
-            self._settled.popitem(last=False)
+        latest = max(
+            self._settled_attempts.pop(job_id, (0, 0)), (attempt[0], attempt[1])
+        )
+        self._settled_attempts[job_id] = latest
+        if len(self._settled_attempts) > _MAX_SETTLED_JOBS:
+            self._settled_attempts.popitem(last=False)
 
-    def _change(self, task: SimulatedTask, command: WorkerCommand) -> CommandStatus:
+    def _apply_command(
+        self, task: SimulatedTask, command: WorkerCommand
+    ) -> CommandStatus:
         is_running = task.state is TaskState.RUNNING
         if command.kind is CommandKind.ACKNOWLEDGE:
             if is_running:
                 return CommandStatus.NOT_POSSIBLE
             del self._tasks[task.key]
-            self._settle(task.key)
+            self._settle_attempt(task.key)
             return CommandStatus.DONE
         if not is_running:
             return CommandStatus.ALREADY_DONE
@@ -297,7 +302,7 @@
         ]
 
     def advance(self) -> None:
-        """Let the simulated time catch up, from event to event."""
+        """Advance simulated time to the present, event by event."""
         now_ms = self._now_ms()
         while self._advanced_to_ms < now_ms:
             self._step(now_ms)
@@ -325,16 +330,16 @@
         if self._measurements.next_ms <= until_ms:
             self._measure()
         if self._lease is not None and self._lease.expires_at_ms <= until_ms:
-            self._lapse()
+            self._expire_lease()
 
     def _finish(self, task: SimulatedTask) -> None:
         task.done_ms = task.work_ms
         state = TaskState.FAILED if task.is_failing else TaskState.FINISHED
         task.end(state, at_ms=self._advanced_to_ms, result=task.outcome)
 
-    def _lapse(self) -> None:
-        # Without an owner that renews, nobody may count on these tasks: another owner
-        # may start them elsewhere once the lease is sure to have lapsed.
+    def _expire_lease(self) -> None:
+        # Tasks must not outlive the lease: another owner may start them elsewhere once
+        # the lease has certainly expired.
         self._lease = None
         for task in self._list_running():
             task.end(TaskState.STOPPED, at_ms=self._advanced_to_ms)
--- a/trefoilhook/standins/worker_task.py
+++ b/trefoilhook/standins/worker_task.py
@@ -1,4 +1,4 @@
-"""A task in simulated time: how fast it goes and when it ends."""
+"""Simulated tasks of a worker: progress, end and records."""
 
 import json
 from typing import Any
@@ -20,17 +20,17 @@
 
 @attrs.frozen(kw_only=True)
 class PairSlowdown:
-    """How much one class of task slows another on the same worker.
+    """Slowdown of one task class by another on the same worker.
 
     Parameters
     ----------
     victim_class : str
-        Class that is slowed.
+        Class that is slowed down.
     neighbour_class : str
-        Class that slows it.
+        Class that causes the slowdown.
     factor : float
-        Its time over that when running alone, on a worker whose cores are all in use;
-        with fewer in use the excess over 1 shrinks in proportion.
+        Ratio of the victim's run time to its run time alone, with all cores of the
+        worker in use; the excess over 1 scales with the fraction of cores in use.
     """
 
     victim_class: str
@@ -40,28 +40,28 @@
 
 @attrs.frozen(kw_only=True)
 class StartRecord:
-    """One start of a task, as the worker recorded it.
+    """Record of a task start on a worker.
 
     Parameters
     ----------
     worker_id : str
-        Where it ran.
+        Worker that ran the task.
     job_id : str
-        The job.
+        Job of the task.
     attempt_epoch, attempt_sequence : int
-        The attempt.
+        Epoch and sequence number of the attempt.
     owner_epoch : int
-        Epoch of the owner that started it.
+        Epoch of the owner that started the task.
     started_ms : float
-        Wall time of the start, in ms.
+        Wall-clock time of the start, in ms.
     ended_ms : float or None
-        Wall time of the end, in ms; None while it runs.
+        Wall-clock time of the end, in ms; None while the task runs.
     state : str
-        State of the task; ``lost`` when its worker died.
+        State of the task; ``lost`` if its worker crashed.
     resumed_ms : float
-        Work that its checkpoint spared it, in ms.
+        Work restored from a checkpoint, in ms.
     done_ms : float
-        Work done up to now, in ms, what was spared included.
+        Work completed so far, in ms, including restored work.
     """
 
     worker_id: str
@@ -78,22 +78,22 @@
 
 @attrs.define(kw_only=True)
 class SimulatedTask:
-    """One task; its work advances as the worker tells it.
+    """A simulated task; `WorkerState` advances it.
 
     Parameters
     ----------
     command : WorkerCommand
-        What started it.
+        Command that started the task.
     used : Resources
-        What it truly uses.
+        Resources that it actually uses.
     work_ms : float
-        Its whole work, in ms when running alone; infinite for no end.
+        Total work, in ms of run time alone; infinite for a task that does not end.
     is_failing : bool
-        Whether it fails once its work is done.
+        Whether it fails once its work is completed.
     outcome : str
-        What it answers at its end.
+        Result reported at its end.
     resumed_ms : float
-        Work that its checkpoint spared it, in ms.
+        Work restored from a checkpoint, in ms.
     """
 
     command: WorkerCommand
@@ -114,18 +114,18 @@
 
     @property
     def key(self) -> AttemptKey:
-        """Job and attempt."""
+        """Job id, attempt epoch and attempt sequence number."""
         command = self.command
         return (command.job_id, command.attempt_epoch, command.attempt_sequence)
 
     @property
     def held(self) -> Resources:
-        """What it was given."""
+        """Reserved resources."""
         assert self.command.resources is not None
         return self.command.resources
 
     def end(self, state: TaskState, *, at_ms: float, result: str = "") -> None:
-        """Let it end."""
+        """End the task in the given state."""
         self.state = state
         self.ended_ms = at_ms
         self.result = result
@@ -133,7 +133,7 @@
             self.checkpoint = json.dumps({"done_ms": self.done_ms})
 
     def describe(self) -> WorkerTask:
-        """Return it as the worker tells its owner."""
+        """Return the description sent to the owner."""
         return WorkerTask(
             job_id=self.command.job_id,
             attempt_epoch=self.command.attempt_epoch,
@@ -146,7 +146,7 @@
         )
 
     def measure(self, slowdown: float) -> TaskUsage:
-        """Return what it uses."""
+        """Return the measured resource usage."""
         return TaskUsage(
             job_id=self.command.job_id,
             attempt_epoch=self.command.attempt_epoch,
@@ -160,7 +160,7 @@
         )
 
     def record(self, worker_id: str, *, wall_offset_ms: float) -> StartRecord:
-        """Return it as a record, with times on the wall clock."""
+        """Return a record of the start, with wall-clock times."""
         ended_ms = self.ended_ms
         return StartRecord(
             worker_id=worker_id,
@@ -185,30 +185,30 @@
 
 
 def build_task(command: WorkerCommand) -> SimulatedTask:
-    """Build the task that a start asks for.
+    """Build the task for a start command.
 
     Notes
     -----
-    A payload that is a JSON object may tell the truth about the task: ``run_ms``,
-    ``cores``, ``memory_bytes``, ``accelerators`` that it uses, ``is_failing``, and the
-    ``result`` that it answers. What it leaves out is as declared.
+    A payload that is a JSON object may set the actual behaviour of the task:
+    ``run_ms``, ``cores``, ``memory_bytes``, ``accelerators``, ``is_failing`` and
+    ``result``. Missing run time and resources are as declared.
     """
     assert command.resources is not None
-    truth = _read_object(command.payload)
+    actual = _read_object(command.payload)
     declared_ms = command.declared_run_ms or float("inf")
     resumed_ms = float(_read_object(command.checkpoint).get("done_ms", 0.0))
     declared = command.resources
     used = Resources(
-        cores=float(truth.get("cores", declared.cores)),
-        memory_bytes=int(truth.get("memory_bytes", declared.memory_bytes)),
-        accelerators=int(truth.get("accelerators", declared.accelerators)),
+        cores=float(actual.get("cores", declared.cores)),
+        memory_bytes=int(actual.get("memory_bytes", declared.memory_bytes)),
+        accelerators=int(actual.get("accelerators", declared.accelerators)),
     )
     return SimulatedTask(
         command=command,
         used=used,
-        work_ms=float(truth.get("run_ms", declared_ms)),
-        is_failing=bool(truth.get("is_failing", False)),
-        outcome=str(truth.get("result", f"done {command.job_id}")),
+        work_ms=float(actual.get("run_ms", declared_ms)),
+        is_failing=bool(actual.get("is_failing", False)),
+        outcome=str(actual.get("result", f"done {command.job_id}")),
         resumed_ms=resumed_ms,
         done_ms=resumed_ms,
     )
