--- a/tools/tests/test_days.py
+++ b/tools/tests/test_days.py
@@ -1,7 +1,7 @@
-"""The days of our own in ``deploy/days``, and the table that says what they found.
+"""Consistency of the day files in ``deploy/days`` and the table of their outcomes.
 
-A day that names a site's own zone or kind of request plays on that site alone, and is
-left out on all others without a word. A day that the table doesn't list has no known
+A day that contains a zone, service or request class of one site runs on that site only
+and is silently skipped on all others. A day missing from the table has no known
 outcome.
 """
 
@@ -38,7 +38,7 @@
 
 
 def _read_table() -> list[list[str]]:
-    """Return the cells of each row of the page's table, without its two head rows."""
+    """Return the cells of each row of the table, without its header."""
     section = PAGE.read_text().split(TABLE_TITLE + "\n", 1)[1]
     section = re.split(r"^#", section, maxsplit=1, flags=re.MULTILINE)[0]
     rows = [line for line in section.splitlines() if line.startswith("| ")]
@@ -46,7 +46,7 @@
 
 
 class DaysTest(unittest.TestCase):
-    """Every file of the folder."""
+    """Contents of the day files."""
 
     def setUp(self):
         self.days = _read_days()
@@ -54,30 +54,30 @@
     def _check_placeholder(self, field: str, name: str):
         self.assertTrue(PLACEHOLDERS[field].fullmatch(name), name)
 
-    def test_folder_holds_days_only(self):
+    def test_folder_contains_day_files_only(self):
         self.assertTrue(self.days)
         others = [path.name for path in DAYS.iterdir() if path.suffix != ".toml"]
         self.assertEqual(others, [])
 
-    def test_name_is_that_of_the_file(self):
+    def test_name_matches_file_name(self):
         for stem, day in self.days.items():
             self.assertEqual(day["name"], stem.replace("_", "-"))
 
-    def test_names_of_sites_are_placeholders(self):
+    def test_site_specific_names_are_placeholders(self):
         for stem, day in self.days.items():
             for row in [*_list_disruptions(day), *day.get("traffic", [])]:
                 for field in PLACEHOLDERS.keys() & row.keys():
                     with self.subTest(day=stem, field=field):
                         self._check_placeholder(field, row[field])
 
-    def test_kinds_of_request_in_a_mix_are_placeholders(self):
+    def test_request_classes_in_a_mix_are_placeholders(self):
         for stem, day in self.days.items():
             for row in day.get("traffic", []):
                 for name in row["mix"]:
                     with self.subTest(day=stem):
                         self._check_placeholder("class", name)
 
-    def test_day_disrupts_something_and_has_a_floor(self):
+    def test_day_has_disruptions_and_a_positive_floor(self):
         for stem, day in self.days.items():
             with self.subTest(day=stem):
                 self.assertTrue(_list_disruptions(day))
@@ -85,17 +85,17 @@
 
 
 class TableTest(unittest.TestCase):
-    """The table of ``docs/MEASUREMENTS.md`` against the files."""
+    """Table in ``docs/MEASUREMENTS.md``, compared with the day files."""
 
     def setUp(self):
         self.days = _read_days()
         self.rows = _read_table()
 
-    def test_table_lists_each_file_once_and_no_other(self):
+    def test_table_lists_each_file_exactly_once(self):
         listed = [row[0].strip("`") for row in self.rows]
         self.assertEqual(sorted(listed), sorted(self.days))
 
-    def test_row_names_what_the_file_plays(self):
+    def test_row_lists_disruptions_of_the_file(self):
         for day, disruptions, *_ in self.rows:
             with self.subTest(day=day):
                 listed = set(disruptions.split(", "))
--- a/tools/tests/test_known_red.py
+++ b/tools/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What the list of known red tests lets pass, and what it doesn't."""
+"""Tests of the nose2 plugin for known failures."""
 
 import io
 import unittest
@@ -11,7 +11,7 @@
 
 
 class SampleCase(unittest.TestCase):
-    """Tests whose outcomes the plugin is handed; they pass when they are run."""
+    """Tests whose outcomes are passed to the plugin; they succeed when run."""
 
     def test_listed(self):
         pass
@@ -20,7 +20,7 @@
         pass
 
 
-def _judge(plugin: KnownRed, test: unittest.TestCase, outcome: str):
+def _report_outcome(plugin: KnownRed, test: unittest.TestCase, outcome: str):
     event = events.TestOutcomeEvent(
         test, None, outcome, expected=outcome == result.PASS
     )
@@ -29,37 +29,37 @@
 
 
 class _Unregistered(KnownRed):
-    """The plugin without a session of the runner to register with."""
+    """Plugin that does not register with a test runner session."""
 
     alwaysOn = False  # noqa: N815
 
 
 class KnownRedTest(unittest.TestCase):
-    """A run with one test listed."""
+    """Outcomes of tests in a run with one listed test."""
 
     def setUp(self):
         red = RedTest(test_id=LISTED, cause="c", issue="issue 1", command="make test")
         self.plugin = _Unregistered(red_tests=[red])
 
-    def test_failure_of_a_listed_test_is_expected_and_told(self):
+    def test_failure_of_a_listed_test_is_expected_and_reported(self):
         for outcome in (result.FAIL, result.ERROR):
             with self.subTest(outcome=outcome):
-                event = _judge(self.plugin, SampleCase("test_listed"), outcome)
+                event = _report_outcome(self.plugin, SampleCase("test_listed"), outcome)
                 self.assertTrue(event.expected)
                 self.assertEqual(event.outcome, result.FAIL)
         (line,) = self.plugin.describe()
         self.assertIn("known red, passed over", line)
 
-    def test_failure_of_any_other_test_still_fails(self):
-        event = _judge(self.plugin, SampleCase("test_unlisted"), result.FAIL)
+    def test_failure_of_an_unlisted_test_fails_the_run(self):
+        event = _report_outcome(self.plugin, SampleCase("test_unlisted"), result.FAIL)
         self.assertFalse(event.expected)
 
-    def test_listed_test_that_passes_is_told(self):
-        _judge(self.plugin, SampleCase("test_listed"), result.PASS)
+    def test_listed_test_that_passes_is_reported(self):
+        _report_outcome(self.plugin, SampleCase("test_listed"), result.PASS)
         (line,) = self.plugin.describe()
         self.assertIn("PASSES", line)
 
-    def test_listed_test_that_is_not_run_is_told(self):
+    def test_listed_test_that_is_not_run_is_reported(self):
         (line,) = self.plugin.describe()
         self.assertIn("NOT RUN", line)
 
@@ -82,9 +82,9 @@
 
 
 class ReadingTest(unittest.TestCase):
-    """What may stand in the file."""
+    """Parsing of the list."""
 
-    def test_comments_and_blank_lines_are_left_out(self):
+    def test_comments_and_blank_lines_are_ignored(self):
         self.assertEqual(read_red_tests("# none\n\n"), ())
 
     def test_fields_are_read(self):
@@ -92,7 +92,7 @@
         self.assertEqual(red.test_id, "a.b.C.test_d")
         self.assertEqual(red.command, "make soak SEED=7")
 
-    def test_bad_lists_are_refused(self):
+    def test_invalid_lists_are_rejected(self):
         line = "t{} | why | issue 1 | command\n"
         cases = {
             "a field is missing": "a.b | why | issue 1\n",
--- a/trefoilhook/standins/virtual.py
+++ b/trefoilhook/standins/virtual.py
@@ -210,7 +210,7 @@
             await self.store.clock.sleep_ms(self.timeout_ms)
             if self.is_unsent:
                 raise StoreUnsentError("store is unreachable; request not sent")
-            raise StoreUnavailableError("the store does not answer")
+            raise StoreUnavailableError("store did not respond")
         result = self.store.apply(kind, change)
         if kind == "swap" and self.answers_to_lose:
             self.answers_to_lose -= 1
@@ -219,7 +219,7 @@
 
     def _check_reachable(self) -> None:
         if self.store.is_down or self.is_cut:
-            raise StoreUnavailableError("the store does not answer")
+            raise StoreUnavailableError("store did not respond")
 
 
 @attrs.define(kw_only=True)
