--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,7 +1,7 @@
-"""Measure the placement decisions against baselines; write a table and a plot.
+"""Benchmark the placement decisions against baselines; write tables and a plot.
 
-Run ``python -m bench.placement``; ``--quick`` takes two seeds and no sweep, and writes
-nothing.
+Run ``python -m bench.placement``. With ``--quick`` only two seeds and no parameter
+sweep are run, and nothing is written.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 DOCS = pathlib.Path(__file__).parent.parent / "docs"
 PROCESSES = 4
-TUNED_SEEDS = (0, 1, 2, 3, 4)
+TUNING_SEEDS = (0, 1, 2, 3, 4)
 HELD_OUT_SEEDS = (100, 101, 102, 103, 104)
 ABLATION_SEEDS = (0, 1, 100)
 SWEEP_SEEDS = (0, 1)
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class Run:
-    """One run to be made."""
+    """Configuration of one simulation run."""
 
     group: str
     user: str
@@ -61,39 +61,39 @@
     conditions: Conditions
 
 
-def _carry_out(run):
+def _execute_run(run):
     build = build_ablations if run.group == "ablation" else build_schemes
     scheme = build(run.user)[run.scheme]
     return run, run_scheme(scheme, USERS[run.user], run.conditions)
 
 
-def _plan(quick):
-    seeds = (*TUNED_SEEDS[:1], *HELD_OUT_SEEDS[:1])
+def _list_runs(quick):
+    seeds = (*TUNING_SEEDS[:1], *HELD_OUT_SEEDS[:1])
     if not quick:
-        seeds = (*TUNED_SEEDS, *HELD_OUT_SEEDS)
+        seeds = (*TUNING_SEEDS, *HELD_OUT_SEEDS)
     runs = []
     for user in USERS:
         for seed in seeds:
             for scheme in build_schemes(user):
-                runs.append(_run("main", user, scheme, Conditions(seed=seed)))
+                runs.append(_build_run("main", user, scheme, Conditions(seed=seed)))
         for seed in ABLATION_SEEDS[: 1 if quick else None]:
             for scheme in build_ablations(user):
-                runs.append(_run("ablation", user, scheme, Conditions(seed=seed)))
+                runs.append(_build_run("ablation", user, scheme, Conditions(seed=seed)))
     for axis, points in SWEEP.items():
         for point in points:
             for seed in () if quick else SWEEP_SEEDS:
                 conditions = Conditions(seed=seed, **point)
-                runs.append(_run(axis, "carrowmore", "decisions", conditions))
+                runs.append(_build_run(axis, "carrowmore", "decisions", conditions))
     return runs
 
 
-def _run(group, user, scheme, conditions):
+def _build_run(group, user, scheme, conditions):
     return Run(group=group, user=user, scheme=scheme, conditions=conditions)
 
 
 @attrs.frozen(kw_only=True)
 class DecisionTime:
-    """What a decision costs at a size."""
+    """Processor time of a placement decision for a number of workers."""
 
     workers: int
     median_us: float
@@ -102,14 +102,14 @@
 
 @attrs.frozen(kw_only=True)
 class Memory:
-    """What a shard's state costs."""
+    """Memory used by the state of a shard."""
 
     bytes_per_worker: float
     bytes_per_task: float
     bytes_per_history: float
 
 
-def _task(number, kind, cores):
+def _build_task(number, kind, cores):
     return TaskShape(
         task_id=f"task-{number}",
         team="rosters",
@@ -122,7 +122,10 @@
 
 
 def _build_state(workers, rng):
-    """Build a shard with six tasks offered for each worker."""
+    """Yield the state with workers, then with tasks, then with speed history.
+
+    Six tasks are offered for each worker.
+    """
     state = ShardState()
     for number in range(workers):
         state.add_worker(
@@ -136,7 +139,7 @@
     yield state
     for number in range(6 * workers):
         kind = TaskKind.SERVICE if number < 2 * workers else TaskKind.BATCH
-        task = _task(number, kind, 2.0)
+        task = _build_task(number, kind, 2.0)
         decision = decide_placement(state, task, 0.0, rng, THROUGHPUT_FIRST)
         if isinstance(decision, Placement):
             state.reserve(task, decision.worker_id, 0.0)
@@ -148,53 +151,53 @@
     yield state
 
 
-def measure_time(workers):
-    """Measure the time of a decision at a size."""
+def measure_decision_time(workers):
+    """Measure the time of a placement decision for a number of workers."""
     rng = np.random.default_rng(0)
     stages = _build_state(workers, rng)
     next(stages)
     state = next(stages)
-    spent_us = []
+    times_us = []
     for number in range(2000):
-        task = _task(6 * workers + number, TaskKind.BATCH, 2.0)
+        task = _build_task(6 * workers + number, TaskKind.BATCH, 2.0)
         before = time.perf_counter()
         decide_placement(state, task, 0.0, rng, THROUGHPUT_FIRST)
-        spent_us.append(1e6 * (time.perf_counter() - before))
+        times_us.append(1e6 * (time.perf_counter() - before))
     return DecisionTime(
         workers=workers,
-        median_us=float(np.median(spent_us)),
-        p99_us=float(np.quantile(spent_us, 0.99)),
+        median_us=float(np.median(times_us)),
+        p99_us=float(np.quantile(times_us, 0.99)),
     )
 
 
 def measure_memory(workers):
-    """Measure the bytes of the state at a size."""
+    """Measure the memory of a shard's state for a number of workers."""
     tracemalloc.start()
     stages = _build_state(workers, np.random.default_rng(0))
-    grown = []
+    traced_bytes = []
     for state in stages:
-        grown.append(tracemalloc.get_traced_memory()[0])
+        traced_bytes.append(tracemalloc.get_traced_memory()[0])
         tasks = len(state.tasks)
     tracemalloc.stop()
     return Memory(
-        bytes_per_worker=grown[0] / workers,
-        bytes_per_task=(grown[1] - grown[0]) / tasks,
-        bytes_per_history=(grown[2] - grown[1]) / workers,
+        bytes_per_worker=traced_bytes[0] / workers,
+        bytes_per_task=(traced_bytes[1] - traced_bytes[0]) / tasks,
+        bytes_per_history=(traced_bytes[2] - traced_bytes[1]) / workers,
     )
 
 
 def main():
-    """Run everything and write the report."""
+    """Run all simulations and write the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="a trial: write nothing")
     quick = parser.parse_args().quick
-    began = time.monotonic()
-    times = [measure_time(24), measure_time(10_000)]
+    started_s = time.monotonic()
+    times = [measure_decision_time(24), measure_decision_time(10_000)]
     memory = measure_memory(200)
     with multiprocessing.Pool(PROCESSES) as pool:
-        results = pool.map(_carry_out, _plan(quick), chunksize=1)
+        results = pool.map(_execute_run, _list_runs(quick), chunksize=1)
     text = write_report(
-        results, times, memory, HELD_OUT_SEEDS, time.monotonic() - began
+        results, times, memory, HELD_OUT_SEEDS, time.monotonic() - started_s
     )
     print(text)
     if quick:
--- a/bench/placement_driver.py
+++ b/bench/placement_driver.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the daemon: carries the real decisions out on the fakes."""
+"""Discrete-event driver that applies placement decisions to a simulated fleet."""
 
 import heapq
 import itertools
@@ -7,8 +7,8 @@
 import attrs
 import numpy as np
 
-from bench.placement_load import draw_load
-from bench.placement_measure import TAIL_BINS, sum_up
+from bench.placement_load import draw_arrivals
+from bench.placement_measure import EXCESS_BINS, summarize_run
 from bench.placement_world import World
 from trefoilhook.placement import (
     Impossible,
@@ -36,93 +36,95 @@
 
 __all__ = ["Scheme", "run_scheme"]
 
-START_S = (0.1, 0.3)
-CHECKPOINT_S = (0.5, 2.5)
-REDONE_S = 20.0
-DETECT_S = 10.0
-REPAIR_S = 300.0
-MEASURED_FROM_S = 600.0
-"""Services are all placed anew once before this, as by a day's release."""
+START_DELAY_S = (0.1, 0.3)
+CHECKPOINT_DELAY_S = (0.5, 2.5)
+REDONE_PER_EVICTION_S = 20.0
+DETECTION_DELAY_S = 10.0
+REPLACEMENT_DELAY_S = 300.0
+MEASUREMENT_START_S = 600.0
+"""Every service is redeployed once before this time, as by a daily release."""
 
-BATCH_EVERY_S = 3
-WAITS_BEFORE_GIVING_UP = 10
+BATCH_INTERVAL_S = 3
+MAX_WAITS_PER_PASS = 10
 
 
 @attrs.frozen(kw_only=True)
 class Scheme:
-    """A way of deciding that is measured."""
+    """A placement policy under test, with its scoring and reactions."""
 
     name: str
     policy: Policy
     build_scorer: Callable = lambda world, driver: score_rows
     react: Callable = decide_reactions
     prepare: Callable = lambda state: None
-    watch: Callable = lambda world, state: None
-    instant: bool = False
+    after_step: Callable = lambda world, state: None
+    immediate_reports: bool = False
     order: Callable = order_queue
 
 
 @attrs.define(kw_only=True)
 class Driver:
-    """State of one run."""
+    """State of one simulation run."""
 
     world: World
     scheme: Scheme
     state: ShardState = attrs.field(factory=ShardState)
     rng: np.random.Generator
     events: list = attrs.field(factory=list)
-    counter: itertools.count = attrs.field(factory=itertools.count)
+    event_numbers: itertools.count = attrs.field(factory=itertools.count)
     arrivals: dict = attrs.field(factory=dict)
     waiting: dict = attrs.field(factory=dict)
     done_s: dict = attrs.field(factory=dict)
     stopping: set = attrs.field(factory=set)
     moves: dict = attrs.field(factory=dict)
-    asked_at_s: dict = attrs.field(factory=dict)
-    begun: set = attrs.field(factory=set)
-    urgent_s: list = attrs.field(factory=list)
-    down: set = attrs.field(factory=set)
-    black: set = attrs.field(factory=set)
+    submitted_at_s: dict = attrs.field(factory=dict)
+    started_urgent: set = attrs.field(factory=set)
+    urgent_waits_s: list = attrs.field(factory=list)
+    down_workers: set = attrs.field(factory=set)
+    failing_workers: set = attrs.field(factory=set)
     finished: int = 0
     refused: int = 0
     evicted: int = 0
     preempted: int = 0
     throttles: int = 0
     lost_core_s: float = 0.0
-    histogram: np.ndarray = attrs.field(factory=lambda: np.zeros(len(TAIL_BINS) + 1))
-    tails: list = attrs.field(factory=list)
-    late: float = 0.0
+    excess_histogram: np.ndarray = attrs.field(
+        factory=lambda: np.zeros(len(EXCESS_BINS) + 1)
+    )
+    excess_samples: list = attrs.field(factory=list)
+    late_service_s: float = 0.0
     service_s: float = 0.0
     score: Callable = score_rows
     clock_s: float = 0.0
 
-    def at(self, at_s, action, *arguments):
-        """Call something at a virtual time."""
-        entry = (at_s, next(self.counter), action, arguments)
+    def schedule(self, at_s, action, *arguments):
+        """Schedule a call at a virtual time, in s."""
+        entry = (at_s, next(self.event_numbers), action, arguments)
         heapq.heappush(self.events, entry)
 
     @property
     def now_ms(self):
-        """Virtual time of the event in hand, in ms."""
+        """Virtual time of the current event, in ms."""
         return self.clock_s * 1000.0
 
     def submit(self, arrival):
-        """Accept a task from its caller."""
+        """Accept a submitted task."""
         task_id = arrival.shape.task_id
         self.arrivals[task_id] = arrival
-        self.asked_at_s[task_id] = arrival.at_s
+        self.submitted_at_s[task_id] = arrival.at_s
         self.enqueue(task_id)
         if arrival.shape.urgent:
-            self.place_all(urgent_only=True)
+            self.place_waiting(urgent_only=True)
 
     def enqueue(self, task_id):
-        """Put a task into the queue, at its first place in time."""
+        """Queue a task; a requeued task keeps its original submission time."""
         self.waiting[task_id] = WaitingTask(
             shape=self.arrivals[task_id].shape,
-            queued_at_ms=self.asked_at_s[task_id] * 1000.0,
+            queued_at_ms=self.submitted_at_s[task_id] * 1000.0,
         )
 
-    def place_all(self, urgent_only):
-        """Offer waiting tasks to placement, in order."""
+    def place_waiting(self, urgent_only):
+        """Try to place waiting tasks, in queue order."""
         pool = self.waiting.values()
         if urgent_only:
             pool = [entry for entry in pool if entry.shape.urgent]
@@ -140,14 +142,14 @@
                 self.scheme.policy,
                 score=self.score,
             )
-            self.carry_out(shape, decision)
+            self.apply_decision(shape, decision)
             batch = shape.kind is TaskKind.BATCH and not shape.urgent
             waits += batch and isinstance(decision, Wait)
-            if waits >= WAITS_BEFORE_GIVING_UP:
+            if waits >= MAX_WAITS_PER_PASS:
                 break
 
-    def carry_out(self, shape, decision):
-        """Do what was decided."""
+    def apply_decision(self, shape, decision):
+        """Apply a placement decision."""
         if isinstance(decision, Placement):
             self.launch(shape, decision.worker_id)
         elif isinstance(decision, Impossible):
@@ -160,20 +162,24 @@
             )
             for task_id in decision.victims:
                 self.preempted += 1
-                self.checkpoint(task_id)
+                self.request_checkpoint(task_id)
 
     def launch(self, shape, worker_id):
-        """Reserve, and send the start to the worker."""
+        """Reserve resources and schedule the start on the worker."""
         task_id = shape.task_id
         del self.waiting[task_id]
         self.state.reserve(shape, worker_id, self.now_ms)
-        delay_s = self.world.rng.uniform(*START_S)
-        self.at(self.clock_s + delay_s, self.started, task_id, worker_id)
+        delay_s = self.world.rng.uniform(*START_DELAY_S)
+        self.schedule(self.clock_s + delay_s, self.started, task_id, worker_id)
 
     def started(self, task_id, worker_id):
-        """Take in that a worker has begun to run a task."""
+        """Handle the start of a task on its worker."""
         held = self.state.tasks.get(task_id)
-        if held is None or held.worker_id != worker_id or worker_id in self.down:
+        if (
+            held is None
+            or held.worker_id != worker_id
+            or worker_id in self.down_workers
+        ):
             return
         arrival = self.arrivals[task_id]
         shape = arrival.shape
@@ -187,54 +193,54 @@
             self.done_s.get(task_id, 0.0),
             shape.kind is TaskKind.SERVICE,
         )
-        if shape.urgent and task_id not in self.begun:
-            self.begun.add(task_id)
-            self.urgent_s.append(self.clock_s - self.asked_at_s[task_id])
+        if shape.urgent and task_id not in self.started_urgent:
+            self.started_urgent.add(task_id)
+            self.urgent_waits_s.append(self.clock_s - self.submitted_at_s[task_id])
         if shape.kind is TaskKind.BATCH and (
-            worker_id in self.black or arrival.fails_always
+            worker_id in self.failing_workers or arrival.fails_always
         ):
-            self.at(self.clock_s + 2.0, self.failed, task_id)
+            self.schedule(self.clock_s + 2.0, self.handle_failure, task_id)
 
-    def failed(self, task_id):
-        """Take in that a task failed on its worker."""
+    def handle_failure(self, task_id):
+        """Handle the failure of a task on its worker."""
         if task_id not in self.world.tasks or task_id in self.stopping:
             return
         self.world.stop(task_id)
         self.state.confirm_stopped(task_id, self.now_ms, StopOutcome.FAILED)
         self.enqueue(task_id)
 
-    def checkpoint(self, task_id):
-        """Tell a worker to checkpoint and stop a task."""
+    def request_checkpoint(self, task_id):
+        """Request that a worker checkpoint and stop a task."""
         self.stopping.add(task_id)
-        delay_s = self.world.rng.uniform(*CHECKPOINT_S)
-        self.at(self.clock_s + delay_s, self.checkpointed, task_id)
+        delay_s = self.world.rng.uniform(*CHECKPOINT_DELAY_S)
+        self.schedule(self.clock_s + delay_s, self.complete_checkpoint, task_id)
 
-    def checkpointed(self, task_id):
-        """Take in the proof that a task stopped."""
+    def complete_checkpoint(self, task_id):
+        """Handle the confirmation that a task has stopped; queue it again."""
         if task_id not in self.world.tasks:
             return
         self.stopping.discard(task_id)
         done_s = self.world.stop(task_id)
         self.state.confirm_stopped(task_id, self.now_ms, StopOutcome.EVICTED)
-        lost_s = min(REDONE_S, done_s)
-        self.lose(task_id, lost_s)
+        lost_s = min(REDONE_PER_EVICTION_S, done_s)
+        self.count_lost_work(task_id, lost_s)
         self.done_s[task_id] = done_s - lost_s
         self.enqueue(task_id)
-        self.place_all(urgent_only=True)
+        self.place_waiting(urgent_only=True)
 
-    def lose(self, task_id, lost_s):
-        """Count work that has to be done again."""
+    def count_lost_work(self, task_id, lost_s):
+        """Subtract work that has to be repeated from the useful work."""
         true_cores = self.arrivals[task_id].true_cores
         self.lost_core_s += lost_s * true_cores
         self.world.useful_core_s -= lost_s * true_cores
 
-    def finish_done(self):
-        """End the tasks that have done all they need."""
+    def complete_finished_tasks(self):
+        """Finish the tasks that have completed their work."""
         world = self.world
-        over = world.alive & (world.progress_s >= world.needed_s)
-        if not over.any():
+        is_finished = world.alive & (world.progress_s >= world.needed_s)
+        if not is_finished.any():
             return
-        slots = set(np.flatnonzero(over).tolist())
+        slots = set(np.flatnonzero(is_finished).tolist())
         for task_id, slot in list(world.tasks.items()):
             if slot in slots:
                 self.stopping.discard(task_id)
@@ -242,37 +248,42 @@
                 self.state.confirm_stopped(task_id, self.now_ms, StopOutcome.FINISHED)
                 self.finished += 1
 
-    def report(self, index):
-        """Send this step's share of the workers' reports on their way."""
-        world, every = self.world, self.world.conditions.report_every_s
-        phase = int(world.now_s) % every
-        for worker in range(phase, world.user.workers, every):
-            if f"w{worker}" in self.down:
+    def send_reports(self, index):
+        """Schedule delivery of the usage reports due in this step.
+
+        Workers report in turn, a different subset in each step of the interval.
+        """
+        world, interval_s = self.world, self.world.conditions.report_every_s
+        phase = int(world.now_s) % interval_s
+        for worker in range(phase, world.user.workers, interval_s):
+            if f"w{worker}" in self.down_workers:
                 continue
-            report = self.make_report(worker)
+            report = self.build_report(worker)
             lag_s = 0.0
-            if not self.scheme.instant:
+            if not self.scheme.immediate_reports:
                 lag_s = world.rng.uniform(
                     world.conditions.least_lag_s, world.conditions.most_lag_s
                 )
-            self.at(world.now_s + lag_s, self.deliver, report)
+            self.schedule(world.now_s + lag_s, self.receive_report, report)
 
-    def make_report(self, worker):
-        """Measure one worker since its last report."""
+    def build_report(self, worker):
+        """Build a usage report of a worker since its last report."""
         world = self.world
         usage, slowdowns = [], []
         for task_id in self.state.workers[f"w{worker}"].residents:
             slot = world.tasks.get(task_id)
             if slot is None or not world.seen[slot]:
                 continue
-            seen = world.seen[slot]
+            samples = world.seen[slot]
             used = Resources(
-                cores=float(world.used_sum[slot] / seen), memory_bytes=0, accelerators=0
+                cores=float(world.used_sum[slot] / samples),
+                memory_bytes=0,
+                accelerators=0,
             )
             usage.append(TaskUsage(task_id=task_id, used=used))
             if world.service[slot]:
                 noise = world.rng.normal(0.0, world.conditions.report_noise)
-                slowdown = float(world.slowdown_sum[slot] / seen) + noise
+                slowdown = float(world.slowdown_sum[slot] / samples) + noise
                 slowdowns.append(ServiceSlowdown(task_id=task_id, slowdown=slowdown))
             for column in (world.used_sum, world.slowdown_sum, world.seen):
                 column[slot] = 0.0
@@ -284,29 +295,30 @@
             slowdowns=tuple(slowdowns),
         )
 
-    def deliver(self, report):
-        """Take in a late report."""
+    def receive_report(self, report):
+        """Process a delayed usage report."""
         self.state.observe_usage(report, self.now_ms)
 
-    def react(self):
-        """Carry out the reactions."""
+    def apply_reactions(self):
+        """Apply the reactions to the reported slowdowns."""
         policy = self.scheme.policy
         for reaction in self.scheme.react(self.state, self.now_ms, policy):
             apply_reaction(self.state, reaction, self.now_ms, policy)
             kind = reaction.kind
             if kind in (ReactionKind.THROTTLE, ReactionKind.UNTHROTTLE):
                 self.throttles += kind is ReactionKind.THROTTLE
-                # The worker may be down, unknown to the shard: the command is lost.
+                # The command is lost if the worker is down and the shard has not yet
+                # detected it.
                 slot = self.world.tasks.get(reaction.task_id)
                 if slot is not None:
                     self.world.speed[slot] = reaction.speed
             elif kind in (ReactionKind.CHECKPOINT_EVICT, ReactionKind.MOVE):
                 self.evicted += 1
-                self.checkpoint(reaction.task_id)
+                self.request_checkpoint(reaction.task_id)
 
-    def lose_worker(self, worker_id):
-        """Let a worker die with all that it runs."""
-        self.down.add(worker_id)
+    def fail_worker(self, worker_id):
+        """Fail a worker and stop all of its tasks."""
+        self.down_workers.add(worker_id)
         for task_id in list(self.state.workers[worker_id].residents):
             if task_id in self.world.tasks:
                 done_s = self.world.stop(task_id)
@@ -314,11 +326,13 @@
                     self.world.useful_core_s -= (
                         done_s - self.done_s.get(task_id, 0.0)
                     ) * self.arrivals[task_id].true_cores
-        self.at(self.world.now_s + DETECT_S, self.detect_loss, worker_id)
-        self.at(self.world.now_s + REPAIR_S, self.repair, worker_id)
+        self.schedule(self.world.now_s + DETECTION_DELAY_S, self.detect_loss, worker_id)
+        self.schedule(
+            self.world.now_s + REPLACEMENT_DELAY_S, self.replace_worker, worker_id
+        )
 
     def detect_loss(self, worker_id):
-        """Count its tasks as stopped: its leases have lapsed."""
+        """Remove a failed worker and requeue its tasks, as its leases have expired."""
         residents = list(self.state.workers[worker_id].residents)
         self.state.remove_worker(worker_id)
         for task_id in residents:
@@ -326,13 +340,13 @@
             self.state.confirm_stopped(task_id, self.now_ms, StopOutcome.LOST)
             self.enqueue(task_id)
 
-    def repair(self, worker_id):
-        """Bring a replaced worker into use."""
-        self.down.discard(worker_id)
-        self.state.add_worker(self.shape(int(worker_id[1:])))
+    def replace_worker(self, worker_id):
+        """Add the replacement of a failed worker."""
+        self.down_workers.discard(worker_id)
+        self.state.add_worker(self.build_worker_shape(int(worker_id[1:])))
 
-    def shape(self, number):
-        """Describe a worker."""
+    def build_worker_shape(self, number):
+        """Build the description of a worker."""
         user = self.world.user
         return WorkerShape(
             worker_id=f"w{number}",
@@ -343,60 +357,60 @@
             ),
         )
 
-    def redeploy(self, task_id):
-        """Stop a service for its new release; it is placed again at once."""
+    def redeploy_service(self, task_id):
+        """Stop a service for a new release and queue it for placement."""
         if task_id not in self.world.tasks:
             return
         self.world.stop(task_id)
         self.state.confirm_stopped(task_id, self.now_ms, StopOutcome.CANCELLED)
         self.enqueue(task_id)
 
-    def cancel_burst(self):
-        """Callers cancel a third of what waits."""
+    def cancel_waiting_tasks(self):
+        """Cancel a third of the waiting batch tasks."""
         names = [name for name in self.waiting if name.startswith("batch")]
         for task_id in names[::3]:
             del self.waiting[task_id]
             self.state.forget_task(task_id)
 
-    def watch_tail(self, index):
-        """Count how services fare now."""
+    def record_slowdowns(self, index):
+        """Record the current slowdowns of services."""
         services = index[self.world.service[index]]
         excess = self.world.slowdown[services] - 1.0
-        if self.world.now_s < MEASURED_FROM_S or not len(excess):
-            self.tails.append(np.zeros(0))
+        if self.world.now_s < MEASUREMENT_START_S or not len(excess):
+            self.excess_samples.append(np.zeros(0))
             return
-        bins = np.searchsorted(TAIL_BINS, excess, side="right")
-        self.histogram += np.bincount(bins, minlength=len(self.histogram))
-        self.tails.append(excess)
-        self.late += float((excess > 0.1).sum())
+        bins = np.searchsorted(EXCESS_BINS, excess, side="right")
+        self.excess_histogram += np.bincount(bins, minlength=len(self.excess_histogram))
+        self.excess_samples.append(excess)
+        self.late_service_s += float((excess > 0.1).sum())
         self.service_s += len(excess)
 
 
-def _plan_faults(driver):
+def _schedule_faults(driver):
     conditions, user = driver.world.conditions, driver.world.user
     rng = np.random.default_rng([conditions.seed, 3])
     chosen = rng.choice(user.workers, size=user.workers, replace=False)
     count = conditions.worker_losses
     for number in chosen[:count]:
         at_s = float(rng.uniform(300.0, conditions.horizon_s - 600.0))
-        driver.at(at_s, driver.lose_worker, f"w{number}")
+        driver.schedule(at_s, driver.fail_worker, f"w{number}")
     for number in chosen[count : count + conditions.black_holes]:
         at_s = float(rng.uniform(300.0, conditions.horizon_s - 900.0))
-        driver.at(at_s, driver.black.add, f"w{number}")
-        driver.at(at_s + 900.0, driver.black.discard, f"w{number}")
-    driver.at(0.4 * conditions.horizon_s, driver.cancel_burst)
+        driver.schedule(at_s, driver.failing_workers.add, f"w{number}")
+        driver.schedule(at_s + 900.0, driver.failing_workers.discard, f"w{number}")
+    driver.schedule(0.4 * conditions.horizon_s, driver.cancel_waiting_tasks)
     for number in range(user.services):
-        at_s = float(rng.uniform(MEASURED_FROM_S / 3, MEASURED_FROM_S))
-        driver.at(at_s, driver.redeploy, f"service-{number}")
+        at_s = float(rng.uniform(MEASUREMENT_START_S / 3, MEASUREMENT_START_S))
+        driver.schedule(at_s, driver.redeploy_service, f"service-{number}")
 
 
 def run_scheme(scheme, user, conditions):
-    """Run one scheme through one seeded hour.
+    """Simulate one scheme under seeded conditions.
 
     Returns
     -------
     Outcome
-        What the run showed.
+        Summary statistics of the run.
     """
     world = World.build(user, conditions)
     driver = Driver(
@@ -404,23 +418,23 @@
     )
     scheme.prepare(driver.state)
     for number in range(user.workers):
-        driver.state.add_worker(driver.shape(number))
+        driver.state.add_worker(driver.build_worker_shape(number))
     driver.score = scheme.build_scorer(world, driver)
-    for arrival in draw_load(user, conditions):
-        driver.at(arrival.at_s, driver.submit, arrival)
-    _plan_faults(driver)
+    for arrival in draw_arrivals(user, conditions):
+        driver.schedule(arrival.at_s, driver.submit, arrival)
+    _schedule_faults(driver)
     while world.now_s < conditions.horizon_s:
         index = world.step()
-        driver.watch_tail(index)
+        driver.record_slowdowns(index)
         while driver.events and driver.events[0][0] <= world.now_s:
             driver.clock_s, _, action, arguments = heapq.heappop(driver.events)
             action(*arguments)
         driver.clock_s = world.now_s
-        driver.finish_done()
-        driver.report(index)
-        scheme.watch(world, driver.state)
+        driver.complete_finished_tasks()
+        driver.send_reports(index)
+        scheme.after_step(world, driver.state)
         step = int(world.now_s)
-        if step % BATCH_EVERY_S == 0:
-            driver.react()
-        driver.place_all(urgent_only=step % BATCH_EVERY_S != 0)
-    return sum_up(driver)
+        if step % BATCH_INTERVAL_S == 0:
+            driver.apply_reactions()
+        driver.place_waiting(urgent_only=step % BATCH_INTERVAL_S != 0)
+    return summarize_run(driver)
--- a/bench/placement_measure.py
+++ b/bench/placement_measure.py
@@ -1,4 +1,4 @@
-"""What one run showed, worked out from its driver's counts."""
+"""Summary statistics of one simulation run."""
 
 import attrs
 import numpy as np
@@ -6,20 +6,20 @@
 from bench.placement_world import (
     BATCH_CLASSES,
     CLASSES,
+    LOAD_EXPONENT,
     LOAD_GAIN,
-    LOAD_POWER,
     SERVICE_CLASSES,
 )
 
-__all__ = ["TAIL_BINS", "Outcome", "sum_up"]
+__all__ = ["EXCESS_BINS", "Outcome", "summarize_run"]
 
-CALIBRATED_LOAD = 0.7
-TAIL_BINS = np.concatenate([np.arange(0.0, 1.0, 0.002), np.arange(1.0, 6.0, 0.05)])
+CALIBRATION_LOAD = 0.7
+EXCESS_BINS = np.concatenate([np.arange(0.0, 1.0, 0.002), np.arange(1.0, 6.0, 0.05)])
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What one run showed."""
+    """Summary statistics of one simulation run."""
 
     scheme: str
     user: str
@@ -41,70 +41,75 @@
     calibration: float
 
 
-def _quantile(histogram, fraction):
-    edges = np.concatenate([[0.0], TAIL_BINS])
+def _compute_quantile(histogram, fraction):
+    edges = np.concatenate([[0.0], EXCESS_BINS])
     total = histogram.cumsum()
     return 1.0 + float(edges[np.searchsorted(total, fraction * total[-1])])
 
 
 def _measure_calibration(driver):
-    """Return the correlation of learned and hidden slowdowns of services by batch."""
+    """Return the correlation of learned and true slowdowns of services by batch."""
     world, state = driver.world, driver.state
-    gain = LOAD_GAIN * CALIBRATED_LOAD**LOAD_POWER
-    hidden = world.matrix * (world.flat + gain * (1.0 - world.flat))
-    learned = state.model.constant + CALIBRATED_LOAD * state.model.loaded
+    gain = LOAD_GAIN * CALIBRATION_LOAD**LOAD_EXPONENT
+    true_slowdowns = world.slowdown_matrix * (
+        world.constant_share + gain * (1.0 - world.constant_share)
+    )
+    learned = state.model.constant + CALIBRATION_LOAD * state.model.loaded
     pairs = [
-        (hidden[CLASSES.index(victim), CLASSES.index(other)], learned[row, column])
+        (
+            true_slowdowns[CLASSES.index(victim), CLASSES.index(other)],
+            learned[row, column],
+        )
         for victim in SERVICE_CLASSES
         for other in BATCH_CLASSES
         if (row := state.class_indexes.get(victim)) is not None
         and (column := state.class_indexes.get(other)) is not None
     ]
-    truth, guess = np.array(pairs).T
-    if guess.std() < 1e-9:
+    actual, predicted = np.array(pairs).T
+    if predicted.std() < 1e-9:
         return 0.0
-    return float(np.corrcoef(truth, guess)[0, 1])
+    return float(np.corrcoef(actual, predicted)[0, 1])
 
 
-def _measure_recovery(tails, conditions):
-    """Return the time from the rush until the tail stays back within 10 %."""
+def _measure_recovery(samples, conditions):
+    """Return the time from the start of the rush until p99 stays within 10 %, in s."""
 
-    def tail(from_s, to_s):
-        pooled = np.concatenate(tails[from_s:to_s])
+    def compute_p99(from_s, to_s):
+        pooled = np.concatenate(samples[from_s:to_s])
         return 1.0 + float(np.quantile(pooled, 0.99))
 
-    shift_s = conditions.rush_start_s
-    limit = 1.10 * min(tail(shift_s - 600, shift_s), 1.10)
-    window_s, last = 30, 0
-    for at_s in range(shift_s, conditions.rush_end_s - window_s, 10):
-        if tail(at_s, at_s + window_s) > limit:
-            last = at_s + window_s - shift_s
-    return float(last)
+    rush_start_s = conditions.rush_start_s
+    limit = 1.10 * min(compute_p99(rush_start_s - 600, rush_start_s), 1.10)
+    window_s, recovery_s = 30, 0
+    for at_s in range(rush_start_s, conditions.rush_end_s - window_s, 10):
+        if compute_p99(at_s, at_s + window_s) > limit:
+            recovery_s = at_s + window_s - rush_start_s
+    return float(recovery_s)
 
 
-def sum_up(driver):
-    """Sum one run up."""
+def summarize_run(driver):
+    """Compute the summary statistics of a run."""
     world, conditions = driver.world, driver.world.conditions
     jobs = max(driver.finished, 1)
-    available = world.user.workers * world.user.cores * conditions.horizon_s
-    urgent = driver.urgent_s or [np.nan]
+    available_core_s = world.user.workers * world.user.cores * conditions.horizon_s
+    urgent_waits_s = driver.urgent_waits_s or [np.nan]
     return Outcome(
         scheme=driver.scheme.name,
         user=world.user.name,
         seed=conditions.seed,
-        tail_p99=_quantile(driver.histogram, 0.99),
-        tail_p50=_quantile(driver.histogram, 0.50),
-        throughput=world.useful_core_s / available,
+        tail_p99=_compute_quantile(driver.excess_histogram, 0.99),
+        tail_p50=_compute_quantile(driver.excess_histogram, 0.50),
+        throughput=world.useful_core_s / available_core_s,
         evictions_per_1000=1000.0 * driver.evicted / jobs,
         lost_core_s_per_1000=1000.0 * driver.lost_core_s / jobs,
         capacity_exceeded=world.capacity_exceeded,
-        urgent_p99_s=float(np.quantile(urgent, 0.99)),
-        urgent_worst_s=float(max(urgent)),
-        recovery_s=_measure_recovery(driver.tails, conditions),
+        urgent_p99_s=float(np.quantile(urgent_waits_s, 0.99)),
+        urgent_worst_s=float(max(urgent_waits_s)),
+        recovery_s=_measure_recovery(driver.excess_samples, conditions),
         finished=driver.finished,
         refused=driver.refused,
         throttles=driver.throttles,
-        late_share=driver.late / max(driver.service_s, 1.0),
+        late_share=driver.late_service_s / max(driver.service_s, 1.0),
         preempted_per_1000=1000.0 * driver.preempted / jobs,
         calibration=_measure_calibration(driver),
     )
--- a/bench/placement_report.py
+++ b/bench/placement_report.py
@@ -1,4 +1,4 @@
-"""Write what the runs showed as a page and a plot."""
+"""Markdown report and plot of the placement benchmark."""
 
 import attrs
 import matplotlib as mpl
@@ -42,62 +42,66 @@
 """
 
 
-def _cell(outcomes, field, form):
+def _format_cell(outcomes, field, template):
     values = [getattr(outcome, field) for outcome in outcomes]
-    middle = form.format(np.median(values))
+    median = template.format(np.median(values))
     if field == "capacity_exceeded":
-        return form.format(sum(values))
-    return f"{middle} [{form.format(min(values))}, {form.format(max(values))}]"
+        return template.format(sum(values))
+    return f"{median} [{template.format(min(values))}, {template.format(max(values))}]"
 
 
-def _table(groups, first, columns=COLUMNS):
+def _format_table(groups, first_column, columns=COLUMNS):
     lines = [
-        f"| {first} | " + " | ".join(columns) + " |",
+        f"| {first_column} | " + " | ".join(columns) + " |",
         "|---" * (len(columns) + 1) + "|",
     ]
     for name, outcomes in groups.items():
-        cells = [_cell(outcomes, field, form) for field, form in columns.values()]
+        cells = [
+            _format_cell(outcomes, field, form) for field, form in columns.values()
+        ]
         lines.append(f"| {name} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _group(results, group, user, keep=lambda run: True):
-    found = {}
+def _group_outcomes(results, group, user, predicate=lambda run: True):
+    groups = {}
     for run, outcome in results:
-        if run.group == group and run.user == user and keep(run):
-            found.setdefault(run.scheme, []).append(outcome)
-    return found
+        if run.group == group and run.user == user and predicate(run):
+            groups.setdefault(run.scheme, []).append(outcome)
+    return groups
 
 
 def _median(outcomes, field):
     return float(np.median([getattr(outcome, field) for outcome in outcomes]))
 
 
-def _verdict(met):
+def _format_verdict(met):
     return "met" if met else "**not met**"
 
 
-def _goals(main, times):
-    town, agency = main["carrowmore"], main["agency"]
+def _format_goals(main, times):
+    carrowmore, agency = main["carrowmore"], main["agency"]
     baselines = [name for name in agency if name not in ("decisions", "oracle")]
-    tail = _median(town["decisions"], "tail_p99")
-    best = min(_median(town[name], "tail_p99") for name in baselines)
-    ours = _median(agency["decisions"], "throughput")
-    our_tail = _median(agency["decisions"], "tail_p99")
+    tail = _median(carrowmore["decisions"], "tail_p99")
+    best_tail = min(_median(carrowmore[name], "tail_p99") for name in baselines)
+    throughput = _median(agency["decisions"], "throughput")
+    agency_tail = _median(agency["decisions"], "tail_p99")
     oracle = _median(agency["oracle"], "throughput")
-    rivals = [
+    competing = [
         _median(agency[name], "throughput")
         for name in baselines
-        if _median(agency[name], "tail_p99") <= our_tail
+        if _median(agency[name], "tail_p99") <= agency_tail
     ]
-    rival = max(rivals, default=0.0)
-    shown = f"{rival:.3f}" if rivals else "none: no baseline has as good a tail"
+    best_competing = max(competing, default=0.0)
+    shown = (
+        f"{best_competing:.3f}" if competing else "none: no baseline has as good a tail"
+    )
     reaction = agency["reaction only"]
     evicted = _median(agency["decisions"], "evictions_per_1000")
-    evicted_there = _median(reaction, "evictions_per_1000")
+    reaction_evicted = _median(reaction, "evictions_per_1000")
     redone = _median(agency["decisions"], "lost_core_s_per_1000")
-    redone_there = _median(reaction, "lost_core_s_per_1000")
-    over = sum(
+    reaction_redone = _median(reaction, "lost_core_s_per_1000")
+    exceeded = sum(
         outcome.capacity_exceeded
         for groups in main.values()
         for outcome in groups["decisions"]
@@ -110,8 +114,8 @@
         for groups in main.values()
         for outcome in groups["decisions"]
     )
-    back = [_median(groups["decisions"], "recovery_s") for groups in main.values()]
-    back_there = [
+    recovery = [_median(groups["decisions"], "recovery_s") for groups in main.values()]
+    reaction_recovery = [
         _median(groups["reaction only"], "recovery_s") for groups in main.values()
     ]
     small, large = times
@@ -120,30 +124,30 @@
         ("service p99 slowdown, Carrowmore, <= 1.10", f"{tail:.3f}", tail <= 1.10),
         (
             "excess at most half the best baseline's, Carrowmore",
-            f"{tail - 1.0:.3f} against {best - 1.0:.3f}",
-            tail - 1.0 <= (best - 1.0) / 2.0,
+            f"{tail - 1.0:.3f} against {best_tail - 1.0:.3f}",
+            tail - 1.0 <= (best_tail - 1.0) / 2.0,
         ),
         (
             "throughput >= 95 % of the oracle, agency",
-            f"{ours / oracle:.1%}",
-            ours >= 0.95 * oracle,
+            f"{throughput / oracle:.1%}",
+            throughput >= 0.95 * oracle,
         ),
         (
             "throughput above each baseline of equal or better tail, agency",
-            f"{ours:.3f} against {shown}",
-            ours > rival,
+            f"{throughput:.3f} against {shown}",
+            throughput > best_competing,
         ),
         (
             "evictions <= 1/5 of reaction only, agency",
-            f"{evicted:.1f} against {evicted_there:.1f}",
-            evicted <= evicted_there / 5.0,
+            f"{evicted:.1f} against {reaction_evicted:.1f}",
+            evicted <= reaction_evicted / 5.0,
         ),
         (
             "work redone <= 1/5 of reaction only, agency",
-            f"{redone:.0f} against {redone_there:.0f} core-s",
-            redone <= redone_there / 5.0,
+            f"{redone:.0f} against {reaction_redone:.0f} core-s",
+            redone <= reaction_redone / 5.0,
         ),
-        ("capacity exceeded, all seeds: 0", f"{over}", over == 0),
+        ("capacity exceeded, all seeds: 0", f"{exceeded}", exceeded == 0),
         (
             "urgent start p99 < 4.7 s",
             f"{urgent:.2f} s, worst single start {worst_urgent:.1f} s",
@@ -151,9 +155,9 @@
         ),
         (
             "recovery shorter than reaction only (Carrowmore, agency)",
-            f"{back[0]:.0f}, {back[1]:.0f} s against "
-            f"{back_there[0]:.0f}, {back_there[1]:.0f} s",
-            back[0] < back_there[0] and back[1] < back_there[1],
+            f"{recovery[0]:.0f}, {recovery[1]:.0f} s against "
+            f"{reaction_recovery[0]:.0f}, {reaction_recovery[1]:.0f} s",
+            recovery[0] < reaction_recovery[0] and recovery[1] < reaction_recovery[1],
         ),
         (
             "one decision <= 100 us median at 24 workers",
@@ -167,11 +171,13 @@
         ),
     ]
     lines = ["| reach for | measured | |", "|---|---|---|"]
-    lines += [f"| {what} | {value} | {_verdict(met)} |" for what, value, met in rows]
+    lines += [
+        f"| {what} | {value} | {_format_verdict(met)} |" for what, value, met in rows
+    ]
     return "\n".join(lines)
 
 
-def _sweep(results, main):
+def _format_sweep(results, main):
     columns = {
         name: COLUMNS[name]
         for name in ("p99 slowdown", "time past target", "throughput", "urgent p99 (s)")
@@ -184,12 +190,14 @@
         groups = {}
         for run, outcome in results:
             if run.group == axis:
-                groups.setdefault(_name_point(run.conditions, axis), []).append(outcome)
-        parts.append(_table(groups, axis, columns))
+                groups.setdefault(_format_point(run.conditions, axis), []).append(
+                    outcome
+                )
+        parts.append(_format_table(groups, axis, columns))
     return "\n\n".join(parts)
 
 
-def _name_point(conditions, axis):
+def _format_point(conditions, axis):
     if axis.startswith("reports"):
         return f"{conditions.most_lag_s:g}"
     if axis.startswith("sizes"):
@@ -197,57 +205,63 @@
     return f"{conditions.drift_per_hour:g}"
 
 
-def write_report(results, times, memory, held_out, spent_s):
-    """Write the page.
+def write_report(results, times, memory, held_out, elapsed_s):
+    """Format the report.
 
     Parameters
     ----------
     results : list of (Run, Outcome)
-        Every run with what it showed.
+        Every run with its summary statistics.
     times : list of DecisionTime
-        Time of a decision, smallest fleet first.
+        Time of a decision, by ascending number of workers.
     memory : Memory
-        Bytes of the state.
+        Memory of a shard's state.
     held_out : tuple of int
-        Seeds that no setting was tuned on.
+        Seeds that were not used for tuning.
     spent_s : float
-        How long it all took, in s.
+        Total run time, in s.
 
     Returns
     -------
     str
-        The page in Markdown.
+        The report in Markdown.
     """
-    main = {user: _group(results, "main", user) for user in ("carrowmore", "agency")}
-    parts = [INTRODUCTION, "## What was reached for\n", _goals(main, times), ""]
+    main = {
+        user: _group_outcomes(results, "main", user)
+        for user in ("carrowmore", "agency")
+    }
+    parts = [INTRODUCTION, "## What was reached for\n", _format_goals(main, times), ""]
     for user, title in (
         ("carrowmore", "Carrowmore: 24 workers, latency-first"),
         ("agency", "Agency: 33 workers, throughput-first"),
     ):
-        tuned = _group(
+        tuning_groups = _group_outcomes(
             results, "main", user, lambda run: run.conditions.seed not in held_out
         )
-        kept = _group(
+        held_out_groups = _group_outcomes(
             results, "main", user, lambda run: run.conditions.seed in held_out
         )
-        count = len(tuned["decisions"]), len(kept["decisions"])
+        count = len(tuning_groups["decisions"]), len(held_out_groups["decisions"])
         parts += [f"## {title}\n", f"Seeds that settings were tuned on ({count[0]}):\n"]
-        parts += [_table(tuned, "scheme"), ""]
-        parts += [f"Seeds kept out of tuning ({count[1]}):\n", _table(kept, "scheme")]
+        parts += [_format_table(tuning_groups, "scheme"), ""]
+        parts += [
+            f"Seeds kept out of tuning ({count[1]}):\n",
+            _format_table(held_out_groups, "scheme"),
+        ]
         seeds = {run.conditions.seed for run, _ in results if run.group == "ablation"}
-        whole = _group(
+        unchanged = _group_outcomes(
             results, "main", user, lambda run, seeds=seeds: run.conditions.seed in seeds
         )
-        groups = {"decisions": whole["decisions"]}
-        groups |= _group(results, "ablation", user)
+        groups = {"decisions": unchanged["decisions"]}
+        groups |= _group_outcomes(results, "ablation", user)
         parts += [
             "",
             f"One mechanism switched off at a time (seeds {sorted(seeds)}):\n",
-            _table(groups, "scheme"),
+            _format_table(groups, "scheme"),
             "",
         ]
-    parts += ["## Until it breaks (Carrowmore)\n", _sweep(results, main), ""]
-    known = {
+    parts += ["## Until it breaks (Carrowmore)\n", _format_sweep(results, main), ""]
+    calibrations = {
         user: _median(groups["decisions"], "calibration")
         for user, groups in main.items()
     }
@@ -255,7 +269,7 @@
         "## Calibration and cost\n",
         "Correlation of the learned with the hidden slowdowns of services by batch "
         f"classes at load 0.7, at the end of a run, median: Carrowmore "
-        f"{known['carrowmore']:.2f}, agency {known['agency']:.2f}.\n",
+        f"{calibrations['carrowmore']:.2f}, agency {calibrations['agency']:.2f}.\n",
         "| workers | decision, median (us) | p99 (us) |",
         "|---|---|---|",
     ]
@@ -272,7 +286,7 @@
     ]
     parts += [
         "",
-        f"All of it took {spent_s:.0f} s on four processes.",
+        f"All of it took {elapsed_s:.0f} s on four processes.",
         "",
         "![p99 slowdown against throughput](placement_bench.png)",
         "",
@@ -282,7 +296,7 @@
 
 @attrs.frozen(kw_only=True)
 class Point:
-    """One scheme for one user: medians, each with its lowest and highest seed."""
+    """Median, minimum and maximum over seeds of one scheme for one user."""
 
     user: str
     scheme: str
@@ -291,57 +305,57 @@
 
 
 def list_points(results, held_out):
-    """List what is drawn: the seeds that were kept out of tuning."""
+    """List the points of the plot, from the seeds not used for tuning."""
     points = []
     for user in ("carrowmore", "agency"):
-        kept = _group(
+        groups = _group_outcomes(
             results, "main", user, lambda run: run.conditions.seed in held_out
         )
-        for scheme, outcomes in kept.items():
+        for scheme, outcomes in groups.items():
             points.append(
                 Point(
                     user=user,
                     scheme=scheme,
-                    throughput=_spread(outcomes, "throughput"),
-                    tail=_spread(outcomes, "tail_p99"),
+                    throughput=_compute_range(outcomes, "throughput"),
+                    tail=_compute_range(outcomes, "tail_p99"),
                 )
             )
     return points
 
 
-def _spread(outcomes, field):
+def _compute_range(outcomes, field):
     values = [getattr(outcome, field) for outcome in outcomes]
     return float(np.median(values)), min(values), max(values)
 
 
-def _reach(spread):
-    middle, low, high = spread
-    return [[middle - low], [high - middle]]
+def _compute_error_bars(spread):
+    median, low, high = spread
+    return [[median - low], [high - median]]
 
 
 def draw_plot(points, path):
-    """Draw the tail against throughput, a median with its range for each scheme."""
+    """Plot p99 slowdown against throughput, with medians and ranges by scheme."""
     figure, axes = plt.subplots(1, 2, figsize=(10, 4), dpi=80)
     names = list(dict.fromkeys(point.scheme for point in points))
-    for pane, user in zip(axes, ("carrowmore", "agency"), strict=True):
+    for panel, user in zip(axes, ("carrowmore", "agency"), strict=True):
         for point in points:
             if point.user != user:
                 continue
-            pane.errorbar(
+            panel.errorbar(
                 point.throughput[0],
                 point.tail[0],
-                xerr=_reach(point.throughput),
-                yerr=_reach(point.tail),
+                xerr=_compute_error_bars(point.throughput),
+                yerr=_compute_error_bars(point.tail),
                 fmt="o",
                 markersize=5,
                 linewidth=0.8,
                 color=f"C{names.index(point.scheme)}",
                 label=point.scheme,
             )
-        pane.axhline(1.1, color="grey", linewidth=0.8)
-        pane.set_title(f"{user}, seeds kept out of tuning")
-        pane.set_xlabel("throughput (useful / all core-hours)")
-        pane.set_ylabel("p99 slowdown of services")
-        pane.legend(fontsize=7)
+        panel.axhline(1.1, color="grey", linewidth=0.8)
+        panel.set_title(f"{user}, seeds kept out of tuning")
+        panel.set_xlabel("throughput (useful / all core-hours)")
+        panel.set_ylabel("p99 slowdown of services")
+        panel.legend(fontsize=7)
     figure.tight_layout()
     figure.savefig(path)
--- a/bench/placement_world.py
+++ b/bench/placement_world.py
@@ -1,7 +1,7 @@
-"""Fakes at the worker interface: hidden slowdowns, late reports, faults.
+"""Simulated fleet of workers: true slowdowns and resource usage of tasks.
 
-Nothing here is seen by the decisions but what a worker would report. Time goes in
-steps of one virtual second; each source of chance has its own seeded generator.
+Placement decisions see only what a worker would report. Virtual time advances in steps
+of one second. Each source of randomness has its own seeded generator.
 """
 
 import attrs
@@ -15,13 +15,13 @@
 BATCH_CLASSES = ("roster", "manifest", "galley", "statistics", "export", "sky-model")
 CLASSES = (*SERVICE_CLASSES, WATCHER_CLASS, *BATCH_CLASSES)
 STEP_S = 1.0
-LOAD_POWER = 3.0
+LOAD_EXPONENT = 3.0
 LOAD_GAIN = 1.6
 
 
 @attrs.frozen(kw_only=True)
 class User:
-    """One user's size and mix."""
+    """Size and workload mix of one user's deployment."""
 
     name: str
     workers: int
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class Conditions:
-    """What is hidden and how hard it is made."""
+    """Parameters of a simulation run: report lag, declaration errors, drift, faults."""
 
     seed: int
     horizon_s: int = 2400
@@ -59,8 +59,8 @@
     black_holes: int = 1
 
 
-def _draw_matrix(rng):
-    """Draw who slows whom, and which part of it does not depend on load."""
+def _draw_slowdowns(rng):
+    """Draw the slowdown of each class by each other, and its load-independent share."""
     count, services = len(CLASSES), len(SERVICE_CLASSES)
     matrix = np.exp(rng.normal(np.log(0.10), 0.9, (count, count)))
     matrix[:, : services + 1] = rng.uniform(0.01, 0.05, (count, services + 1))
@@ -72,17 +72,17 @@
 
 @attrs.define(kw_only=True)
 class World:
-    """The fleet as it really is."""
+    """True state of the simulated fleet; tasks are columns indexed by slot."""
 
     user: User
     conditions: Conditions
     rng: np.random.Generator
-    matrix: np.ndarray
-    flat: np.ndarray
+    slowdown_matrix: np.ndarray
+    constant_share: np.ndarray
     now_s: float = 0.0
     tasks: dict = attrs.field(factory=dict)
     free_slots: list = attrs.field(factory=list)
-    waves: list = attrs.field(factory=list)
+    bursts: list = attrs.field(factory=list)
     useful_core_s: float = 0.0
     capacity_exceeded: int = 0
     alive: np.ndarray = None
@@ -104,15 +104,21 @@
 
     @classmethod
     def build(cls, user, conditions):
-        """Build an empty fleet from a seed."""
+        """Build a fleet without tasks from the seed of the conditions."""
         rng = np.random.default_rng([conditions.seed, 1])
-        matrix, flat = _draw_matrix(rng)
-        world = cls(user=user, conditions=conditions, rng=rng, matrix=matrix, flat=flat)
-        world._draw_waves()
+        slowdown_matrix, constant_share = _draw_slowdowns(rng)
+        world = cls(
+            user=user,
+            conditions=conditions,
+            rng=rng,
+            slowdown_matrix=slowdown_matrix,
+            constant_share=constant_share,
+        )
+        world._draw_bursts()
         return world
 
     def __attrs_post_init__(self):
-        """Make the columns of the tasks."""
+        """Allocate the task columns."""
         size = 64 * self.user.workers
         for name in ("owner", "kind_of"):
             setattr(self, name, np.zeros(size, dtype=np.intp))
@@ -135,7 +141,7 @@
         ):
             setattr(self, name, np.zeros(size))
 
-    def _draw_waves(self):
+    def _draw_bursts(self):
         at_s = 0.0
         while at_s < self.conditions.horizon_s:
             at_s += self.rng.exponential(900.0)
@@ -143,10 +149,10 @@
             class_index = (
                 len(SERVICE_CLASSES) + 1 + int(self.rng.integers(len(BATCH_CLASSES)))
             )
-            self.waves.append((at_s, at_s + length_s, class_index))
+            self.bursts.append((at_s, at_s + length_s, class_index))
 
-    def demand(self, at_s=None):
-        """Return the part of their peak that services carry at a time."""
+    def compute_demand(self, at_s=None):
+        """Return the load of services as a fraction of their peak at a time."""
         at_s = self.now_s if at_s is None else at_s
         base = 0.55 + 0.1 * np.sin(2 * np.pi * at_s / 3600.0)
         start_s, end_s = self.conditions.rush_start_s, self.conditions.rush_end_s
@@ -155,7 +161,7 @@
         return base
 
     def start(self, shape, worker, true_cores, noise, needed_s, done_s, is_service):
-        """Start a task on a worker."""
+        """Start a task on a worker; return its slot."""
         slot = self.free_slots.pop()
         self.alive[slot] = True
         self.owner[slot] = worker
@@ -176,7 +182,7 @@
         return slot
 
     def stop(self, task_id):
-        """Stop a task; return the run time it has done, in s."""
+        """Stop a task; return its completed run time, in s."""
         slot = self.tasks.pop(task_id)
         self.alive[slot] = False
         self.free_slots.append(slot)
@@ -190,31 +196,35 @@
         ):
             self.capacity_exceeded += 1
 
-    def aggression(self):
-        """Return how much each class is louder than usual now."""
-        loud = np.ones(len(CLASSES))
-        for start_s, end_s, class_index in self.waves:
+    def compute_intensities(self):
+        """Return the current interference multiplier of each class."""
+        intensity = np.ones(len(CLASSES))
+        for start_s, end_s, class_index in self.bursts:
             if start_s <= self.now_s < end_s:
-                loud[class_index] = 2.5
-        return loud
+                intensity[class_index] = 2.5
+        return intensity
 
     def step(self):
-        """Run every task for one step."""
+        """Advance every running task by one step; return their slots."""
         index = np.flatnonzero(self.alive)
         owner, service = self.owner[index], self.service[index]
         workers, cores = self.user.workers, self.user.cores
-        wanted = self.true[index] * np.where(service, self.demand(), 1.0)
+        wanted = self.true[index] * np.where(service, self.compute_demand(), 1.0)
         used = np.minimum(wanted, self.declared[index]) * self.speed[index]
-        over = np.where(service, wanted - used, 0.0)
+        excess_cores = np.where(service, wanted - used, 0.0)
         total = np.bincount(owner, used, workers)
         spare = np.maximum(cores - total, 0.0)
-        asked = np.bincount(owner, over, workers)
-        granted = over * np.minimum(1.0, spare / np.maximum(asked, 1e-9))[owner]
-        short = np.where(service, (over - granted) / np.maximum(wanted, 1e-9), 0.0)
+        requested = np.bincount(owner, excess_cores, workers)
+        granted = (
+            excess_cores * np.minimum(1.0, spare / np.maximum(requested, 1e-9))[owner]
+        )
+        shortage = np.where(
+            service, (excess_cores - granted) / np.maximum(wanted, 1e-9), 0.0
+        )
         used = used + granted
         load = np.bincount(owner, used, workers) / cores
-        excess = self._excess(index, owner, used, load)
-        self.slowdown[index] = 1.0 + excess + short
+        excess = self._compute_excess(index, owner, used, load)
+        self.slowdown[index] = 1.0 + excess + shortage
         self.used[index] = used
         self.used_sum[index] += used
         self.slowdown_sum[index] += self.slowdown[index]
@@ -226,23 +236,30 @@
         self.progress_s[index] += rate
         batch = np.isfinite(self.needed_s[index]) & ~service
         self.useful_core_s += float((rate * self.true[index])[batch].sum())
-        self._drift()
+        self._apply_drift()
         self.now_s += STEP_S
         return index
 
-    def _excess(self, index, owner, used, load):
+    def _compute_excess(self, index, owner, used, load):
         kinds = self.kind_of[index]
-        push = used * self.noise[index] * self.aggression()[kinds] / self.user.cores
+        contribution = (
+            used
+            * self.noise[index]
+            * self.compute_intensities()[kinds]
+            / self.user.cores
+        )
         pressure = np.zeros((self.user.workers, len(CLASSES)))
-        np.add.at(pressure, (owner, kinds), push)
-        flat = self.matrix * self.flat
-        rising = self.matrix - flat
-        loaded = (LOAD_GAIN * load**LOAD_POWER)[:, None]
-        by_class = pressure @ flat.T + loaded * (pressure @ rising.T)
-        own = flat[kinds, kinds] + loaded[owner, 0] * rising[kinds, kinds]
-        return np.maximum(by_class[owner, kinds] - own * push, 0.0)
-
-    def _drift(self):
+        np.add.at(pressure, (owner, kinds), contribution)
+        constant = self.slowdown_matrix * self.constant_share
+        load_dependent = self.slowdown_matrix - constant
+        loaded = (LOAD_GAIN * load**LOAD_EXPONENT)[:, None]
+        by_class = pressure @ constant.T + loaded * (pressure @ load_dependent.T)
+        own = constant[kinds, kinds] + loaded[owner, 0] * load_dependent[kinds, kinds]
+        return np.maximum(by_class[owner, kinds] - own * contribution, 0.0)
+
+    def _apply_drift(self):
         deviation = self.conditions.drift_per_hour * np.sqrt(STEP_S / 3600.0)
         if deviation:
-            self.matrix *= np.exp(self.rng.normal(0.0, deviation, self.matrix.shape))
+            self.slowdown_matrix *= np.exp(
+                self.rng.normal(0.0, deviation, self.slowdown_matrix.shape)
+            )
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -1,4 +1,7 @@
-"""Time of one round of assignment, by number of workers: ``python -m bench.rounds``."""
+"""Benchmark of one assignment round, by number of workers.
+
+Run ``python -m bench.rounds``.
+"""
 
 import random
 import time
@@ -45,7 +48,7 @@
 
 
 def build_shard(count: int) -> Shard:
-    """Build a shard of workers that have answered once and run nothing."""
+    """Build a shard of idle workers, each of which has been polled once."""
     shard = Shard(workers=0)
     for number in range(count):
         worker_id = f"w{number}"
@@ -66,11 +69,11 @@
     return shard
 
 
-def learn_weights(shard: Shard, choices: random.Random) -> None:
-    """Have every pair of images known, three in five as heavy."""
+def learn_weights(shard: Shard, generator: random.Random) -> None:
+    """Teach the scheduler the weight of every pair of images, three in five heavy."""
     for victim in range(IMAGES):
         for filler in range(FILLER_IMAGES):
-            cost = 0.1 * choices.choice((0.8, 0.8, 9.0, 9.0, 9.0))
+            cost = 0.1 * generator.choice((0.8, 0.8, 9.0, 9.0, 9.0))
             for _ in range(10):
                 shard.scheduler.interference.learn_change(
                     f"s{victim}",
@@ -81,12 +84,12 @@
                 )
 
 
-def _plan(shard: Shard, *, pause_ms: float = 1000.0) -> tuple[float, int]:
-    """Make a plan and carry it out; return its time in ms and its starts."""
+def _run_round(shard: Shard, *, pause_ms: float = 1000.0) -> tuple[float, int]:
+    """Plan and execute one round; return its processor time in ms and its starts."""
     shard.pass_time(pause_ms)
-    began = time.process_time()
+    started_s = time.process_time()
     orders = [order for order in shard.plan() if isinstance(order, StartOrder)]
-    spent_ms = (time.process_time() - began) * 1000.0
+    cpu_ms = (time.process_time() - started_s) * 1000.0
     for order in orders:
         worker = shard.workers[order.worker_id]
         worker.run(order)
@@ -95,35 +98,35 @@
             worker.update(order.task, order.attempt, percent=100.0, load=7.0)
         shard.answer(order, OrderOutcome.DONE)
     shard.pass_time(5.0)
-    # All make progress: workers on which tasks stand still are avoided.
+    # Advance every task, as workers whose tasks make no progress are avoided.
     for worker in shard.workers.values():
         for (task, attempt), running in worker.running.items():
             worker.update(task, attempt, percent=min(100.0, running.percent + 1.0))
     shard.look_all()
-    return spent_ms, len(orders)
+    return cpu_ms, len(orders)
 
 
 def _measure(count: int) -> None:
-    choices = random.Random(count)
+    generator = random.Random(count)
     shard = build_shard(count)
-    learn_weights(shard, choices)
+    learn_weights(shard, generator)
     for number in range(count // 4):
         step = attrs.evolve(SERVICE_STEP, image=f"s{number % IMAGES}")
         shard.submit(build_job(step, job_id=f"service-{number}"))
-    _plan(shard)
+    _run_round(shard)
     rows = []
-    for turn in range(5):
+    for batch in range(5):
         for number in range(count // 6):
-            image = f"f{choices.randrange(FILLER_IMAGES)}"
+            image = f"f{generator.randrange(FILLER_IMAGES)}"
             step = attrs.evolve(FILLER_STEP, image=image)
-            shard.submit(build_job(step, job_id=f"filler-{turn}-{number}"))
-        rows.append(_plan(shard))
+            shard.submit(build_job(step, job_id=f"filler-{batch}-{number}"))
+        rows.append(_run_round(shard))
     waiting = len(shard.scheduler.waiting)
-    idle_ms, _ = _plan(shard)
+    idle_ms, _ = _run_round(shard)
     for number in range(4):
         shard.submit(build_job(_URGENT_STEP, job_id=f"urgent-{number}"))
-    # Too soon after the last for fillers to be looked at.
-    urgent_ms, urgent = _plan(shard, pause_ms=5.0)
+    # The pause is too short for the round to consider fillers.
+    urgent_ms, urgent = _run_round(shard, pause_ms=5.0)
     first_ms, first = rows[0]
     print(
         f"{count:8} {first:6} in {first_ms:7.1f} {waiting:8} {idle_ms:12.1f} "
