--- a/bench/experiments/__init__.py
+++ b/bench/experiments/__init__.py
@@ -1,26 +1,26 @@
-"""Versions of the code side by side, over days, seeds and variants of a deployment.
+"""Paired comparison of versions of the code over days, seeds and deployment variants.
 
-A policy that is judged by one deployment's days fits them. So versions are played on
-the same days with the same seeds, on the deployments as given and on variants drawn
-from a seed, and compared play by play.
+A policy tuned on the days of a single deployment overfits them. All versions are
+therefore run on the same days with the same seeds, on the given deployments and on
+randomly drawn variants, and compared run by run.
 
 Run ``python -m bench.experiments --help``.
 """
 
-from bench.experiments.comparison import Comparison, compare, find_interval
-from bench.experiments.plays import Outcome, Play, decode_report
-from bench.experiments.runner import play_all, read_outcomes
+from bench.experiments.comparison import Comparison, compare, compute_interval
+from bench.experiments.runner import read_outcomes, run_all
+from bench.experiments.runs import Outcome, Run, decode_report
 from bench.experiments.variants import draw_variant, write_variant
 
 __all__ = [
     "Comparison",
     "Outcome",
-    "Play",
+    "Run",
     "compare",
     "decode_report",
     "draw_variant",
-    "find_interval",
-    "play_all",
+    "compute_interval",
+    "run_all",
     "read_outcomes",
     "write_variant",
 ]
--- a/bench/experiments/__main__.py
+++ b/bench/experiments/__main__.py
@@ -1,7 +1,7 @@
-"""Play versions of the code side by side and compare them.
+"""Run versions of the code on the same days and compare their outcomes.
 
-Each version is a checkout of its own. What was played is kept in a file, so that a call
-that adds versions or seeds plays only these.
+Each version is a separate checkout. Outcomes are stored in a file, so that a later call
+with more versions or seeds runs only the missing ones.
 """
 
 import argparse
@@ -11,8 +11,8 @@
 
 from bench.experiments.comparison import compare
 from bench.experiments.page import build_table, draw_plot
-from bench.experiments.plays import Play
-from bench.experiments.runner import Player, play_all, read_outcomes
+from bench.experiments.runner import Simulator, read_outcomes, run_all
+from bench.experiments.runs import Run
 from bench.experiments.variants import write_variant
 
 __all__ = ["main"]
@@ -46,7 +46,7 @@
 
 
 def _list_sites(arguments: argparse.Namespace) -> list[tuple[str, pathlib.Path]]:
-    """Return name and file of each deployment: as given, or variants of it."""
+    """Return the name and file of each deployment, or of its variants if requested."""
     if not arguments.variant:
         return [(site.stem, site) for site in arguments.site]
     return [
@@ -56,11 +56,11 @@
     ]
 
 
-def _list_plays(arguments: argparse.Namespace) -> list[Play]:
+def _list_runs(arguments: argparse.Namespace) -> list[Run]:
     versions = [text.partition("=") for text in arguments.version]
-    # Versions change fastest, so that they are played beside the same other work.
+    # The version varies fastest, so that versions run under a similar machine load.
     return [
-        Play(
+        Run(
             version=version,
             checkout=pathlib.Path(checkout),
             deployment=deployment,
@@ -76,20 +76,20 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Play what is missing and print the comparison."""
+    """Execute missing runs and print the comparison."""
     parsed = _build_parser().parse_args(arguments)
     if parsed.player is not None:
-        player = Player(
+        simulator = Simulator(
             program=parsed.player.resolve(),
-            why=parsed.why,
-            is_processor_free=parsed.no_cpu,
+            reason=parsed.why,
+            ignores_cpu_time=parsed.no_cpu,
         )
-        play_all(
-            _list_plays(parsed),
-            player=player,
+        run_all(
+            _list_runs(parsed),
+            simulator=simulator,
             path=parsed.file,
             processes=parsed.processes,
-            tell=lambda line: print(line, flush=True),
+            report_progress=lambda line: print(line, flush=True),
         )
     outcomes = read_outcomes(parsed.file)
     if not outcomes:
--- a/bench/experiments/comparison.py
+++ b/bench/experiments/comparison.py
@@ -1,4 +1,4 @@
-"""Versions compared play by play, with an interval for the mean difference."""
+"""Paired comparison of versions with confidence intervals."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -6,41 +6,41 @@
 import attrs
 import numpy as np
 
-from bench.experiments.plays import Outcome
+from bench.experiments.runs import Outcome
 
-__all__ = ["Comparison", "compare", "find_interval"]
+__all__ = ["Comparison", "compare", "compute_interval"]
 
 _RESAMPLES = 10_000
-_LEVEL = 0.95
-_SEED = 1
+_CONFIDENCE_LEVEL = 0.95
+_BOOTSTRAP_SEED = 1
 
 
 @attrs.frozen(kw_only=True)
 class Comparison:
-    """One version against another over a group of plays.
+    """One version compared with the base version over a group of runs.
 
     Parameters
     ----------
     version, group : str
-        The version, and what its plays have in common.
-    plays : int
-        Plays of it.
+        The version, and the deployment and day that its runs share.
+    runs : int
+        Number of runs.
     mean, worst : float
-        Worth over them.
+        Mean and minimum worth of the runs.
     failed : float
-        Mean share of requests that earned nothing.
+        Mean share of requests that earned no benefit.
     broken : int
-        Plays that broke a rule.
+        Number of runs with rule violations.
     difference : float or None
-        Mean difference to the other version over the plays that both have; None where
-        they share none.
+        Mean difference from the base version over common runs; None without common
+        runs.
     low, high : float or None
-        Interval of that difference; None where they share fewer than two.
+        Confidence interval of the difference; None with fewer than two common runs.
     """
 
     version: str
     group: str
-    plays: int
+    runs: int
     mean: float
     worst: float
     failed: float
@@ -50,23 +50,25 @@
     high: float | None
 
 
-def find_interval(differences: Sequence[float]) -> tuple[float, float]:
-    """Return the interval of a mean by resampling (a percentile bootstrap)."""
-    generator = np.random.default_rng(_SEED)
+def compute_interval(differences: Sequence[float]) -> tuple[float, float]:
+    """Return the percentile bootstrap confidence interval of the mean."""
+    generator = np.random.default_rng(_BOOTSTRAP_SEED)
     values = np.asarray(differences)
-    picks = generator.integers(0, len(values), size=(_RESAMPLES, len(values)))
-    means = values[picks].mean(axis=1)
-    low, high = np.quantile(means, [(1.0 - _LEVEL) / 2.0, (1.0 + _LEVEL) / 2.0])
+    indices = generator.integers(0, len(values), size=(_RESAMPLES, len(values)))
+    means = values[indices].mean(axis=1)
+    low, high = np.quantile(
+        means, [(1.0 - _CONFIDENCE_LEVEL) / 2.0, (1.0 + _CONFIDENCE_LEVEL) / 2.0]
+    )
     return float(low), float(high)
 
 
 def compare(outcomes: Iterable[Outcome], *, base: str) -> list[Comparison]:
-    """Compare each version with ``base``: by deployment and day, by deployment, in all.
+    """Compare versions with ``base`` by deployment and day, by deployment, and overall.
 
     Parameters
     ----------
     outcomes : iterable of Outcome
-        Plays of all versions.
+        Outcomes of all versions.
     base : str
         Name of the version that the others are compared with.
     """
@@ -79,24 +81,26 @@
         ):
             groups[group][outcome.version].append(outcome)
     return [
-        _compare_one(group, version, rows, versions.get(base, []))
+        _compare_version(group, version, rows, versions.get(base, []))
         for group, versions in sorted(groups.items())
         for version, rows in sorted(versions.items())
     ]
 
 
-def _compare_one(
-    group: str, version: str, rows: list[Outcome], others: list[Outcome]
+def _compare_version(
+    group: str, version: str, rows: list[Outcome], base_outcomes: list[Outcome]
 ) -> Comparison:
-    by_setting = {other.setting: other.worth for other in others}
+    base_worths = {other.scenario: other.worth for other in base_outcomes}
     differences = [
-        row.worth - by_setting[row.setting] for row in rows if row.setting in by_setting
+        row.worth - base_worths[row.scenario]
+        for row in rows
+        if row.scenario in base_worths
     ]
-    interval = find_interval(differences) if len(differences) > 1 else (None, None)
+    interval = compute_interval(differences) if len(differences) > 1 else (None, None)
     return Comparison(
         version=version,
         group=group,
-        plays=len(rows),
+        runs=len(rows),
         mean=float(np.mean([row.worth for row in rows])),
         worst=min(row.worth for row in rows),
         failed=float(np.mean([row.failed for row in rows])),
--- a/bench/experiments/page.py
+++ b/bench/experiments/page.py
@@ -1,4 +1,4 @@
-"""The comparison as a table and as a plot."""
+"""Table and plot of a comparison."""
 
 import pathlib
 from collections.abc import Sequence
@@ -13,29 +13,31 @@
 __all__ = ["build_table", "draw_plot"]
 
 
-def _show(figure: float | None) -> str:
-    return "" if figure is None else f"{figure:+.3f}"
+def _format_difference(value: float | None) -> str:
+    return "" if value is None else f"{value:+.3f}"
 
 
 def build_table(rows: Sequence[Comparison]) -> str:
-    """Return the comparison as a Markdown table."""
+    """Format the comparison as a Markdown table."""
     lines = [
         "| plays of | version | plays | mean | worst | failed | broken | difference |",
         "|---|---|---|---|---|---|---|---|",
     ]
     for row in rows:
-        difference = _show(row.difference)
+        difference = _format_difference(row.difference)
         if row.low is not None:
-            difference += f" ({_show(row.low)} to {_show(row.high)})"
+            difference += (
+                f" ({_format_difference(row.low)} to {_format_difference(row.high)})"
+            )
         lines.append(
-            f"| {row.group} | {row.version} | {row.plays} | {row.mean:.3f} "
+            f"| {row.group} | {row.version} | {row.runs} | {row.mean:.3f} "
             f"| {row.worst:.3f} | {row.failed:.3f} | {row.broken} | {difference} |"
         )
     return "\n".join(lines)
 
 
 def draw_plot(rows: Sequence[Comparison], path: pathlib.Path) -> None:
-    """Draw the mean differences with their intervals, a row for each group."""
+    """Plot the mean differences with confidence intervals, one row per comparison."""
     shown = [row for row in rows if row.low is not None and row.high is not None]
     figure, axes = pyplot.subplots(figsize=(8, 1 + 0.25 * len(shown)))
     for number, row in enumerate(reversed(shown)):
--- a/bench/experiments/runner.py
+++ b/bench/experiments/runner.py
@@ -1,4 +1,4 @@
-"""Playing of many days, some at a time, into a file that a later call goes on from."""
+"""Parallel execution of runs, with outcomes stored in a file for resumption."""
 
 import concurrent.futures
 import json
@@ -9,134 +9,134 @@
 
 import attrs
 
-from bench.experiments.plays import (
+from bench.experiments.runs import (
     Outcome,
-    Play,
+    Run,
     decode_outcome,
     decode_report,
     encode_outcome,
 )
 
-__all__ = ["PlayError", "Player", "play_all", "read_outcomes"]
+__all__ = ["RunError", "Simulator", "run_all", "read_outcomes"]
 
-_LONGEST_PLAY_S = 1800.0
-"""A play that takes longer is given up, in s: the largest days take five minutes."""
+_RUN_TIMEOUT_S = 1800.0
+"""Timeout of a run, in s; the largest days take five minutes."""
 
-_KEPT_OUTPUT = 2000
-"""Characters of a failed play's output that are shown."""
+_MAX_OUTPUT_CHARS = 2000
+"""Number of trailing characters of a failed run's output that are reported."""
 
 
-class PlayError(Exception):
-    """A play brought no report."""
+class RunError(Exception):
+    """A run produced no report."""
 
 
 @attrs.frozen(kw_only=True)
-class Player:
-    """The program that plays days, and how it is called.
+class Simulator:
+    """Simulation program and its options.
 
     Parameters
     ----------
     program : pathlib.Path
-        The program.
-    why : str
-        Reason that goes into its journal.
-    is_processor_free : bool
-        Whether processor time costs nothing: plays then mostly repeat.
+        Path of the program.
+    reason : str
+        Reason recorded in the program's journal.
+    ignores_cpu_time : bool
+        Whether processor time is not charged, which makes runs mostly reproducible.
     """
 
     program: pathlib.Path
-    why: str
-    is_processor_free: bool = False
+    reason: str
+    ignores_cpu_time: bool = False
 
-    def play(self, play: Play) -> Outcome:
-        """Play a day.
+    def execute(self, run: Run) -> Outcome:
+        """Execute a run.
 
         Raises
         ------
-        PlayError
-            If it brings no report.
+        RunError
+            If the run produces no report.
         """
         with tempfile.TemporaryDirectory() as folder:
             report = pathlib.Path(folder) / "report.json"
-            command = self._build_command(play, report)
-            done = subprocess.run(
+            command = self._build_command(run, report)
+            completed = subprocess.run(
                 command,
-                cwd=play.checkout,
+                cwd=run.checkout,
                 capture_output=True,
                 text=True,
-                timeout=_LONGEST_PLAY_S,
+                timeout=_RUN_TIMEOUT_S,
                 check=False,
             )
             if not report.exists():
-                output = (done.stdout + done.stderr)[-_KEPT_OUTPUT:]
-                raise PlayError(f"{play}: exit code {done.returncode}: {output}")
-            return decode_report(play, json.loads(report.read_text()))
-
-    def _build_command(self, play: Play, report: pathlib.Path) -> list[str]:
-        command = [str(self.program), "run", str(play.site), play.day]
-        command += ["--report", str(report), "--jobs", "1", "--why", self.why]
-        if play.seed is not None:
-            command += ["--seed", str(play.seed)]
-        if play.varied:
+                output = (completed.stdout + completed.stderr)[-_MAX_OUTPUT_CHARS:]
+                raise RunError(f"{run}: exit code {completed.returncode}: {output}")
+            return decode_report(run, json.loads(report.read_text()))
+
+    def _build_command(self, run: Run, report: pathlib.Path) -> list[str]:
+        command = [str(self.program), "run", str(run.site), run.day]
+        command += ["--report", str(report), "--jobs", "1", "--why", self.reason]
+        if run.seed is not None:
+            command += ["--seed", str(run.seed)]
+        if run.varied:
             command.append("--vary")
-        if self.is_processor_free:
+        if self.ignores_cpu_time:
             command.append("--no-cpu")
         return command
 
 
 def read_outcomes(path: pathlib.Path) -> list[Outcome]:
-    """Read the outcomes that a file holds; none where there is no file."""
+    """Read the stored outcomes; empty if the file does not exist."""
     if not path.exists():
         return []
     return [decode_outcome(line) for line in path.read_text().splitlines()]
 
 
-def play_all(
-    plays: Iterable[Play],
+def run_all(
+    runs: Iterable[Run],
     *,
-    player: Player,
+    simulator: Simulator,
     path: pathlib.Path,
     processes: int,
-    tell: Callable[[str], None],
+    report_progress: Callable[[str], None],
 ) -> list[Outcome]:
-    """Play what a file doesn't hold yet, and append it there.
+    """Execute the runs that a file does not contain yet, and append their outcomes.
 
     Parameters
     ----------
-    plays : iterable of Play
-        What is to be played.
-    player : Player
-        Who plays it.
+    runs : iterable of Run
+        Requested runs.
+    simulator : Simulator
+        Simulator that executes them.
     path : pathlib.Path
-        The file.
+        File of the outcomes.
     processes : int
-        Plays at a time.
-    tell : callable
-        Told a line for each play.
+        Maximum number of concurrent runs.
+    report_progress : callable
+        Called with a line of text for each run.
 
     Returns
     -------
     list of Outcome
-        All that the file holds then.
+        All outcomes in the file.
     """
     outcomes = read_outcomes(path)
-    known = {(outcome.version, outcome.setting) for outcome in outcomes}
-    missing = [play for play in plays if (play.version, play.setting) not in known]
+    completed = {(outcome.version, outcome.scenario) for outcome in outcomes}
+    missing = [run for run in runs if (run.version, run.scenario) not in completed]
     with (
         path.open("a") as file,
         concurrent.futures.ThreadPoolExecutor(max_workers=processes) as pool,
     ):
-        futures = [pool.submit(player.play, play) for play in missing]
+        futures = [pool.submit(simulator.execute, run) for run in missing]
         for future in concurrent.futures.as_completed(futures):
             try:
                 outcome = future.result()
-            except (PlayError, subprocess.TimeoutExpired) as error:
-                tell(f"failed: {error}")
+            except (RunError, subprocess.TimeoutExpired) as error:
+                report_progress(f"failed: {error}")
                 continue
             outcomes.append(outcome)
             file.write(encode_outcome(outcome) + "\n")
             file.flush()
-            tell(_describe(outcome))
+            report_progress(_describe(outcome))
     return outcomes
 
 
--- a/bench/experiments/plays.py
+++ b/bench/experiments/runs.py
@@ -1,4 +1,4 @@
-"""One play of a day by one version of the code, and what is kept of its report."""
+"""Simulation run of a day with one version of the code, and its outcome."""
 
 import json
 import pathlib
@@ -7,21 +7,21 @@
 
 import attrs
 
-__all__ = ["Outcome", "Play", "decode_outcome", "decode_report", "encode_outcome"]
+__all__ = ["Outcome", "Run", "decode_outcome", "decode_report", "encode_outcome"]
 
-_ENDS = ("in_aim", "late", "refused", "failed")
+_END_COUNTS = ("in_aim", "late", "refused", "failed")
 
 
 @attrs.frozen(kw_only=True)
-class Play:
-    """One day to be played by one version.
+class Run:
+    """Configuration of a simulation run: one day with one version.
 
     Parameters
     ----------
     version : str
         Name of the version.
     checkout : pathlib.Path
-        Where its sources are.
+        Checkout with the sources of the version.
     deployment : str
         Name of the deployment or of its variant.
     site : pathlib.Path
@@ -29,9 +29,9 @@
     day : str
         Name of the day.
     seed : int or None
-        Seed of the day's luck; None for the day's own.
+        Random seed; None for the seed given in the day's definition.
     varied : bool
-        Whether times and sizes of the day's faults are drawn anew, too.
+        Whether times and sizes of the day's faults are drawn from the seed as well.
     """
 
     version: str
@@ -43,33 +43,35 @@
     varied: bool = False
 
     @property
-    def setting(self) -> tuple[str, str, int | None, bool]:
-        """What two versions share that play the same."""
+    def scenario(self) -> tuple[str, str, int | None, bool]:
+        """Key that is equal for paired runs of different versions."""
         return self.deployment, self.day, self.seed, self.varied
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What one play brought.
+    """Outcome of a run.
 
     Parameters
     ----------
     version, deployment, day, seed, varied
-        As in `Play`.
+        As in `Run`.
     worth : float
-        The users' measure of the day.
+        Score of the day by the users' measure.
     served, failed : float
-        Share of the benefit owed that was earned, and of the requests that earned none.
+        Share of the possible benefit that was earned, and share of the requests that
+        earned none.
     parts : dict of str to float
-        The parts that the measure is made of.
+        Components of the score.
     classes : dict of str to float
-        Share of its benefit that each kind of request earned.
+        Share of the possible benefit earned, by class of request.
     broken : dict of str to int
-        Rules broken, with counts.
+        Number of violations by rule.
     ends : dict of str to dict of str to int
-        For each kind of request how many ended in time, late, refused and failed.
+        Number of requests in time, late, refused and failed, by class of request.
     over_limit_s : float
-        Time that service tasks were over their limits, or paced down, in s.
+        Total time that service tasks were over their latency limits or throttled,
+        in s.
     """
 
     version: str
@@ -87,13 +89,13 @@
     over_limit_s: float = 0.0
 
     @property
-    def setting(self) -> tuple[str, str, int | None, bool]:
-        """What two versions share that played the same."""
+    def scenario(self) -> tuple[str, str, int | None, bool]:
+        """Key that is equal for paired runs of different versions."""
         return self.deployment, self.day, self.seed, self.varied
 
 
-def _read_over_limit(hints: list[str]) -> float:
-    """Read the time over limits out of the report's remarks; 0 where none tells it."""
+def _parse_over_limit_s(hints: list[str]) -> float:
+    """Parse the time over limits from the report's hints; 0 if there is none."""
     marker = "paced down, for "
     for hint in hints:
         _, found, rest = hint.partition(marker)
@@ -102,14 +104,14 @@
     return 0.0
 
 
-def decode_report(play: Play, report: Mapping[str, Any]) -> Outcome:
-    """Keep of a report what is compared."""
+def decode_report(run: Run, report: Mapping[str, Any]) -> Outcome:
+    """Extract the outcome from a report."""
     return Outcome(
-        version=play.version,
-        deployment=play.deployment,
-        day=play.day,
-        seed=play.seed,
-        varied=play.varied,
+        version=run.version,
+        deployment=run.deployment,
+        day=run.day,
+        seed=run.seed,
+        varied=run.varied,
         worth=report["G"],
         served=report["served"],
         failed=report["unserved"],
@@ -117,17 +119,18 @@
         classes={row["name"]: row["worth"] for row in report["classes"]},
         broken={rule: int(count) for rule, count in report["breaks"].items()},
         ends={
-            row["name"]: {how: row[how] for how in _ENDS} for row in report["classes"]
+            row["name"]: {kind: row[kind] for kind in _END_COUNTS}
+            for row in report["classes"]
         },
-        over_limit_s=_read_over_limit(report["hints"]),
+        over_limit_s=_parse_over_limit_s(report["hints"]),
     )
 
 
 def encode_outcome(outcome: Outcome) -> str:
-    """Encode an outcome as one line."""
+    """Encode an outcome as a line of JSON."""
     return json.dumps(attrs.asdict(outcome), separators=(",", ":"))
 
 
 def decode_outcome(line: str) -> Outcome:
-    """Decode what `encode_outcome` made."""
+    """Decode a line written by `encode_outcome`."""
     return Outcome(**json.loads(line))
--- a/bench/experiments/tests/test_runner.py
+++ b/bench/experiments/tests/test_runner.py
@@ -1,12 +1,12 @@
-"""Playing into a file, with a small program in place of the one that plays days."""
+"""Execution of runs with a shell script in place of the simulator."""
 
 import pathlib
 import stat
 import tempfile
 import unittest
 
-from bench.experiments.plays import Play
-from bench.experiments.runner import Player, play_all, read_outcomes
+from bench.experiments.runner import Simulator, read_outcomes, run_all
+from bench.experiments.runs import Run
 
 REPORT = (
     '{"G": 0.5, "served": 0.9, "unserved": 0.1, "parts": [["whole day", 0.4, 0.9]],'
@@ -25,7 +25,7 @@
 
 
 class RunnerTest(unittest.TestCase):
-    """What is played, and what is kept."""
+    """Missing runs are executed and their outcomes stored."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -36,9 +36,9 @@
         self.program.chmod(self.program.stat().st_mode | stat.S_IXUSR)
         self.lines: list[str] = []
 
-    def play(self, *days: str, seed: int | None = 1):
-        plays = [
-            Play(
+    def run_days(self, *days: str, seed: int | None = 1):
+        runs = [
+            Run(
                 version="v",
                 checkout=self.root,
                 deployment="d",
@@ -48,33 +48,33 @@
             )
             for day in days
         ]
-        return play_all(
-            plays,
-            player=Player(program=self.program, why="a test"),
+        return run_all(
+            runs,
+            simulator=Simulator(program=self.program, reason="a test"),
             path=self.root / "outcomes.jsonl",
             processes=2,
-            tell=self.lines.append,
+            report_progress=self.lines.append,
         )
 
-    def test_report_is_kept(self):
-        (outcome,) = self.play("quiet")
+    def test_report_is_saved(self):
+        (outcome,) = self.run_days("quiet")
         self.assertEqual(outcome.worth, 0.5)
         self.assertEqual(outcome.broken, {"LOST": 2})
         self.assertEqual(outcome.over_limit_s, 1234.0)
         self.assertEqual(outcome.ends["c"]["late"], 2)
         self.assertEqual(read_outcomes(self.root / "outcomes.jsonl"), [outcome])
 
-    def test_what_was_played_is_not_played_again(self):
-        self.play("quiet", "busy")
-        self.play("quiet", "busy", "late")
+    def test_completed_runs_are_not_repeated(self):
+        self.run_days("quiet", "busy")
+        self.run_days("quiet", "busy", "late")
         calls = (self.root / "calls").read_text().splitlines()
         self.assertEqual(len(calls), 3)
 
-    def test_play_without_a_report_is_told_and_left_out(self):
-        outcomes = self.play("bad", "quiet")
+    def test_run_without_report_is_logged_and_skipped(self):
+        outcomes = self.run_days("bad", "quiet")
         self.assertEqual([outcome.day for outcome in outcomes], ["quiet"])
         self.assertTrue(any("no such day" in line for line in self.lines))
 
-    def test_day_is_played_with_its_own_seed_unless_one_is_given(self):
-        self.play("quiet", seed=None)
+    def test_seed_option_is_passed_only_when_given(self):
+        self.run_days("quiet", seed=None)
         self.assertNotIn("--seed", (self.root / "calls").read_text())
--- a/bench/experiments/tests/test_variants.py
+++ b/bench/experiments/tests/test_variants.py
@@ -39,32 +39,32 @@
 
 
 class VariantTest(unittest.TestCase):
-    """What is drawn, and what stays."""
+    """Drawn and unchanged properties of variants."""
 
     def setUp(self):
         self.site = tomllib.loads(SITE)
 
-    def test_same_seed_draws_the_same(self):
+    def test_variants_are_deterministic(self):
         self.assertEqual(draw_variant(self.site, 3), draw_variant(self.site, 3))
         self.assertNotEqual(draw_variant(self.site, 3), draw_variant(self.site, 4))
 
-    def test_given_file_is_left_as_it_is(self):
+    def test_input_is_not_modified(self):
         draw_variant(self.site, 3)
         self.assertEqual(self.site, tomllib.loads(SITE))
 
-    def test_what_tasks_are_like_changes(self):
+    def test_task_characteristics_change(self):
         variant = draw_variant(self.site, 3)
         for before, after in zip(self.site["classes"], variant["classes"], strict=True):
             self.assertNotEqual(before["jobs"]["shares"], after["jobs"]["shares"])
             self.assertEqual(before["jobs"]["cpu"]["max"], after["jobs"]["cpu"]["max"])
 
-    def test_mix_changes_alike_on_all_days(self):
+    def test_mix_is_scaled_equally_on_all_days(self):
         variant = draw_variant(self.site, 3)
         usual = variant["traffic"][0]["mix"]["batch"] / 5.0
         quiet = variant["day"][0]["traffic"][0]["mix"]["batch"] / 4.0
         self.assertAlmostEqual(usual, quiet, places=3)
 
-    def test_written_file_reads_back_and_has_its_neighbour(self):
+    def test_variant_is_written_with_wire_file(self):
         with tempfile.TemporaryDirectory() as folder:
             root = pathlib.Path(folder)
             site = root / "d.toml"
