--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of what each role costs, and the arithmetic to the size aimed at."""
+"""Linear cost models by role, projected to the target deployment size."""
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Measure the slopes and write them, with the arithmetic, into ``docs/CAPACITY.md``.
+"""Measure the cost models and write them and their projections to ``docs/CAPACITY.md``.
 
 Run from the root of the repository: ``python -m bench.capacity``. It takes about three
 minutes, on at most two processors at once.
@@ -37,7 +37,7 @@
 
 
 def main() -> None:
-    """Measure everything and rewrite the page."""
+    """Run all measurements and rewrite the page."""
     configure_logs(level="CRITICAL")
     slopes = Slopes()
     started_s = time.monotonic()
--- a/bench/capacity/cluster.py
+++ b/bench/capacity/cluster.py
@@ -1,4 +1,4 @@
-"""Membership, shards and the store's calls, on virtual time."""
+"""Costs of membership, shard ownership and store calls, on virtual time."""
 
 from collections import Counter
 
@@ -41,14 +41,14 @@
 MEMBERS = (9, 30, 100, 300)
 SHARDS = (65, 130, 260, 520)
 _IDLE_S = 32
-_SETTLED_S = 20
-_KINDS_OF_WRITE = ("swap", "grant", "keep_alive", "revoke")
+_SETTLE_S = 20
+_WRITE_CALLS = ("swap", "grant", "keep_alive", "revoke")
 _STEP_S = 0.02
 
 
 @attrs.define(kw_only=True)
-class _Seen:
-    """What one cluster showed."""
+class _Measurement:
+    """Measurements of a cluster of one size."""
 
     idle_writes_per_s: float = 0.0
     idle_reads_per_s: float = 0.0
@@ -60,14 +60,14 @@
     silent_change_ms: float = 0.0
 
 
-def _count(store):
+def _count_calls(store):
     calls = store.state.calls
-    writes = sum(calls[kind] for kind in _KINDS_OF_WRITE)
+    writes = sum(calls[kind] for kind in _WRITE_CALLS)
     return writes, sum(calls.values()) - writes
 
 
 async def _time_change(cluster, name):
-    """Change a key of the configuration; return when every mirror has it, in ms."""
+    """Change a configuration key; return the propagation time to all mirrors, in ms."""
     key = build_team_key("root", name)
     writer = VirtualStoreClient(store=cluster.store)
     value = encode_document(TeamDocument())
@@ -85,56 +85,56 @@
         await cluster.sleep_s(_STEP_S)
 
 
-def _observe(size):
-    seen = _Seen()
+def _measure_size(size):
+    measurement = _Measurement()
 
     async def scenario(cluster):
-        await cluster.sleep_s(_SETTLED_S)
-        writes, reads = _count(cluster.store)
+        await cluster.sleep_s(_SETTLE_S)
+        writes, reads = _count_calls(cluster.store)
         await cluster.sleep_s(_IDLE_S)
-        later_writes, later_reads = _count(cluster.store)
-        seen.idle_writes_per_s = (later_writes - writes) / _IDLE_S
-        seen.idle_reads_per_s = (later_reads - reads) / _IDLE_S
-        seen.change_ms = await _time_change(cluster, "direct")
+        later_writes, later_reads = _count_calls(cluster.store)
+        measurement.idle_writes_per_s = (later_writes - writes) / _IDLE_S
+        measurement.idle_reads_per_s = (later_reads - reads) / _IDLE_S
+        measurement.change_ms = await _time_change(cluster, "direct")
         victim = cluster.instances["i1"]
         victim.client.is_watch_silent = True
         await cluster.sleep_s(1)
-        seen.silent_change_ms = await _time_change(cluster, "silent")
+        measurement.silent_change_ms = await _time_change(cluster, "silent")
         victim.client.is_watch_silent = False
-        await _lose_one(cluster, seen)
+        await _measure_loss(cluster, measurement)
 
     run_cluster(scenario, size=size)
-    return seen
+    return measurement
 
 
-async def _lose_one(cluster, seen):
-    """Kill an instance and count what its loss costs beyond the idle calls."""
+async def _measure_loss(cluster, measurement):
+    """Kill an instance, add another, and count the store calls apart from idle ones."""
     cluster.forget_gaps()
     before = Counter(cluster.store.state.calls)
     cluster.instances["i0"].kill()
-    await cluster.sleep_s(_SETTLED_S)
-    spent = cluster.store.state.calls - before
-    seen.loss_writes = spent["swap"] + spent["grant"]
-    seen.loss_reads = spent["get"] + spent["list"]
-    seen.loss_gap_ms = cluster.longest_gap_ms
+    await cluster.sleep_s(_SETTLE_S)
+    calls = cluster.store.state.calls - before
+    measurement.loss_writes = calls["swap"] + calls["grant"]
+    measurement.loss_reads = calls["get"] + calls["list"]
+    measurement.loss_gap_ms = cluster.longest_gap_ms
     before = Counter(cluster.store.state.calls)
     cluster.add("fresh")
-    await cluster.sleep_s(_SETTLED_S)
-    spent = cluster.store.state.calls - before
-    seen.join_writes = spent["swap"] + spent["grant"]
+    await cluster.sleep_s(_SETTLE_S)
+    calls = cluster.store.state.calls - before
+    measurement.join_writes = calls["swap"] + calls["grant"]
 
 
 def measure_cluster() -> list[Slope]:
-    """Count the store's calls and time changes in clusters of several sizes."""
-    seen = {size: _observe(size) for size in INSTANCES}
-    store, own = "store", "membership"
+    """Count store calls and time configuration changes by cluster size."""
+    measurements = {size: _measure_size(size) for size in INSTANCES}
+    store, membership = "store", "membership"
     rows = (
         ("idle_writes", store, "lease renewals", "membership.core", "writes/s"),
         ("idle_reads", store, "watch calls", "membership.follower", "reads/s"),
         ("loss_writes", store, "writes when one is lost", "shards.owner", "writes"),
         ("loss_reads", store, "reads when one is lost", "shards.owner", "reads"),
         ("join_writes", store, "writes when one joins", "shards.owner", "writes"),
-        ("loss_gap_ms", own, "longest gap of a shard", "shards.owner", "ms"),
+        ("loss_gap_ms", membership, "longest gap of a shard", "shards.owner", "ms"),
         (
             "change_ms",
             "relay",
@@ -150,19 +150,19 @@
             "ms",
         ),
     )
-    names = {"idle_writes": "idle_writes_per_s", "idle_reads": "idle_reads_per_s"}
+    fields = {"idle_writes": "idle_writes_per_s", "idle_reads": "idle_reads_per_s"}
     return [
         fit_line(
             key=key,
             role=role,
-            what=what,
+            description=description,
             module=module,
             axis="instances",
             unit=unit,
             sizes=INSTANCES,
-            values=[getattr(seen[n], names.get(key, key)) for n in INSTANCES],
+            values=[getattr(measurements[n], fields.get(key, key)) for n in INSTANCES],
         )
-        for key, role, what, module, unit in rows
+        for key, role, description, module, unit in rows
     ]
 
 
@@ -201,7 +201,7 @@
 
 
 def _time_mirror_change(members):
-    """Time what follows when one key of the configuration changed."""
+    """Time the processing of a change of one configuration key."""
     membership = _build_membership(members)
     follower = membership.follower
     revision = members
@@ -216,15 +216,15 @@
 
 
 def _time_heartbeats(members):
-    """Time a heartbeat interval: one to build, one to hear from each member."""
+    """Time a heartbeat interval: build one heartbeat, receive one from each peer."""
     membership = _build_membership(members)
 
-    def beat():
+    def exchange_heartbeats():
         own = membership.build_heartbeat()
         for number in range(1, members):
             membership.receive_heartbeat(f"i-{number:012x}", own)
 
-    return time_call(beat)
+    return time_call(exchange_heartbeats)
 
 
 def _build_table(shards, members):
@@ -242,11 +242,11 @@
     return ShardTable(rows=rows)
 
 
-def _fit_cpu(key, what, module, axis, sizes, values, role="membership"):
+def _fit_cpu(key, description, module, axis, sizes, values, role="membership"):
     return fit_line(
         key=key,
         role=role,
-        what=what,
+        description=description,
         module=module,
         axis=axis,
         unit="us",
@@ -256,13 +256,13 @@
 
 
 def measure_tables() -> list[Slope]:
-    """Time what grows with members and shards on each instance."""
+    """Time the work of an instance that grows with members and shards."""
     tables = [_build_table(n, 27) for n in SHARDS]
     values = [encode_table(table, nonce="n" * 24) for table in tables]
-    fifty = Members(by_id={f"i-{n:012x}": _build_member(n) for n in range(50)})
-    me = fifty.by_id["i-000000000001"]
+    members = Members(by_id={f"i-{n:012x}": _build_member(n) for n in range(50)})
+    me = members.by_id["i-000000000001"]
     plans = [
-        time_call(lambda t=t: plan_handovers(table=t, members=fifty, me=me))
+        time_call(lambda t=t: plan_handovers(table=t, members=members, me=me))
         for t in tables
     ]
     return [
@@ -285,7 +285,7 @@
         fit_line(
             key="table_bytes",
             role="store",
-            what="table of shards",
+            description="table of shards",
             module="shards.core",
             axis="shards",
             unit="bytes",
--- a/bench/capacity/durable.py
+++ b/bench/capacity/durable.py
@@ -1,4 +1,4 @@
-"""The journal's writes and the shard's task, on virtual time."""
+"""Costs of the journal and of the shard runner, on virtual time."""
 
 import time
 
@@ -26,7 +26,7 @@
 
 
 class _CountingClient(VirtualStoreClient):
-    """Counts the changes and their bytes."""
+    """Store client that counts writes and their bytes."""
 
     writes = 0
     written_bytes = 0
@@ -38,7 +38,7 @@
 
 
 def _build_records(number):
-    """Build what one idempotent job leaves in the journal."""
+    """Build the journal records of one idempotent job."""
     job_id = f"01980000-0000-7000-8000-{number:012x}"
     return [
         JobRecord(kind=RecordKind.ACCEPTED, job_id=job_id, spec=build_spec(job_id)),
@@ -52,9 +52,9 @@
     ]
 
 
-def _run_journal(jobs_per_s):
-    """Append a steady stream, gathered as the shard's task gathers it."""
-    seen = {}
+def _measure_journal(jobs_per_s):
+    """Append records at a steady rate, batched by the commit window of the runner."""
+    measured = {}
 
     async def run():
         clock = build_system_clock()
@@ -62,25 +62,27 @@
         journal = open_journal(store=client, shard_id="wrk-000", epoch=1, clock=clock)
         await journal.load()
         writes, written = client.writes, client.written_bytes
-        cpu_s, started_ms, done = time.process_time(), clock.monotonic_ms(), 0
+        cpu_s, started_ms, submitted_jobs = time.process_time(), clock.monotonic_ms(), 0
         while clock.monotonic_ms() - started_ms < _RUN_S * 1000.0:
             await clock.sleep_ms(_WINDOW_MS)
-            due = int((clock.monotonic_ms() - started_ms) / 1000.0 * jobs_per_s)
-            records = [r for n in range(done, due) for r in _build_records(n)]
-            done = due
+            due_jobs = int((clock.monotonic_ms() - started_ms) / 1000.0 * jobs_per_s)
+            records = [
+                r for n in range(submitted_jobs, due_jobs) for r in _build_records(n)
+            ]
+            submitted_jobs = due_jobs
             if records:
                 await journal.append(records)
-        seen["writes"] = (client.writes - writes) / _RUN_S
-        seen["bytes"] = (client.written_bytes - written) / _RUN_S
-        seen["cpu"] = (time.process_time() - cpu_s) / _RUN_S * _US_PER_S
+        measured["writes"] = (client.writes - writes) / _RUN_S
+        measured["bytes"] = (client.written_bytes - written) / _RUN_S
+        measured["cpu"] = (time.process_time() - cpu_s) / _RUN_S * _US_PER_S
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return seen
+    return measured
 
 
 def measure_journal() -> list[Slope]:
-    """Measure what jobs cost the store, by their rate in one shard."""
-    seen = [_run_journal(rate) for rate in JOBS_PER_S]
+    """Measure the journal cost by the job rate of one shard."""
+    measurements = [_measure_journal(rate) for rate in JOBS_PER_S]
     rows = (
         ("journal_writes", "writes", "writes", "writes/s"),
         ("journal_bytes", "bytes", "bytes written", "bytes/s"),
@@ -90,35 +92,35 @@
         fit_line(
             key=key,
             role="store" if name != "cpu" else "worker shard",
-            what=f"journal of one shard: {what}",
+            description=f"journal of one shard: {description}",
             module="journal.core",
             axis="jobs/s",
             unit=unit,
             sizes=JOBS_PER_S,
-            values=[each[name] for each in seen],
+            values=[each[name] for each in measurements],
         )
-        for key, name, what, unit in rows
+        for key, name, description, unit in rows
     ]
 
 
-def _run_idle(workers):
-    """Time the shard's task while its workers only renew."""
-    seen = {}
+def _measure_idle(workers):
+    """Time the shard runner while its workers only renew leases."""
+    measured = {}
 
     async def scenario(shard):
         shard.start_owner("i-1")
         await shard.sleep_s(_SETTLE_S)
         cpu_s = time.process_time()
         await shard.sleep_s(_SETTLE_S)
-        seen["cpu"] = (time.process_time() - cpu_s) / _SETTLE_S * _US_PER_S
+        measured["cpu"] = (time.process_time() - cpu_s) / _SETTLE_S * _US_PER_S
 
     run_shard(scenario, workers=workers)
-    return seen["cpu"]
+    return measured["cpu"]
 
 
-def _run_urgent(workers):
-    """Time on virtual time, in ms, until an urgent job starts on a full fleet."""
-    seen = {}
+def _measure_urgent_start(workers):
+    """Return the virtual time until an urgent job starts on full workers, in ms."""
+    measured = {}
 
     async def scenario(shard):
         owner = shard.start_owner("i-1")
@@ -131,10 +133,10 @@
         await shard.submit(owner, "urgent", is_urgent=True)
         while not shard.list_starts("urgent"):
             await shard.sleep_s(0.01)
-        seen["ms"] = shard.clock.monotonic_ms() - asked_ms
+        measured["ms"] = shard.clock.monotonic_ms() - asked_ms
 
     run_shard(scenario, workers=workers)
-    return seen["ms"]
+    return measured["ms"]
 
 
 async def _submit(shard, owner, spec):
@@ -144,26 +146,26 @@
 
 
 def measure_runner() -> list[Slope]:
-    """Measure the shard's task with virtual workers."""
+    """Measure the shard runner with virtual workers."""
     return [
         fit_line(
             key="runner_idle",
             role="worker shard",
-            what="workers that only renew, stand-ins included",
+            description="workers that only renew, stand-ins included",
             module="jobs.runner",
             axis="workers",
             unit="us/s",
             sizes=WORKERS,
-            values=[_run_idle(count) for count in WORKERS],
+            values=[_measure_idle(count) for count in WORKERS],
         ),
         fit_line(
             key="urgent_ms",
             role="worker shard",
-            what="an urgent job's start on full workers",
+            description="an urgent job's start on full workers",
             module="placement.preemption, jobs.runner",
             axis="workers",
             unit="ms",
             sizes=URGENT_WORKERS,
-            values=[_run_urgent(count) for count in URGENT_WORKERS],
+            values=[_measure_urgent_start(count) for count in URGENT_WORKERS],
         ),
     ]
--- a/bench/capacity/fit.py
+++ b/bench/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Lines through measurements."""
+"""Linear fits of measurements."""
 
 import time
 from collections.abc import Callable, Iterator, Sequence
@@ -13,38 +13,38 @@
 
 @attrs.frozen(kw_only=True)
 class Slope:
-    """A line through the measurements along one axis.
+    """Linear fit of measurements along one axis.
 
     Parameters
     ----------
     key : str
-        Name that the arithmetic refers to it by.
+        Name used by the projections.
     role : str
-        Role that pays for it.
-    what : str
-        What was measured.
+        Role that bears the cost.
+    description : str
+        Description of the measurement.
     module : str
-        Module that carries it.
+        Module that implements it.
     axis : str
-        What was varied.
+        Independent variable.
     unit : str
         Unit of the measurement.
     sizes : tuple of float
-        Where along the axis it was measured.
+        Measured points on the axis.
     values : tuple of float
-        What was measured there.
+        Measured values at these points.
     per_unit : float
-        Slope, in units of the measurement for one unit of the axis.
+        Slope, in units of the measurement per unit of the axis.
     intercept : float
-        Value of the line at zero.
+        Value of the fit at zero.
     residual : float
-        Largest distance of a measurement from the line, as a part of the largest
+        Largest deviation of a measurement from the fit, as a fraction of the largest
         measurement.
     """
 
     key: str
     role: str
-    what: str
+    description: str
     module: str
     axis: str
     unit: str
@@ -54,19 +54,19 @@
     intercept: float
     residual: float
 
-    def at(self, size: float) -> float:
-        """Return the value of the line at a size."""
+    def evaluate(self, size: float) -> float:
+        """Return the value of the fit at a size."""
         return self.intercept + self.per_unit * size
 
 
 @attrs.define(kw_only=True)
 class Slopes:
-    """All lines, by key."""
+    """Linear fits by key."""
 
     _by_key: dict[str, Slope] = attrs.field(factory=dict)
 
     def add(self, *slopes: Slope) -> None:
-        """Add lines."""
+        """Add fits."""
         for slope in slopes:
             self._by_key[slope.key] = slope
 
@@ -81,21 +81,21 @@
     *,
     key: str,
     role: str,
-    what: str,
+    description: str,
     module: str,
     axis: str,
     unit: str,
     sizes: Sequence[float],
     values: Sequence[float],
 ) -> Slope:
-    """Fit a line by least squares."""
+    """Fit a line to measurements by least squares."""
     per_unit, intercept = np.polyfit(sizes, values, 1)
-    off = np.abs(np.polyval([per_unit, intercept], sizes) - np.asarray(values))
+    deviations = np.abs(np.polyval([per_unit, intercept], sizes) - np.asarray(values))
     largest = float(np.abs(values).max())
     return Slope(
         key=key,
         role=role,
-        what=what,
+        description=description,
         module=module,
         axis=axis,
         unit=unit,
@@ -103,18 +103,18 @@
         values=tuple(values),
         per_unit=float(per_unit),
         intercept=float(intercept),
-        residual=float(off.max()) / largest if largest else 0.0,
+        residual=float(deviations.max()) / largest if largest else 0.0,
     )
 
 
-def time_call(call: Callable[[], object], *, least_s: float = 0.1) -> float:
-    """Return the processor time of one call, in us: the least of three averages."""
+def time_call(call: Callable[[], object], *, min_duration_s: float = 0.1) -> float:
+    """Return the processor time of a call, in us, as the minimum of three averages."""
     call()
     averages = []
     for _ in range(3):
         calls, started_s = 0, time.process_time()
-        while (spent_s := time.process_time() - started_s) < least_s / 3:
+        while (elapsed_s := time.process_time() - started_s) < min_duration_s / 3:
             call()
             calls += 1
-        averages.append(spent_s / calls * _US_PER_S)
+        averages.append(elapsed_s / calls * _US_PER_S)
     return min(averages)
--- a/bench/capacity/links.py
+++ b/bench/capacity/links.py
@@ -1,4 +1,4 @@
-"""Sessions with workers over real sockets, and the list of backends."""
+"""Costs of worker sessions over real sockets and of reading the instance list."""
 
 import gc
 import itertools
@@ -26,8 +26,8 @@
 
 __all__ = ["measure_list", "measure_workers"]
 
-SESSIONS = (20, 40, 80)
-LISTED = (500, 1_000, 2_000, 4_000)
+SESSION_COUNTS = (20, 40, 80)
+LIST_SIZES = (500, 1_000, 2_000, 4_000)
 _HOST = "127.0.0.1"
 _RENEW_MS = 100.0
 _SETTLE_S = 1.5
@@ -35,7 +35,7 @@
 _TIMEOUT_MS = 5_000.0
 _LEASE_MS = 60_000.0
 _COMMAND_PAUSE_S = 0.1
-_TINY = Resources(cores=0.01, memory_bytes=1_000)
+_TASK_RESOURCES = Resources(cores=0.01, memory_bytes=1_000)
 _SHARDS = ShardSettings(request_shards=64, worker_shards=64)
 
 
@@ -47,7 +47,7 @@
 
 
 def _count_traffic(traffic):
-    """Count what passes through trio's sockets; returns what ends it."""
+    """Count the traffic of trio's socket streams; return a function that stops it."""
     send_all, receive_some = trio.SocketStream.send_all, trio.SocketStream.receive_some
 
     async def send(self, data):
@@ -70,7 +70,7 @@
 
 
 def _serve_workers(count, pipe):
-    """Be some workers until told to end."""
+    """Run worker stand-ins in this process until the pipe receives a message."""
     configure_logs(level="CRITICAL")
 
     async def run():
@@ -90,11 +90,11 @@
 
 
 async def _run_commands(ports):
-    """Start a short task on each worker and acknowledge it, again and again."""
+    """Repeatedly start and acknowledge a short task on each worker."""
     clock = build_system_clock()
     done = 0
 
-    async def keep_starting(number, port):
+    async def start_repeatedly(number, port):
         nonlocal done
         client = WorkerClient(
             worker_id=f"w-{number}",
@@ -111,7 +111,7 @@
                     job_id=f"job-{sequence:08d}",
                     attempt_epoch=1,
                     attempt_sequence=sequence,
-                    resources=_TINY if kind is CommandKind.START else None,
+                    resources=_TASK_RESOURCES if kind is CommandKind.START else None,
                     task_class="roster",
                     declared_run_ms=1.0,
                     payload='{"run_ms": 1}',
@@ -122,13 +122,13 @@
 
     async with trio.open_nursery() as nursery:
         for number, port in enumerate(ports):
-            nursery.start_soon(keep_starting, number, port)
+            nursery.start_soon(start_repeatedly, number, port)
         await trio.sleep(_SETTLE_S)
         done, cpu_s = 0, time.process_time()
         await trio.sleep(_RUN_S)
-        seen = done / _RUN_S, (time.process_time() - cpu_s) / _RUN_S * 1e6
+        result = done / _RUN_S, (time.process_time() - cpu_s) / _RUN_S * 1e6
         nursery.cancel_scope.cancel()
-    return seen
+    return result
 
 
 @attrs.frozen(kw_only=True)
@@ -175,23 +175,23 @@
             for number, port in enumerate(ports):
                 nursery.start_soon(open_session(number, port).run)
             await trio.sleep(_SETTLE_S)
-            renewals, cpu_s = traffic.sends, time.process_time()
-            moved = traffic.sent_bytes + traffic.received_bytes
+            sends_before, cpu_s = traffic.sends, time.process_time()
+            bytes_before = traffic.sent_bytes + traffic.received_bytes
             await trio.sleep(_RUN_S)
-            seen = _Renewals(
-                per_s=(traffic.sends - renewals) / _RUN_S,
+            result = _Renewals(
+                per_s=(traffic.sends - sends_before) / _RUN_S,
                 cpu_us_per_s=(time.process_time() - cpu_s) / _RUN_S * 1e6,
-                bytes_per_s=(traffic.sent_bytes + traffic.received_bytes - moved)
+                bytes_per_s=(traffic.sent_bytes + traffic.received_bytes - bytes_before)
                 / _RUN_S,
                 memory_bytes=tracemalloc.get_traced_memory()[0],
             )
             nursery.cancel_scope.cancel()
     finally:
         restore()
-    return seen
+    return result
 
 
-def _observe_sessions(count, *, run=_run_sessions, is_traced=False):
+def _measure_sessions(count, *, run=_run_sessions, is_traced=False):
     context = multiprocessing.get_context("spawn")
     pipe, other = context.Pipe()
     process = context.Process(target=_serve_workers, args=(count, other), daemon=True)
@@ -209,25 +209,25 @@
 
 
 def measure_workers() -> list[Slope]:
-    """Measure the owner's side of sessions to workers in another process."""
-    seen = [_observe_sessions(count) for count in SESSIONS]
-    traced = [_observe_sessions(count, is_traced=True) for count in SESSIONS]
-    commands = [_observe_sessions(count, run=_run_commands) for count in SESSIONS]
-    rates = [each.per_s for each in seen]
+    """Measure the owner's cost of sessions to workers in another process."""
+    renewals = [_measure_sessions(count) for count in SESSION_COUNTS]
+    traced = [_measure_sessions(count, is_traced=True) for count in SESSION_COUNTS]
+    commands = [_measure_sessions(count, run=_run_commands) for count in SESSION_COUNTS]
+    rates = [each.per_s for each in renewals]
     common = {"role": "worker link", "module": "jobs.sessions, workers.client"}
     return [
         fit_line(
             key="renew_cpu",
-            what="renewals, the owner's side",
+            description="renewals, the owner's side",
             axis="renewals/s",
             unit="us/s",
             sizes=rates,
-            values=[each.cpu_us_per_s for each in seen],
+            values=[each.cpu_us_per_s for each in renewals],
             **common,
         ),
         fit_line(
             key="command_cpu",
-            what="commands of one start or acknowledgement, the owner's side",
+            description="commands of one start or acknowledgement, the owner's side",
             axis="commands/s",
             unit="us/s",
             sizes=[rate for rate, _ in commands],
@@ -236,19 +236,19 @@
         ),
         fit_line(
             key="renew_bytes",
-            what="renewals, both directions, above TCP",
+            description="renewals, both directions, above TCP",
             axis="renewals/s",
             unit="bytes/s",
             sizes=rates,
-            values=[each.bytes_per_s for each in seen],
+            values=[each.bytes_per_s for each in renewals],
             **common,
         ),
         fit_line(
             key="session_bytes",
-            what="memory of sessions and their connections",
+            description="memory of sessions and their connections",
             axis="workers",
             unit="bytes",
-            sizes=SESSIONS,
+            sizes=SESSION_COUNTS,
             values=[each.memory_bytes for each in traced],
             **common,
         ),
@@ -256,10 +256,10 @@
 
 
 def measure_list() -> list[Slope]:
-    """Measure one reading of the instance list, and one filtering by shard."""
+    """Measure reading the instance list and splitting its workers by shard."""
     pages = [
         BackendPage(executors=(), workers=build_records(count), age_ms=0.0)
-        for count in LISTED
+        for count in LIST_SIZES
     ]
     answers = [encode_answer(page) for page in pages]
 
@@ -293,12 +293,12 @@
         fit_line(
             key=key,
             role="entry",
-            what=what,
+            description=description,
             module=module,
             axis="workers listed",
             unit=unit,
-            sizes=LISTED,
+            sizes=LIST_SIZES,
             values=values,
         )
-        for key, what, module, unit, values in rows
+        for key, description, module, unit, values in rows
     ]
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,4 +1,4 @@
-"""Configuration and idempotency keys: memory and processor time."""
+"""Memory and processor time of configurations and idempotency keys."""
 
 import importlib
 import multiprocessing
@@ -24,20 +24,20 @@
 
 __all__ = ["measure_configuration", "measure_keys"]
 
-TEAMS = (100, 200, 400, 800)
-CHANGES = (0, 10, 25, 50)
-KEYS = (1_000, 5_000, 25_000)
+TEAM_COUNTS = (100, 200, 400, 800)
+HISTORY_LENGTHS = (0, 10, 25, 50)
+KEY_COUNTS = (1_000, 5_000, 25_000)
 _SERVICES = 4
 _BODY = bytes(200)
-_FULL_HISTORY = 50
+_MAX_HISTORY_LENGTH = 50
 _ROOT = "root"
-_PROGRAM = ("trefoilhook.daemon", "trefoilhook.entry", "trefoilhook.admin")
-_TEAMS_LOADED = (0, 400, 800)
-_KB = 1024
+_DAEMON_MODULES = ("trefoilhook.daemon", "trefoilhook.entry", "trefoilhook.admin")
+_RESIDENT_TEAM_COUNTS = (0, 400, 800)
+_KIB = 1024
 
 
 def build_team_value(*, changes: int, timeout_ms: int = 1_000) -> bytes:
-    """Build a team's value: four services, a quota, and a history."""
+    """Build a team's stored value: four services and a change history."""
     services = {
         f"service-{number}": {
             "timeout_ms": timeout_ms,
@@ -63,7 +63,7 @@
 
 
 def _build_entries(teams):
-    value = build_team_value(changes=_FULL_HISTORY)
+    value = build_team_value(changes=_MAX_HISTORY_LENGTH)
     return [
         MirrorEntry(
             key=build_team_key(_ROOT, f"team-{number:04d}"),
@@ -86,14 +86,14 @@
 
 
 def _time_change(teams):
-    """Time what an instance does when one team's value changed."""
+    """Time the processing of a change of one team's value."""
     mirror = Mirror()
     view = ConfigurationView(root=_ROOT)
     mirror.replace(_build_entries(teams), revision=teams)
     view.apply(mirror.entries)
     revision = teams
     key = build_team_key(_ROOT, "team-0007")
-    value = build_team_value(changes=_FULL_HISTORY, timeout_ms=900)
+    value = build_team_value(changes=_MAX_HISTORY_LENGTH, timeout_ms=900)
 
     def change():
         nonlocal revision
@@ -104,9 +104,9 @@
     return time_call(change)
 
 
-def _load_program(teams, pipe):
-    """Load what an instance loads, and some teams; tell the memory it takes."""
-    for name in _PROGRAM:
+def _report_resident_memory(teams, pipe):
+    """Load the daemon's modules and some teams; send the resident memory, in bytes."""
+    for name in _DAEMON_MODULES:
         importlib.import_module(name)
     configure_logs(level="CRITICAL")
     mirror = Mirror()
@@ -115,13 +115,13 @@
     view.apply(mirror.entries)
     status = pathlib.Path("/proc/self/status").read_text()
     resident = next(x for x in status.splitlines() if x.startswith("VmRSS"))
-    pipe.send(int(resident.split()[1]) * _KB)
+    pipe.send(int(resident.split()[1]) * _KIB)
 
 
 def _measure_resident(teams):
     context = multiprocessing.get_context("spawn")
     pipe, other = context.Pipe()
-    process = context.Process(target=_load_program, args=(teams, other))
+    process = context.Process(target=_report_resident_memory, args=(teams, other))
     process.start()
     resident_bytes = pipe.recv()
     process.join()
@@ -129,51 +129,51 @@
 
 
 def measure_configuration() -> list[Slope]:
-    """Measure what teams and changes cost each instance."""
+    """Measure the cost of team configurations on an instance."""
     common = {"role": "relay", "module": "configuration.view, membership.mirror"}
     return [
         fit_line(
             key="resident",
             role="all",
             module="daemon",
-            what="resident memory of a process with all modules loaded",
+            description="resident memory of a process with all modules loaded",
             axis="teams",
             unit="bytes",
-            sizes=_TEAMS_LOADED,
-            values=[_measure_resident(n) for n in _TEAMS_LOADED],
+            sizes=_RESIDENT_TEAM_COUNTS,
+            values=[_measure_resident(n) for n in _RESIDENT_TEAM_COUNTS],
         ),
         fit_line(
             key="team_bytes",
-            what="memory of the teams' configuration",
+            description="memory of the teams' configuration",
             axis="teams",
             unit="bytes",
-            sizes=TEAMS,
-            values=[_measure_team_bytes(n) for n in TEAMS],
+            sizes=TEAM_COUNTS,
+            values=[_measure_team_bytes(n) for n in TEAM_COUNTS],
             **common,
         ),
         fit_line(
             key="config_change",
-            what="one change taken in",
+            description="one change taken in",
             axis="teams",
             unit="us",
-            sizes=TEAMS,
-            values=[_time_change(n) for n in TEAMS],
+            sizes=TEAM_COUNTS,
+            values=[_time_change(n) for n in TEAM_COUNTS],
             **common,
         ),
         fit_line(
             key="team_value",
             role="relay",
             module="configuration.document",
-            what="a team's value, sent whole to each watch",
+            description="a team's value, sent whole to each watch",
             axis="changes kept",
             unit="bytes",
-            sizes=CHANGES,
-            values=[len(build_team_value(changes=n)) for n in CHANGES],
+            sizes=HISTORY_LENGTHS,
+            values=[len(build_team_value(changes=n)) for n in HISTORY_LENGTHS],
         ),
     ]
 
 
-def _run_keys(count):
+def _fill_key_table(count):
     table = KeyTable(max_age_ms=1e12, max_bytes=1 << 40)
     window = ActingWindow(since_wall_ms=-1e15, skew_ms=500.0, ahead_ms=1e15)
     answer = CallerAnswer(code=ResultCode.OK, body=_BODY)
@@ -193,7 +193,7 @@
 
 def _measure_key_bytes(count):
     tracemalloc.start()
-    table = _run_keys(count)
+    table = _fill_key_table(count)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert len(table) == count
@@ -201,23 +201,23 @@
 
 
 def measure_keys() -> list[Slope]:
-    """Measure what remembered keys cost the owner of their shard."""
+    """Measure the cost of stored idempotency keys on the owner of their shard."""
     common = {"role": "request shard", "module": "requests.dedup", "axis": "keys"}
     return [
         fit_line(
             key="key_bytes",
-            what="memory of keys with answers of 200 bytes",
+            description="memory of keys with answers of 200 bytes",
             unit="bytes",
-            sizes=KEYS,
-            values=[_measure_key_bytes(n) for n in KEYS],
+            sizes=KEY_COUNTS,
+            values=[_measure_key_bytes(n) for n in KEY_COUNTS],
             **common,
         ),
         fit_line(
             key="key_cpu",
-            what="keys minted, entered and finished",
+            description="keys minted, entered and finished",
             unit="us",
-            sizes=KEYS,
-            values=[time_call(lambda n=n: _run_keys(n)) for n in KEYS],
+            sizes=KEY_COUNTS,
+            values=[time_call(lambda n=n: _fill_key_table(n)) for n in KEY_COUNTS],
             **common,
         ),
     ]
--- a/bench/capacity/mesh.py
+++ b/bench/capacity/mesh.py
@@ -1,4 +1,4 @@
-"""Links between instances over real sockets: idle ones, and calls."""
+"""Costs of idle links and of calls between instances, over real sockets."""
 
 import gc
 import time
@@ -13,7 +13,7 @@
 
 __all__ = ["measure_calls", "measure_inner"]
 
-NODES = (3, 6, 9, 12)
+MESH_SIZES = (3, 6, 9, 12)
 CALLS_PER_S = (100, 200, 400)
 _HOST = "127.0.0.1"
 _CALLERS = 20
@@ -36,12 +36,12 @@
     ]
 
 
-def _address(node):
+def _build_address(node):
     return PeerAddress(instance_id=node.instance_id, host=_HOST, port=node.port)
 
 
 async def _run_mesh(size):
-    """Measure a full mesh of instances that only keep their links."""
+    """Measure a full mesh of instances with idle links."""
     clock = build_system_clock()
     nodes = _build_nodes(size, clock)
     async with trio.open_nursery() as nursery:
@@ -49,22 +49,24 @@
             await nursery.start(node.run)
         gc.collect()
         before, _ = tracemalloc.get_traced_memory()
-        peers = [_address(node) for node in nodes]
+        peers = [_build_address(node) for node in nodes]
         for node in nodes:
             node.set_peers(peers)
         await trio.sleep(_SETTLE_S)
-        received = sum(node.bytes_received for node in nodes)
+        received_before = sum(node.bytes_received for node in nodes)
         cpu_s = time.process_time()
         await trio.sleep(_RUN_S)
         cpu_us = (time.process_time() - cpu_s) / _RUN_S * 1e6
-        moved = (sum(node.bytes_received for node in nodes) - received) / _RUN_S
+        received_per_s = (
+            sum(node.bytes_received for node in nodes) - received_before
+        ) / _RUN_S
         memory = tracemalloc.get_traced_memory()[0] - before
         nursery.cancel_scope.cancel()
-    return cpu_us / size, 2 * moved / size, memory / size
+    return cpu_us / size, 2 * received_per_s / size, memory / size
 
 
 async def _run_calls(calls_per_s):
-    """Measure calls between two instances in one process, both ends together."""
+    """Measure calls between two instances that share one process."""
     clock = build_system_clock()
     one, two = _build_nodes(2, clock)
     request = ServiceRequest(
@@ -75,7 +77,7 @@
     async def answer(call):
         return ServiceAnswer(status=200, body=call.message.body)
 
-    async def keep_calling():
+    async def call_repeatedly():
         nonlocal done
         while True:
             await one.call(two.instance_id, request, timeout_ms=_TIMEOUT_MS)
@@ -86,61 +88,66 @@
     async with trio.open_nursery() as nursery:
         await nursery.start(one.run)
         await nursery.start(two.run)
-        one.set_peers([_address(two)])
+        one.set_peers([_build_address(two)])
         await trio.sleep(_SETTLE_S)
         for _ in range(_CALLERS):
-            nursery.start_soon(keep_calling)
+            nursery.start_soon(call_repeatedly)
         await trio.sleep(_SETTLE_S)
         done, cpu_s = 0, time.process_time()
         await trio.sleep(_RUN_S)
-        seen = done / _RUN_S, (time.process_time() - cpu_s) / _RUN_S * 1e6
+        result = done / _RUN_S, (time.process_time() - cpu_s) / _RUN_S * 1e6
         nursery.cancel_scope.cancel()
-    return seen
+    return result
 
 
 def measure_calls() -> list[Slope]:
-    """Measure calls between instances, by their rate."""
-    seen = [trio.run(_run_calls, rate) for rate in CALLS_PER_S]
+    """Measure calls between instances by call rate."""
+    results = [trio.run(_run_calls, rate) for rate in CALLS_PER_S]
     return [
         fit_line(
             key="call_cpu",
             role="inner link",
             module="inner.calls, inner.transport",
-            what="calls of 200 bytes, both ends",
+            description="calls of 200 bytes, both ends",
             axis="calls/s",
             unit="us/s",
-            sizes=[rate for rate, _ in seen],
-            values=[cpu_us for _, cpu_us in seen],
+            sizes=[rate for rate, _ in results],
+            values=[cpu_us for _, cpu_us in results],
         )
     ]
 
 
 def measure_inner() -> list[Slope]:
-    """Measure what idle links cost an instance, by the number of its peers."""
-    peers = [size - 1 for size in NODES]
-    seen = [trio.run(_run_mesh, size) for size in NODES]
+    """Measure the cost of idle links of an instance by number of peers."""
+    peers = [size - 1 for size in MESH_SIZES]
+    results = [trio.run(_run_mesh, size) for size in MESH_SIZES]
     tracemalloc.start()
-    traced = [trio.run(_run_mesh, size) for size in NODES[:3]]
+    traced_results = [trio.run(_run_mesh, size) for size in MESH_SIZES[:3]]
     tracemalloc.stop()
     common = {"role": "inner link", "module": "inner.links, inner.transport"}
     return [
         fit_line(
             key=key,
-            what=what,
+            description=description,
             axis="peers",
             unit=unit,
             sizes=peers[: len(values)],
             values=values,
             **common,
         )
-        for key, what, unit, values in (
-            ("link_cpu", "idle links of an instance", "us/s", [s[0] for s in seen]),
+        for key, description, unit, values in (
+            ("link_cpu", "idle links of an instance", "us/s", [s[0] for s in results]),
             (
                 "link_traffic",
                 "idle links, sent and received",
                 "bytes/s",
-                [s[1] for s in seen],
+                [s[1] for s in results],
+            ),
+            (
+                "link_bytes",
+                "memory of idle links",
+                "bytes",
+                [s[2] for s in traced_results],
             ),
-            ("link_bytes", "memory of idle links", "bytes", [s[2] for s in traced]),
         )
     ]
--- a/bench/capacity/running.py
+++ b/bench/capacity/running.py
@@ -1,9 +1,10 @@
-"""What running tasks cost the owner of a shard on the users' platform.
+"""Costs of running tasks on the owner of a shard of the platform scheduler.
 
 Run from the root of the repository: ``python -m bench.capacity.running``. It takes half
 a minute and rewrites its own tables in ``docs/CAPACITY.md``. Each worker runs service
-tasks and fillers in the ratio of the size aimed at, one to four, taken over from an
-earlier owner. All weights between images are known, so that pacing has all its work.
+tasks and fillers in a ratio of one to four, as at the target size, taken over from a
+previous owner. The weights of all pairs of images are known, so that pacing does all of
+its work.
 """
 
 import gc
@@ -20,8 +21,8 @@
 import numpy as np
 
 from bench.capacity.fit import Slope, Slopes, fit_line, time_call
-from bench.capacity.page import render_rows, render_slopes, rewrite_block
-from bench.capacity.target import TARGET, US_PER_S, Row
+from bench.capacity.page import render_projections, render_slopes, rewrite_block
+from bench.capacity.target import TARGET, US_PER_S, Projection
 from bench.rounds import (
     FILLER_IMAGES,
     FILLER_STEP,
@@ -37,40 +38,42 @@
 
 __all__ = ["rewrite_running"]
 
-WORKERS = (24, 96, 192)
-ROWS = (5, 10, 20, 40)
-_USUAL_ROWS = 10
-"""Tasks on a worker at the size aimed at: 316,000 on 30,000 workers."""
+WORKER_COUNTS = (24, 96, 192)
+TASK_COUNTS = (5, 10, 20, 40)
+_TARGET_TASKS_PER_WORKER = 10
+"""Tasks per worker at the target size: 316,000 on 30,000 workers."""
 
-_SHARD_WORKERS = 200.0
-"""Most workers that a shard should have, by the rounds of assignment."""
+_MAX_SHARD_WORKERS = 200.0
+"""Recommended maximum of workers per shard, limited by the assignment rounds."""
 
-_GATHER_MS = 6.0
-"""How long the owner's plan waits for more news, in ms."""
+_BATCHING_WINDOW_MS = 6.0
+"""Time that the owner collects updates before planning, in ms."""
 
 _ROUNDS_PER_S = 5.0
-"""Rounds of assignment that look at fillers: a pause of one ms for each worker."""
+"""Rate of assignment rounds that consider fillers; 1 ms of pause for each worker."""
 
 _FILLERS_PER_SERVICE = 4
 _TASKS_PER_JOB = 20
 _SERVICE_TAIL_MS = 7.0
 _FILLER_CPU = 3000.0
-_LOOK_PAUSE_MS = 500.0
-"""Pause between two looks at a worker whose service tasks share it, in ms."""
+_POLL_INTERVAL_MS = 500.0
+"""Polling interval of workers that run shared service tasks, in ms."""
 
 
-def _list_rows(workers: int, rows: int) -> list[list[tuple[TaskId, bool]]]:
-    """Name the tasks of each worker, and tell which of them serve."""
+def _assign_tasks(
+    workers: int, tasks_per_worker: int
+) -> list[list[tuple[TaskId, bool]]]:
+    """Return the tasks of each worker, each with whether it is a service task."""
     counts = {True: 0, False: 0}
     fleet = []
     for _ in range(workers):
         tasks = []
-        for row in range(rows):
-            serves = row % (_FILLERS_PER_SERVICE + 1) == 0
-            job, index = divmod(counts[serves], _TASKS_PER_JOB)
-            counts[serves] += 1
-            name = f"{'service' if serves else 'filler'}-{job:08d}"
-            tasks.append((TaskId(name, 0, 0, index), serves))
+        for row in range(tasks_per_worker):
+            is_service = row % (_FILLERS_PER_SERVICE + 1) == 0
+            job, index = divmod(counts[is_service], _TASKS_PER_JOB)
+            counts[is_service] += 1
+            name = f"{'service' if is_service else 'filler'}-{job:08d}"
+            tasks.append((TaskId(name, 0, 0, index), is_service))
         fleet.append(tasks)
     return fleet
 
@@ -86,11 +89,12 @@
         shard.submit(build_job(step, job_id=job_id))
 
 
-def _run_tasks(shard: Shard, fleet: list[list[tuple[TaskId, bool]]]) -> None:
+def _start_tasks(shard: Shard, fleet: list[list[tuple[TaskId, bool]]]) -> None:
     for worker, tasks in zip(shard.workers.values(), fleet, strict=True):
         for task, serves in tasks:
             worker.running[task, 1] = Running(
-                # As decoded from an answer: it shares nothing with the job's record.
+                # A separate object, as when decoded, so that memory is not shared with
+                # the job's record.
                 task=parse_task_id(str(task)),
                 attempt=1,
                 checkpoint="" if serves else f"{task.index:016x}",
@@ -99,40 +103,40 @@
             )
 
 
-def _build(workers: int, rows: int) -> Shard:
-    """Build a shard whose workers run ``rows`` tasks each and that has no news."""
+def _build(workers: int, tasks_per_worker: int) -> Shard:
+    """Build a shard with running tasks on each worker and no pending updates."""
     shard = build_shard(workers)
     learn_weights(shard, random.Random(workers))
-    fleet = _list_rows(workers, rows)
+    fleet = _assign_tasks(workers, tasks_per_worker)
     _submit_jobs(shard, fleet)
-    _run_tasks(shard, fleet)
-    shard.pass_time(_LOOK_PAUSE_MS)
+    _start_tasks(shard, fleet)
+    shard.pass_time(_POLL_INTERVAL_MS)
     shard.look_all()
     for _ in range(2):
         _plan(shard)
-        shard.pass_time(_LOOK_PAUSE_MS)
+        shard.pass_time(_POLL_INTERVAL_MS)
         shard.look_all()
     _plan(shard)
-    held = sum(len(worker.runs) for worker in shard.scheduler.workers.values())
-    assert held == workers * rows, held
+    running = sum(len(worker.runs) for worker in shard.scheduler.workers.values())
+    assert running == workers * tasks_per_worker, running
     return shard
 
 
 def _plan(shard: Shard) -> None:
-    # No new places: what waits has been measured with the rounds of assignment.
+    # Skip assignment of waiting tasks, which is measured by `bench.rounds`.
     shard.scheduler.waiting.clear()
     plan_orders(
         shard.scheduler, settled=True, now_ms=shard.now_ms, wall_ms=shard.now_ms
     )
 
 
-def _measure_bytes(rows: int) -> int:
-    """Measure what a scheduler takes beyond the same workers and weights idle."""
-    workers = WORKERS[0]
+def _measure_bytes(tasks_per_worker: int) -> int:
+    """Measure the memory of a shard's scheduler with running tasks."""
+    workers = WORKER_COUNTS[0]
     gc.collect()
     tracemalloc.start()
-    shard = _build(workers, rows)
-    # The stand-ins of the workers keep what they list; an owner doesn't.
+    shard = _build(workers, tasks_per_worker)
+    # Exclude the task lists of the worker stand-ins, which an owner does not hold.
     for worker in shard.workers.values():
         worker.running.clear()
     gc.collect()
@@ -142,8 +146,8 @@
     return size
 
 
-def _encode_look(shard: Shard) -> bytes:
-    """Write the list of one worker as the platform's workers do."""
+def _encode_poll_answer(shard: Shard) -> bytes:
+    """Encode the poll answer of one worker in the format of the platform."""
     look = shard.workers["w0"].look(shard.now_ms)
     rows = [
         [str(run.task), run.attempt, run.checkpoint, run.percent, run.load]
@@ -153,122 +157,138 @@
     return json.dumps(table, separators=(",", ":")).encode()
 
 
-def _vary(look: Look) -> tuple[Look, Look]:
-    """Return a list and one whose figures differ in every row."""
+def _build_variants(look: Look) -> tuple[Look, Look]:
+    """Return a poll answer and a copy with different loads of all tasks."""
     running = tuple(attrs.evolve(r, load=1.1 * (r.load or 0.0)) for r in look.running)
     return look, attrs.evolve(look, running=running)
 
 
-def _build_look(rows: int) -> Callable[[], None]:
-    """Return a call that takes one look in; time passes, and figures change."""
-    shard = _build(WORKERS[0], rows)
-    looks = itertools.cycle(_vary(shard.workers["w0"].look(shard.now_ms)))
+def _build_poll_call(tasks_per_worker: int) -> Callable[[], None]:
+    """Return a function that processes one poll answer with changed loads."""
+    shard = _build(WORKER_COUNTS[0], tasks_per_worker)
+    looks = itertools.cycle(_build_variants(shard.workers["w0"].look(shard.now_ms)))
 
     def call() -> None:
-        shard.pass_time(_LOOK_PAUSE_MS)
+        shard.pass_time(_POLL_INTERVAL_MS)
         now_ms = shard.now_ms
         take_look(shard.scheduler, "w0", next(looks), sent_ms=now_ms, now_ms=now_ms)
 
     return call
 
 
-def _build_plan(
-    workers: int, *, rows: int = _USUAL_ROWS, news: int = 0, halted: bool = False
+def _build_plan_call(
+    workers: int,
+    *,
+    tasks_per_worker: int = _TARGET_TASKS_PER_WORKER,
+    polled: int = 0,
+    checks_halted: bool = False,
 ) -> Callable[[], None]:
-    """Return a call that plans, when ``news`` workers have been looked at.
+    """Return a function that plans after ``polled`` workers have been polled.
 
-    With ``halted`` it looks for fillers to be moved, too, which few plans do.
+    With ``checks_halted`` the plan also considers moving halted fillers, which few
+    plans do.
     """
-    shard = _build(workers, rows)
-    seen = list(shard.scheduler.workers.values())[:news]
+    shard = _build(workers, tasks_per_worker)
+    polled_workers = list(shard.scheduler.workers.values())[:polled]
 
     def call() -> None:
-        shard.pass_time(_LOOK_PAUSE_MS)
-        for worker in seen:
+        shard.pass_time(_POLL_INTERVAL_MS)
+        for worker in polled_workers:
             worker.is_news = True
-        shard.scheduler.fillers_due_ms = 0.0 if halted else math.inf
+        shard.scheduler.fillers_due_ms = 0.0 if checks_halted else math.inf
         _plan(shard)
 
     return call
 
 
-def _time_paces(rows: int) -> float:
-    """Time what a plan does more when one more worker has been looked at."""
-    count = WORKERS[0]
-    most = time_call(_build_plan(count, rows=rows, news=count))
-    return (most - time_call(_build_plan(count, rows=rows))) / count
+def _time_pacing(tasks_per_worker: int) -> float:
+    """Return the additional time of a plan for each polled worker, in us."""
+    count = WORKER_COUNTS[0]
+    with_polls_us = time_call(
+        _build_plan_call(count, tasks_per_worker=tasks_per_worker, polled=count)
+    )
+    return (
+        with_polls_us
+        - time_call(_build_plan_call(count, tasks_per_worker=tasks_per_worker))
+    ) / count
 
 
-def _fit_rows(
-    *, key: str, what: str, module: str, unit: str, values: list[float]
+def _fit_by_tasks(
+    *, key: str, description: str, module: str, unit: str, values: list[float]
 ) -> Slope:
     return fit_line(
         key=key,
         role="owner",
-        what=what,
+        description=description,
         module=module,
         axis="tasks on the worker",
         unit=unit,
-        sizes=ROWS,
+        sizes=TASK_COUNTS,
         values=values,
     )
 
 
-def _measure_looks() -> list[Slope]:
-    answers = {rows: _encode_look(_build(WORKERS[0], rows)) for rows in ROWS}
+def _measure_polls() -> list[Slope]:
+    answers = {
+        count: _encode_poll_answer(_build(WORKER_COUNTS[0], count))
+        for count in TASK_COUNTS
+    }
     return [
-        _fit_rows(
+        _fit_by_tasks(
             key="look_bytes",
-            what="answer to a look",
+            description="answer to a look",
             module="platform.looks",
             unit="bytes",
             values=[len(data) for data in answers.values()],
         ),
-        _fit_rows(
+        _fit_by_tasks(
             key="look_decode",
-            what="the same, decoded",
+            description="the same, decoded",
             module="platform.looks",
             unit="us",
             values=[time_call(lambda d=d: decode_look(d)) for d in answers.values()],
         ),
-        _fit_rows(
+        _fit_by_tasks(
             key="look_take",
-            what="the same, taken in",
+            description="the same, taken in",
             module="scheduling.looks, scheduling.crowds",
             unit="us",
-            values=[time_call(_build_look(rows)) for rows in ROWS],
+            values=[time_call(_build_poll_call(count)) for count in TASK_COUNTS],
         ),
-        _fit_rows(
+        _fit_by_tasks(
             key="look_paces",
-            what="paces planned after it",
+            description="paces planned after it",
             module="scheduling.pacing",
             unit="us",
-            values=[_time_paces(rows) for rows in ROWS],
+            values=[_time_pacing(count) for count in TASK_COUNTS],
         ),
     ]
 
 
 def _measure_running() -> list[Slope]:
-    """Measure state and processor time of the tasks that run in one shard."""
-    tasks = [workers * _USUAL_ROWS for workers in WORKERS]
-    plans = [time_call(_build_plan(workers)) for workers in WORKERS]
-    rounds = [time_call(_build_plan(workers, halted=True)) for workers in WORKERS]
+    """Measure memory and processor time of the running tasks of one shard."""
+    tasks = [workers * _TARGET_TASKS_PER_WORKER for workers in WORKER_COUNTS]
+    plans = [time_call(_build_plan_call(workers)) for workers in WORKER_COUNTS]
+    halted_plans = [
+        time_call(_build_plan_call(workers, checks_halted=True))
+        for workers in WORKER_COUNTS
+    ]
     return [
         fit_line(
             key="run_bytes",
             role="owner",
-            what="memory of running tasks",
+            description="memory of running tasks",
             module="scheduling.fleet, scheduling.book, scheduling.slack",
             axis="tasks",
             unit="bytes",
-            sizes=[WORKERS[0] * rows for rows in ROWS],
-            values=[_measure_bytes(rows) for rows in ROWS],
+            sizes=[WORKER_COUNTS[0] * count for count in TASK_COUNTS],
+            values=[_measure_bytes(count) for count in TASK_COUNTS],
         ),
-        *_measure_looks(),
+        *_measure_polls(),
         fit_line(
             key="plan_idle",
             role="owner",
-            what="a plan without news",
+            description="a plan without news",
             module="scheduling.planning",
             axis="tasks",
             unit="us",
@@ -278,115 +298,122 @@
         fit_line(
             key="plan_halted",
             role="owner",
-            what="the same with a look for halted fillers",
+            description="the same with a look for halted fillers",
             module="scheduling.assignment",
             axis="tasks",
             unit="us",
             sizes=tasks,
-            values=rounds,
+            values=halted_plans,
         ),
     ]
 
 
-def _read_at(slope: Slope, size: float) -> float:
-    """Return what was measured at a size, between two points; not every line is one."""
+def _interpolate(slope: Slope, size: float) -> float:
+    """Interpolate between measurements, as some costs are not linear."""
     return float(np.interp(size, slope.sizes, slope.values))
 
 
-def _build_rows(slopes: Slopes) -> list[Row]:
-    """Work out what the running tasks cost at the size aimed at."""
-    rows = TARGET.tasks / TARGET.workers
-    tasks = rows * _SHARD_WORKERS
-    shards = TARGET.workers / _SHARD_WORKERS
-    each = slopes["run_bytes"].per_unit
-    parts = [
-        _read_at(slopes[key], rows)
+def _build_projections(slopes: Slopes) -> list[Projection]:
+    """Project the costs of running tasks to the target size."""
+    tasks_per_worker = TARGET.tasks / TARGET.workers
+    tasks = tasks_per_worker * _MAX_SHARD_WORKERS
+    shards = TARGET.workers / _MAX_SHARD_WORKERS
+    task_bytes = slopes["run_bytes"].per_unit
+    stages_us = [
+        _interpolate(slopes[key], tasks_per_worker)
         for key in ("look_decode", "look_take", "look_paces")
     ]
-    look_us = sum(parts)
-    looks = _SHARD_WORKERS * 1000.0 / _LOOK_PAUSE_MS
-    looks_cores = looks * look_us / US_PER_S
-    plan_us = slopes["plan_idle"].at(tasks)
-    plans = US_PER_S / (_GATHER_MS * 1000.0 + plan_us)
-    plans_cores = plans * plan_us / US_PER_S
-    halted_us = slopes["plan_halted"].at(tasks) - plan_us
+    poll_us = sum(stages_us)
+    polls_per_s = _MAX_SHARD_WORKERS * 1000.0 / _POLL_INTERVAL_MS
+    polls_cores = polls_per_s * poll_us / US_PER_S
+    plan_us = slopes["plan_idle"].evaluate(tasks)
+    plans_per_s = US_PER_S / (_BATCHING_WINDOW_MS * 1000.0 + plan_us)
+    plans_cores = plans_per_s * plan_us / US_PER_S
+    halted_us = slopes["plan_halted"].evaluate(tasks) - plan_us
     halted_cores = _ROUNDS_PER_S * halted_us / US_PER_S
-    detail = " + ".join(f"{part:.0f}" for part in parts)
+    detail = " + ".join(f"{part:.0f}" for part in stages_us)
     return [
-        Row(
+        Projection(
             role="owner",
-            what="running tasks of a shard of 200 workers",
-            sum=f"200 x {TARGET.tasks:,.0f} / {TARGET.workers:,.0f}",
+            description="running tasks of a shard of 200 workers",
+            formula=f"200 x {TARGET.tasks:,.0f} / {TARGET.workers:,.0f}",
             value=tasks,
             unit="tasks",
         ),
-        Row(
+        Projection(
             role="owner",
-            what="their memory",
-            sum=f"{tasks:,.0f} x {each:,.0f} bytes",
-            value=tasks * each,
+            description="their memory",
+            formula=f"{tasks:,.0f} x {task_bytes:,.0f} bytes",
+            value=tasks * task_bytes,
             unit="bytes",
-            limit=TARGET.memory_bytes,
+            limit=TARGET.control_memory_bytes,
         ),
-        Row(
+        Projection(
             role="all owners",
-            what="memory of all running tasks",
-            sum=f"{TARGET.tasks:,.0f} x {each:,.0f} bytes",
-            value=TARGET.tasks * each,
+            description="memory of all running tasks",
+            formula=f"{TARGET.tasks:,.0f} x {task_bytes:,.0f} bytes",
+            value=TARGET.tasks * task_bytes,
             unit="bytes",
         ),
-        Row(
+        Projection(
             role="owner",
-            what="one look: decoded, taken in, paces planned",
-            sum=f"({detail}) us at {rows:.1f} tasks",
-            value=look_us / rows,
+            description="one look: decoded, taken in, paces planned",
+            formula=f"({detail}) us at {tasks_per_worker:.1f} tasks",
+            value=poll_us / tasks_per_worker,
             unit="us a task and look",
         ),
-        Row(
+        Projection(
             role="owner",
-            what="looks at 200 workers, two a second",
-            sum=f"{looks:.0f}/s x {look_us:.0f} us",
-            value=looks_cores,
+            description="looks at 200 workers, two a second",
+            formula=f"{polls_per_s:.0f}/s x {poll_us:.0f} us",
+            value=polls_cores,
             unit="cores",
         ),
-        Row(
+        Projection(
             role="owner",
-            what="plans, one for each gathering of news",
-            sum=f"1 / (6 ms + {plan_us / 1000.0:.2f} ms) x {plan_us / 1000.0:.2f} ms",
+            description="plans, one for each gathering of news",
+            formula=f"1 / (6 ms + {plan_us / 1000.0:.2f} ms) x "
+            f"{plan_us / 1000.0:.2f} ms",
             value=plans_cores,
             unit="cores",
         ),
-        Row(
+        Projection(
             role="owner",
-            what="looks for halted fillers, one in a millisecond a worker",
-            sum=f"{_ROUNDS_PER_S:.0f}/s x {halted_us / 1000.0:.2f} ms",
+            description="looks for halted fillers, one in a millisecond a worker",
+            formula=f"{_ROUNDS_PER_S:.0f}/s x {halted_us / 1000.0:.2f} ms",
             value=halted_cores,
             unit="cores",
         ),
-        Row(
+        Projection(
             role="all owners",
-            what="all three, 150 shards",
-            sum=f"150 x ({looks_cores:.3f} + {plans_cores:.3f} + {halted_cores:.3f})",
-            value=shards * (looks_cores + plans_cores + halted_cores),
+            description="all three, 150 shards",
+            formula=f"150 x ({polls_cores:.3f} + {plans_cores:.3f} "
+            f"+ {halted_cores:.3f})",
+            value=shards * (polls_cores + plans_cores + halted_cores),
             unit="cores",
         ),
-        Row(
+        Projection(
             role="worker",
-            what="answers to its looks, without HTTP's heads",
-            sum=f"2/s x {_read_at(slopes['look_bytes'], rows):,.0f} bytes",
-            value=2.0 * _read_at(slopes["look_bytes"], rows),
+            description="answers to its looks, without HTTP's heads",
+            formula="2/s x "
+            f"{_interpolate(slopes['look_bytes'], tasks_per_worker):,.0f} bytes",
+            value=2.0 * _interpolate(slopes["look_bytes"], tasks_per_worker),
             unit="bytes/s",
-            limit=TARGET.bytes_per_s,
+            limit=TARGET.control_bytes_per_s,
         ),
     ]
 
 
 def rewrite_running(path: pathlib.Path) -> None:
-    """Measure and rewrite the tables of running tasks."""
+    """Measure the costs of running tasks and rewrite their tables."""
     slopes = Slopes()
     slopes.add(*_measure_running())
     note = f"{os.cpu_count()} processors, load average {os.getloadavg()[0]:.1f}."
-    tables = (note, render_slopes(slopes), render_rows(_build_rows(slopes)))
+    tables = (
+        note,
+        render_slopes(slopes),
+        render_projections(_build_projections(slopes)),
+    )
     rewrite_block(path, "running", "\n\n".join(tables))
 
 
--- a/bench/capacity/shard.py
+++ b/bench/capacity/shard.py
@@ -1,4 +1,4 @@
-"""Decisions and bookkeeping of the owner of one worker shard."""
+"""Costs of job records and placement on the owner of a worker shard."""
 
 import tracemalloc
 
@@ -22,10 +22,10 @@
 
 __all__ = ["build_records", "measure_book"]
 
-WORKERS = (100, 200, 400, 800)
-JOBS = (1_000, 2_000, 4_000, 8_000)
-_TASKS_A_WORKER = 8
-_BATCH = 200
+WORKER_COUNTS = (100, 200, 400, 800)
+JOB_COUNTS = (1_000, 2_000, 4_000, 8_000)
+_TASKS_PER_WORKER = 8
+_BATCH_SIZE = 200
 _CORES = 32.0
 _MEMORY_BYTES = 125_000_000_000
 _WALL_MS = 1.75e12
@@ -34,7 +34,7 @@
 
 
 def build_records(count: int) -> tuple[WorkerRecord, ...]:
-    """Build what the instance list says of some workers, eight to a rack."""
+    """Build instance list records of workers, eight per rack."""
     return tuple(
         WorkerRecord(
             worker_id=f"w-{number:05d}",
@@ -49,7 +49,7 @@
 
 
 class _Shard:
-    """A book with workers, and the calls that the shard's task makes on it."""
+    """A job book with workers, and the operations of the shard runner on it."""
 
     def __init__(self, *, workers):
         self.book = JobBook(epoch=1)
@@ -88,7 +88,7 @@
             limit=256,
         )
 
-    def tell(self, orders, status):
+    def report_status(self, orders, status):
         for batch in orders.values():
             for order in batch:
                 self.book.apply_news(
@@ -97,58 +97,58 @@
                     wall_ms=_WALL_MS,
                 )
 
-    def record(self):
+    def commit(self):
         commits = self.book.take_commits()
         self.book.confirm(commits)
         self.book.take_orders()
 
-    def fill(self, tasks):
-        left = tasks
-        while left > 0:
-            self.submit(min(left, _BATCH))
+    def run_tasks(self, tasks):
+        remaining = tasks
+        while remaining > 0:
+            self.submit(min(remaining, _BATCH_SIZE))
             self.place()
-            self.tell(self.book.take_orders(), TaskStatus.RUNNING)
-            left -= _BATCH
-        self.record()
+            self.report_status(self.book.take_orders(), TaskStatus.RUNNING)
+            remaining -= _BATCH_SIZE
+        self.commit()
 
 
-def _time_life(workers):
-    """Time the life of a job: accepted, placed, running, finished, recorded."""
+def _time_lifecycle(workers):
+    """Time the lifecycle of a job: accepted, placed, running, finished, committed."""
     shard = _Shard(workers=workers)
-    shard.fill(workers * _TASKS_A_WORKER)
+    shard.run_tasks(workers * _TASKS_PER_WORKER)
 
-    def live():
-        specs = shard.submit(_BATCH)
+    def run_jobs():
+        specs = shard.submit(_BATCH_SIZE)
         shard.place()
         orders = shard.book.take_orders()
-        shard.tell(orders, TaskStatus.RUNNING)
-        shard.tell(orders, TaskStatus.FINISHED)
-        shard.record()
+        shard.report_status(orders, TaskStatus.RUNNING)
+        shard.report_status(orders, TaskStatus.FINISHED)
+        shard.commit()
         for spec in specs:
             assert shard.book.jobs.pop(spec.job_id).state is JobState.ENDED
 
-    return time_call(live, least_s=0.3) / _BATCH
+    return time_call(run_jobs, min_duration_s=0.3) / _BATCH_SIZE
 
 
-def _time_step(jobs):
-    """Time a step that finds nothing to place."""
-    shard = _Shard(workers=jobs // _TASKS_A_WORKER)
-    shard.fill(jobs)
+def _time_idle_step(jobs):
+    """Time a placement step without waiting jobs."""
+    shard = _Shard(workers=jobs // _TASKS_PER_WORKER)
+    shard.run_tasks(jobs)
     return time_call(shard.place)
 
 
 def _time_queue(jobs):
-    """Time a step while many jobs wait that no worker has room for."""
+    """Time a placement step with waiting jobs and no free resources."""
     shard = _Shard(workers=200)
-    shard.fill(200 * int(_CORES))
+    shard.run_tasks(200 * int(_CORES))
     shard.submit(jobs)
-    return time_call(shard.place, least_s=0.2)
+    return time_call(shard.place, min_duration_s=0.2)
 
 
 def _time_reports(workers):
-    """Time the taking in of a usage report of every worker, and the reactions."""
+    """Time the processing of a usage report of every worker, and the reactions."""
     shard = _Shard(workers=workers)
-    shard.fill(workers * _TASKS_A_WORKER)
+    shard.run_tasks(workers * _TASKS_PER_WORKER)
 
     def report():
         shard.now_ms += 1_000.0
@@ -168,13 +168,13 @@
             )
         react_to_reports(shard.book, shard.now_ms, LATENCY_FIRST)
 
-    return time_call(report, least_s=0.3)
+    return time_call(report, min_duration_s=0.3)
 
 
 def _time_takeover(workers):
-    """Time the taking in of all workers' inventories by a new owner."""
+    """Time the processing of all workers' inventories by a new owner."""
     shard = _Shard(workers=workers)
-    shard.fill(workers * _TASKS_A_WORKER)
+    shard.run_tasks(workers * _TASKS_PER_WORKER)
     by_worker: dict[str, list[TaskNews]] = {}
     for job in shard.book.jobs.values():
         ref = TaskRef(
@@ -187,45 +187,45 @@
         for worker_id, news in by_worker.items():
             shard.book.apply_inventory(worker_id, news, now_ms=0.0, wall_ms=_WALL_MS)
 
-    return time_call(take_over, least_s=0.3)
+    return time_call(take_over, min_duration_s=0.3)
 
 
 def _measure_bytes(jobs):
     tracemalloc.start()
-    shard = _Shard(workers=jobs // _TASKS_A_WORKER)
+    shard = _Shard(workers=jobs // _TASKS_PER_WORKER)
     before, _ = tracemalloc.get_traced_memory()
-    shard.fill(jobs)
+    shard.run_tasks(jobs)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return after - before
 
 
 def measure_book() -> list[Slope]:
-    """Time the book and the placement over workers, jobs and waiting jobs."""
+    """Measure job records and placement by workers, jobs and waiting jobs."""
     rows = (
         ("life", "a job from accepted to recorded", "jobs.book, placement", "workers",
-         "us a job", WORKERS, _time_life),
+         "us a job", WORKER_COUNTS, _time_lifecycle),
         ("step", "a step with nothing to place", "jobs.planner", "jobs in the book",
-         "us", JOBS, _time_step),
+         "us", JOB_COUNTS, _time_idle_step),
         ("queue", "a step over jobs that wait", "placement.queue", "waiting jobs",
-         "us", JOBS, _time_queue),
+         "us", JOB_COUNTS, _time_queue),
         ("reports", "a usage report of every worker", "placement.observation",
-         "workers", "us", WORKERS, _time_reports),
+         "workers", "us", WORKER_COUNTS, _time_reports),
         ("takeover", "inventories taken in after a takeover", "jobs.book", "workers",
-         "us", WORKERS, _time_takeover),
+         "us", WORKER_COUNTS, _time_takeover),
         ("task_bytes", "memory of the tasks", "jobs.book, placement.records", "tasks",
-         "bytes", JOBS[:3], _measure_bytes),
+         "bytes", JOB_COUNTS[:3], _measure_bytes),
     )  # fmt: skip
     return [
         fit_line(
             key=key,
             role=_ROLE,
-            what=what,
+            description=description,
             module=module,
             axis=axis,
             unit=unit,
             sizes=sizes,
             values=[measure(size) for size in sizes],
         )
-        for key, what, module, axis, unit, sizes, measure in rows
+        for key, description, module, axis, unit, sizes, measure in rows
     ]
