--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,7 +1,8 @@
-"""Callers in a closed loop, in this process or in one of their own.
+"""Closed-loop load generator, in this process or in a separate one.
 
-Run as ``python -m bench.callers ORDER``, with the order as JSON; prints the result as
-JSON. The result holds every latency, so that several processes can be joined.
+Run as ``python -m bench.callers SETTINGS``, with `LoadSettings` as JSON; prints the
+`LoadResult` as JSON. The result contains every latency, so that the results of several
+processes can be merged.
 """
 
 import json
@@ -19,29 +20,29 @@
 from trefoilhook.requests import format_key, mint_key
 from trefoilhook.requests.keys import compute_key_shard
 
-__all__ = ["Order", "Outcome", "format_key", "run_callers"]
+__all__ = ["LoadSettings", "LoadResult", "format_key", "run_callers"]
 
 
 @attrs.frozen(kw_only=True)
-class Order:
-    """What the callers do.
+class LoadSettings:
+    """Settings of the load generator.
 
     Parameters
     ----------
     port : int
-        Entry port.
+        Entry port of the instance.
     token, team, service : str
-        What they call.
+        Token, team and service of the requests.
     callers : int
-        Requests in flight.
+        Number of concurrent callers.
     duration_s : float
-        How long they measure.
+        Duration of the measurement, in s.
     warm_up_s : float
-        How long they send before.
+        Duration of the load before the measurement, in s.
     think_ms : float
-        Mean pause of a caller between two requests, in ms.
+        Mean pause of a caller between requests, in ms.
     shards : list of str
-        Only keys of these shards; empty for any.
+        Shards to which keys are restricted; empty for no restriction.
     shard_count : int
         Number of request shards.
     """
@@ -59,17 +60,17 @@
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
-    """What the callers saw.
+class LoadResult:
+    """Result of the load generator.
 
     Parameters
     ----------
     latencies_ms : list of float
-        Of each request answered OK.
+        Latency of each request answered with OK.
     codes : dict of str to int
-        Answers by result code.
+        Number of answers by result code or transport error.
     elapsed_s : float
-        How long was measured.
+        Actual duration of the measurement, in s.
     """
 
     latencies_ms: list[float]
@@ -77,29 +78,31 @@
     elapsed_s: float
 
 
-def _mint(order: Order) -> str:
-    wanted = set(order.shards)
+def _mint_key_in_shards(settings: LoadSettings) -> str:
+    shards = set(settings.shards)
     while True:
         key = mint_key()
-        if not wanted:
+        if not shards:
             return format_key(key)
-        if compute_key_shard(key, shard_count=order.shard_count) in wanted:
+        if compute_key_shard(key, shard_count=settings.shard_count) in shards:
             return format_key(key)
 
 
-async def run_callers(order: Order) -> Outcome:
-    """Send as ordered; what is answered after the warm-up counts."""
-    client = EntryClient(port=order.port, token=order.token, clock=build_system_clock())
+async def run_callers(settings: LoadSettings) -> LoadResult:
+    """Generate load; only answers received after the warm-up are counted."""
+    client = EntryClient(
+        port=settings.port, token=settings.token, clock=build_system_clock()
+    )
     latencies_ms: list[float] = []
     codes: Counter[str] = Counter()
     is_measuring = False
 
     async def call_repeatedly() -> None:
         while True:
-            key = _mint(order)
+            key = _mint_key_in_shards(settings)
             try:
                 answer = await client.send(
-                    order.team, order.service, b"seat", key=key, timeout_ms=5_000
+                    settings.team, settings.service, b"seat", key=key, timeout_ms=5_000
                 )
                 name = answer.code.name
             except TransportError as error:
@@ -108,25 +111,25 @@
                 codes[name] += 1
                 if name == "OK":
                     latencies_ms.append(answer.latency_ms)
-            if order.think_ms:
-                await trio.sleep(random.expovariate(1000.0 / order.think_ms))
+            if settings.think_ms:
+                await trio.sleep(random.expovariate(1000.0 / settings.think_ms))
 
     async with trio.open_nursery() as nursery:
-        for _ in range(order.callers):
+        for _ in range(settings.callers):
             nursery.start_soon(call_repeatedly)
-        await trio.sleep(order.warm_up_s)
+        await trio.sleep(settings.warm_up_s)
         is_measuring = True
         started = time.perf_counter()
-        await trio.sleep(order.duration_s)
+        await trio.sleep(settings.duration_s)
         elapsed_s = time.perf_counter() - started
         nursery.cancel_scope.cancel()
-    return Outcome(latencies_ms=latencies_ms, codes=dict(codes), elapsed_s=elapsed_s)
+    return LoadResult(latencies_ms=latencies_ms, codes=dict(codes), elapsed_s=elapsed_s)
 
 
 def main() -> None:
-    """Run one order and print the result."""
-    order = Order(**json.loads(sys.argv[1]))
-    print(json.dumps(attrs.asdict(trio.run(run_callers, order))))
+    """Generate load with the given settings and print the result."""
+    settings = LoadSettings(**json.loads(sys.argv[1]))
+    print(json.dumps(attrs.asdict(trio.run(run_callers, settings))))
 
 
 if __name__ == "__main__":
--- a/bench/configuration.py
+++ b/bench/configuration.py
@@ -1,7 +1,8 @@
-"""Time from the acceptance of a configuration until it is in force everywhere.
+"""Propagation time of a configuration change to all instances.
 
 Run from the root of the repository: ``python -m bench.configuration``. Nine instances
-in one process on loopback; the second half with one instance's watch silent.
+run in one process on loopback. In the second part the watch of one instance receives no
+events.
 """
 
 import logging
@@ -30,8 +31,8 @@
     }
 
 
-async def _change(cluster: LocalCluster, number: int) -> float:
-    """Change the configuration; return the time until all have it, in ms."""
+async def _time_change(cluster: LocalCluster, number: int) -> float:
+    """Change the configuration; return the propagation time to all, in ms."""
     admin = cluster.open_admin(number % _INSTANCES)
     target = f"/v1/config/teams/{_TEAM}"
     changed = await admin.send("PUT", target, _build_subtree(number))
@@ -61,17 +62,17 @@
         cluster = LocalCluster(platform=platform)
         await cluster.start()
         await trio.sleep(2)
-        times_ms = [await _change(cluster, number) for number in range(_CHANGES)]
+        times_ms = [await _time_change(cluster, number) for number in range(_CHANGES)]
         print(f"{_INSTANCES} instances, ms from accepted to in force on all")
         print("watches                     p50      p99     most  changes")
         _print_row("all work", times_ms)
         silent_ms = []
         for number in range(_SILENT_CHANGES):
-            switch = platform.store.faults
-            switch.set(attrs.evolve(FaultSettings(), silent_watches=1))
-            while switch.settings.silent_watches:
+            faults = platform.store.faults
+            faults.set(attrs.evolve(FaultSettings(), silent_watches=1))
+            while faults.settings.silent_watches:
                 await trio.sleep(_POLL_S)
-            silent_ms.append(await _change(cluster, _CHANGES + number))
+            silent_ms.append(await _time_change(cluster, _CHANGES + number))
             await trio.sleep(4)
         _print_row("one silent", silent_ms)
         nursery.cancel_scope.cancel()
--- a/bench/executors.py
+++ b/bench/executors.py
@@ -1,7 +1,7 @@
-"""Stand-in executors in a process of their own, for the benches.
+"""Executor stand-ins in a separate process, for the benchmarks.
 
-Run as ``python -m bench.executors COUNT SERVICE_TIME_MS``; the first line on standard
-output is the list of ports, as JSON. Ends when its standard input does.
+Run as ``python -m bench.executors COUNT SERVICE_TIME_MS``. The first line on standard
+output is a JSON list of ports. The process exits when its standard input is closed.
 """
 
 import json
--- a/bench/idle.py
+++ b/bench/idle.py
@@ -1,9 +1,9 @@
-"""What an idle instance takes: processor time, memory and bytes for control.
+"""Processor time, memory and control traffic of an idle instance.
 
-Run from the root of the repository: ``python -m bench.idle``. Nine instances as
-processes, 24 executors and 24 workers, no requests and no jobs. Bytes are those of
-``ss`` for the instance's open connections, both directions; without ``ss`` they are
-left out.
+Run from the root of the repository: ``python -m bench.idle``. Nine instances run as
+processes, with 24 executors and 24 workers but no requests or jobs. Traffic is read
+from ``ss`` for the open connections of the instances, in both directions; without
+``ss`` it is reported as 0.
 """
 
 import re
@@ -24,7 +24,7 @@
 
 
 def _read_bytes(pids: set[int]) -> int:
-    """Return the bytes that went over the open connections of some processes."""
+    """Return the bytes sent and received on the open connections of processes."""
     if shutil.which("ss") is None:
         return 0
     lines = subprocess.run(["ss", "-tinpHO"], capture_output=True, text=True).stdout
@@ -45,14 +45,21 @@
     calls = sum(system.platform.store.counts.calls.values())
     bytes_before = _read_bytes(set(pids))
     await trio.sleep(_RUN_S)
-    shares = [meter.read_s() / _RUN_S for meter in meters]
-    moved = _read_bytes(set(pids)) - bytes_before
+    cpu_shares = [meter.read_s() / _RUN_S for meter in meters]
+    control_bytes = _read_bytes(set(pids)) - bytes_before
     calls = sum(system.platform.store.counts.calls.values()) - calls
-    sizes = [read_rss_mb(pid) for pid in pids]
+    resident_mb = [read_rss_mb(pid) for pid in pids]
     print(f"{_INSTANCES} idle instances, {_EXECUTORS} executors, {_WORKERS} workers")
-    print(f"share of a core: mean {np.mean(shares):.2%}, most {max(shares):.2%}")
-    print(f"resident memory: mean {np.mean(sizes):.0f} MB, most {max(sizes):.0f} MB")
-    print(f"bytes for control: {moved / _RUN_S / _INSTANCES / 1000:.1f} KB/s each")
+    print(
+        f"share of a core: mean {np.mean(cpu_shares):.2%}, most {max(cpu_shares):.2%}"
+    )
+    print(
+        f"resident memory: mean {np.mean(resident_mb):.0f} MB, "
+        f"most {max(resident_mb):.0f} MB"
+    )
+    print(
+        f"bytes for control: {control_bytes / _RUN_S / _INSTANCES / 1000:.1f} KB/s each"
+    )
     print(f"store calls: {calls / _RUN_S / _INSTANCES:.2f}/s each")
 
 
--- a/bench/inner.py
+++ b/bench/inner.py
@@ -1,7 +1,7 @@
-"""Cost of calls between two instances: rate, processor time, bytes, batches.
+"""Rate, processor time, traffic and batch size of calls between two instances.
 
 Run from the root of the repository: ``python -m bench.inner``. Both instances run in
-one process and one trio run, so the processor time is that of both ends together.
+one process and one trio run, so the processor time includes both ends.
 """
 
 import time
@@ -38,7 +38,7 @@
 
 
 def _count_batches() -> None:
-    """Count batches and frames where the queue hands them out."""
+    """Patch the outbound queue to count batches and frames."""
     take_batch = OutboundQueue.take_batch
 
     def take_and_count(queue):
@@ -61,11 +61,11 @@
     )
 
 
-async def _answer(call) -> ServiceAnswer:
+async def _echo(call) -> ServiceAnswer:
     return ServiceAnswer(status=200, body=call.message.body)
 
 
-async def _call_for_ever(node: InnerNode) -> None:
+async def _call_repeatedly(node: InnerNode) -> None:
     request = ServiceRequest(
         team="team", service="service", key=bytes(16), body=bytes(_BODY_BYTES)
     )
@@ -77,7 +77,7 @@
 async def _measure_load(one: InnerNode, two: InnerNode, in_flight: int) -> None:
     async with trio.open_nursery() as nursery:
         for _ in range(in_flight):
-            nursery.start_soon(_call_for_ever, one)
+            nursery.start_soon(_call_repeatedly, one)
         await trio.sleep(_WARM_UP_S)
         _counts.calls = _counts.batches = _counts.frames = 0
         bytes_before = one.bytes_received + two.bytes_received
@@ -95,7 +95,7 @@
 
 
 async def _run_idle() -> None:
-    """Measure a full mesh of instances that only keep their links."""
+    """Measure a full mesh of instances with idle links."""
     nodes = [_build_node(f"node-{number}") for number in range(_MESH_INSTANCES)]
     async with trio.open_nursery() as nursery:
         for node in nodes:
@@ -124,7 +124,7 @@
 
 async def _run() -> None:
     one, two = _build_node("one"), _build_node("two")
-    two.handle(ServiceRequest, _answer)
+    two.handle(ServiceRequest, _echo)
     async with trio.open_nursery() as nursery:
         await nursery.start(one.run)
         await nursery.start(two.run)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -1,9 +1,9 @@
-"""Store writes and waiting time of job submissions against the commit window.
+"""Store writes and waiting time of job submissions by commit window.
 
-Run from the root of the repository: ``python -m bench.journal``. One worker shard takes
-jobs at a steady rate on virtual time, over the real journal and a store that answers
-after 5 ms; so writes and waits depend on nothing but the code. The second table is what
-a record costs by the size of pages, compactions included.
+Run from the root of the repository: ``python -m bench.journal``. One worker shard
+accepts jobs at a steady rate on virtual time, with the real journal and a store that
+answers after 5 ms, so writes and waits are deterministic. The second table shows the
+cost of a record by page size, including compactions.
 """
 
 import time
@@ -24,7 +24,7 @@
 _RUN_MS = 10_000.0
 _WINDOWS_MS = (0.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0)
 _RATES_PER_S = (2, 20, 200)
-_BATCHES = (1, 10, 100)
+_BATCH_SIZES = (1, 10, 100)
 _PAGE_BYTES = (2_048, 4_096, 8_192, 16_384, 32_768, 65_536)
 _RECORDS = 4_000
 _NO_LIMIT = 1e9
@@ -35,10 +35,10 @@
 class _Waits:
     waits_ms: list[float] = attrs.field(factory=list)
 
-    def read(self, share: float) -> float:
-        """Return the wait that a share of the jobs did not exceed, in ms."""
+    def compute_quantile(self, fraction: float) -> float:
+        """Return a quantile of the waits, in ms."""
         ordered = sorted(self.waits_ms)
-        return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def _build_spec(number: int) -> JobSpec:
@@ -68,9 +68,9 @@
 
 
 async def _submit(runner: ShardRunner, number: int, waits: _Waits) -> None:
-    begun = trio.current_time()
+    started_s = trio.current_time()
     await runner.submit(_build_spec(number))
-    waits.waits_ms.append((trio.current_time() - begun) * _MS_PER_S)
+    waits.waits_ms.append((trio.current_time() - started_s) * _MS_PER_S)
 
 
 async def _measure_window(window_ms: float, rate_per_s: int) -> None:
@@ -104,11 +104,12 @@
         nursery.cancel_scope.cancel()
     print(
         f"{rate_per_s:>6} {window_ms:>9.0f} {writes / _RUN_MS * _MS_PER_S:>9.1f}"
-        f" {jobs / writes:>12.1f} {waits.read(0.5):>9.0f} {waits.read(0.99):>9.0f}"
+        f" {jobs / writes:>12.1f} {waits.compute_quantile(0.5):>9.0f}"
+        f" {waits.compute_quantile(0.99):>9.0f}"
     )
 
 
-async def _measure_pages(page_bytes: int, size: int) -> None:
+async def _measure_pages(page_bytes: int, batch_size: int) -> None:
     unlimited = StoreSettings(writes_per_s=_NO_LIMIT, reads_per_s=_NO_LIMIT)
     store = VirtualStore(clock=build_system_clock(), call_ms=0.0, settings=unlimited)
     client = _CountingClient(store=store)
@@ -123,12 +124,12 @@
     calls_before = sum(store.state.calls.values())
     client.bytes_sent = 0
     cpu_before = time.process_time()
-    for turn in range(_RECORDS // size):
-        await journal.append(_build_records(turn * size, size))
+    for batch in range(_RECORDS // batch_size):
+        await journal.append(_build_records(batch * batch_size, batch_size))
     cpu_s = time.process_time() - cpu_before
     calls = sum(store.state.calls.values()) - calls_before
     print(
-        f"{page_bytes:>10} {size:>14} {calls / _RECORDS:>14.2f}"
+        f"{page_bytes:>10} {batch_size:>14} {calls / _RECORDS:>14.2f}"
         f" {client.bytes_sent / _RECORDS:>14.0f} {cpu_s / _RECORDS * 1e6:>15.0f}"
     )
 
@@ -145,12 +146,12 @@
 
 
 class _CountingClient(VirtualStoreClient):
-    """Counts the bytes of the values that leave."""
+    """Store client that counts the bytes of written values."""
 
     bytes_sent = 0
 
     async def swap(self, key, value, **more):
-        """Count, then swap."""
+        """Count the bytes of the value, then swap it."""
         self.bytes_sent += len(value or b"")
         return await super().swap(key, value, **more)
 
@@ -159,10 +160,10 @@
     print("jobs/s window ms writes/s  jobs a write p50 wait  p99 wait ms")
     for rate_per_s in _RATES_PER_S:
         for window_ms in _WINDOWS_MS:
-            virtual = trio.testing.MockClock(autojump_threshold=0)
-            trio.run(_measure_window, window_ms, rate_per_s, clock=virtual)
+            mock_clock = trio.testing.MockClock(autojump_threshold=0)
+            trio.run(_measure_window, window_ms, rate_per_s, clock=mock_clock)
     print("page bytes records/append calls a record bytes a record CPU us a record")
-    for size in _BATCHES:
+    for size in _BATCH_SIZES:
         for page_bytes in _PAGE_BYTES:
             trio.run(_measure_pages, page_bytes, size)
 
--- a/bench/ownership.py
+++ b/bench/ownership.py
@@ -1,8 +1,9 @@
-"""Three ways to own shards: store calls, takeover time and shards moved.
+"""Comparison of shard ownership schemes: store calls, takeover time, moved shards.
 
-``python -m bench.ownership`` runs on virtual time. The first way is the real code; the
-two others are the least that they need: a lease for each shard, and one elected leader
-that writes the table. All use the same store, lease time and renewal interval.
+``python -m bench.ownership`` runs on virtual time. The first scheme is the actual
+implementation, with one lease per instance. The two others are minimal
+implementations: one lease per shard, and an elected leader that writes the table. All
+use the same store, lease duration and renewal interval.
 """
 
 from collections.abc import Awaitable, Callable
@@ -32,32 +33,32 @@
 
 @attrs.frozen(kw_only=True)
 class Row:
-    """What one way cost at one size.
+    """Measured costs of a scheme at one cluster size.
 
     Parameters
     ----------
-    way : str
-        The way.
+    scheme : str
+        Name of the scheme.
     instances : int
-        Instances at the start.
+        Initial number of instances.
     idle_per_s : float
-        Store calls a second and instance, idle.
+        Store calls per second and instance while idle.
     takeover_ms : float
-        From the loss of an instance until every shard has a live owner, in ms.
-    moved : int
-        Shards that changed their owner.
+        Time from the loss of an instance until every shard has a live owner, in ms.
+    moved_shards : int
+        Number of shards that changed their owner.
     """
 
-    way: str
+    scheme: str
     instances: int
     idle_per_s: float
     takeover_ms: float
-    moved: int
+    moved_shards: int
 
 
 @attrs.define(kw_only=True)
-class _Plain:
-    """State of one of the two simple ways."""
+class _AlternativeCluster:
+    """State of a cluster that uses one of the two alternative schemes."""
 
     clock: Clock
     store: VirtualStore
@@ -68,15 +69,15 @@
         return sum(self.store.state.calls.values())
 
 
-async def _keep_watch(state: _Plain, client: VirtualStoreClient) -> None:
+async def _watch_keys(state: _AlternativeCluster, client: VirtualStoreClient) -> None:
     revision = state.store.state.revision
     while True:
         batch = await client.watch("own/", after_revision=revision, wait_ms=_WATCH_MS)
         revision = batch.revision
 
 
-async def _hold_shard(state: _Plain, shard_id: str, name: str) -> None:
-    """Lease for each shard: take it when its key is gone, and renew it."""
+async def _hold_shard(state: _AlternativeCluster, shard_id: str, name: str) -> None:
+    """Acquire the lease of a shard once its key is deleted, and renew it."""
     client = VirtualStoreClient(store=state.store)
     while True:
         entry = await client.get(f"own/{shard_id}")
@@ -99,10 +100,12 @@
             await client.keep_alive(lease.lease_id)
 
 
-async def _run_per_shard(state: _Plain, name: str, names: list[str]) -> None:
+async def _run_per_shard(
+    state: _AlternativeCluster, name: str, names: list[str]
+) -> None:
     client = VirtualStoreClient(store=state.store)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_keep_watch, state, client)
+        nursery.start_soon(_watch_keys, state, client)
         held: set[str] = set()
         while True:
             members = _list_members(n for n in names if n in state.alive)
@@ -128,15 +131,15 @@
     )
 
 
-async def _run_leader(state: _Plain, name: str, names: list[str]) -> None:
-    """One elected leader: members hold leases, the leader writes the table."""
+async def _run_leader(state: _AlternativeCluster, name: str, names: list[str]) -> None:
+    """Run a member with its own lease; the elected leader writes the table."""
     client = VirtualStoreClient(store=state.store)
     lease = await client.grant_lease(_TTL_MS)
     await client.swap(
         f"own/m/{name}", b"", expected_revision=0, lease_id=lease.lease_id
     )
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(_keep_watch, state, client)
+        nursery.start_soon(_watch_keys, state, client)
         nursery.start_soon(_renew, state, client, lease.lease_id)
         while True:
             await state.clock.sleep_ms(100)
@@ -155,7 +158,9 @@
                 await _assign(state, client)
 
 
-async def _renew(state: _Plain, client: VirtualStoreClient, lease_id: str) -> None:
+async def _renew(
+    state: _AlternativeCluster, client: VirtualStoreClient, lease_id: str
+) -> None:
     while True:
         await state.clock.sleep_ms(_RENEW_MS)
         try:
@@ -164,28 +169,32 @@
             return
 
 
-async def _assign(state: _Plain, client: VirtualStoreClient) -> None:
-    """Write the table anew when the watched members have changed."""
+async def _assign(state: _AlternativeCluster, client: VirtualStoreClient) -> None:
+    """Rewrite the table if the members have changed."""
     page = state.store.state.list_entries("own/m/", after_key="", limit=999)
     members = _list_members(entry.key.rsplit("/", 1)[1] for entry in page.entries)
-    wanted = {s: choose_owner(s, members) or "" for s in list_shards(_SHARDS)}
-    if wanted == state.owners:
+    owners = {s: choose_owner(s, members) or "" for s in list_shards(_SHARDS)}
+    if owners == state.owners:
         return
     table = await client.get("own/table")
     revision = table.revision if table else 0
-    await client.swap("own/table", repr(wanted).encode(), expected_revision=revision)
-    state.owners = wanted
+    await client.swap("own/table", repr(owners).encode(), expected_revision=revision)
+    state.owners = owners
 
 
-_Run = Callable[[_Plain, str, list[str]], Awaitable[None]]
+_RunMember = Callable[[_AlternativeCluster, str, list[str]], Awaitable[None]]
 
 
-def _measure_plain(way: str, run: _Run, size: int, *, victim: int) -> Row:
+def _measure_alternative(
+    scheme: str, run: _RunMember, size: int, *, victim: int
+) -> Row:
     rows: list[Row] = []
 
     async def scenario() -> None:
         clock = build_system_clock()
-        state = _Plain(clock=clock, store=VirtualStore(clock=clock, settings=_NO_LIMIT))
+        state = _AlternativeCluster(
+            clock=clock, store=VirtualStore(clock=clock, settings=_NO_LIMIT)
+        )
         names = [f"i{number}" for number in range(size)]
         async with trio.open_nursery() as nursery:
             for name in names:
@@ -196,35 +205,39 @@
             before = state.count_calls()
             await clock.sleep_ms(_IDLE_S * 1000)
             calls = state.count_calls() - before
-            rows.append(await _lose(state, way, size, names[victim], calls))
+            rows.append(await _measure_loss(state, scheme, size, names[victim], calls))
             nursery.cancel_scope.cancel()
 
     trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
     return rows[0]
 
 
-async def _run_scoped(state: _Plain, run: _Run, name: str, names: list[str]) -> None:
+async def _run_scoped(
+    state: _AlternativeCluster, run: _RunMember, name: str, names: list[str]
+) -> None:
     with state.alive[name]:
         await run(state, name, names)
 
 
-async def _lose(state: _Plain, way: str, size: int, victim: str, calls: int) -> Row:
-    former = dict(state.owners)
+async def _measure_loss(
+    state: _AlternativeCluster, scheme: str, size: int, victim: str, calls: int
+) -> Row:
+    owners_before = dict(state.owners)
     state.alive.pop(victim).cancel()
     lost_ms = state.clock.monotonic_ms()
     while victim in state.owners.values():
         await state.clock.sleep_ms(20)
-    moved = sum(state.owners[s] != owner for s, owner in former.items())
+    moved = sum(state.owners[s] != owner for s, owner in owners_before.items())
     return Row(
-        way=way,
+        scheme=scheme,
         instances=size,
         idle_per_s=calls / _IDLE_S / size,
         takeover_ms=state.clock.monotonic_ms() - lost_ms,
-        moved=moved,
+        moved_shards=moved,
     )
 
 
-def _measure_real(size: int) -> Row:
+def _measure_actual(size: int) -> Row:
     rows: list[Row] = []
     real.SHARDS = _SHARDS
 
@@ -233,21 +246,23 @@
         before = sum(state.calls.values())
         await cluster.sleep_s(_IDLE_S)
         calls = sum(state.calls.values()) - before
-        former = {s: cluster.find_owners(s)[0] for s in list_shards(_SHARDS)}
-        victim = cluster.instances[former["req-000"]]
+        owners_before = {s: cluster.find_owners(s)[0] for s in list_shards(_SHARDS)}
+        victim = cluster.instances[owners_before["req-000"]]
         victim.kill()
         lost_ms = cluster.clock.monotonic_ms()
-        while cluster.count_served() < len(former):
+        while cluster.count_served() < len(owners_before):
             await cluster.clock.sleep_ms(20)
-        took_ms = cluster.clock.monotonic_ms() - lost_ms
-        moved = sum(cluster.find_owners(s)[0] != owner for s, owner in former.items())
+        takeover_ms = cluster.clock.monotonic_ms() - lost_ms
+        moved = sum(
+            cluster.find_owners(s)[0] != owner for s, owner in owners_before.items()
+        )
         rows.append(
             Row(
-                way="lease per instance",
+                scheme="lease per instance",
                 instances=size,
                 idle_per_s=calls / _IDLE_S / size,
-                takeover_ms=took_ms,
-                moved=moved,
+                takeover_ms=takeover_ms,
+                moved_shards=moved,
             )
         )
 
@@ -259,20 +274,26 @@
     """Print the table."""
     rows: list[Row] = []
     for size in _SIZES:
-        rows.append(_measure_real(size))
+        rows.append(_measure_actual(size))
+        rows.append(
+            _measure_alternative(
+                "lease per shard", _run_per_shard, size, victim=size - 1
+            )
+        )
         rows.append(
-            _measure_plain("lease per shard", _run_per_shard, size, victim=size - 1)
+            _measure_alternative(
+                "leader, follower lost", _run_leader, size, victim=size - 1
+            )
         )
         rows.append(
-            _measure_plain("leader, follower lost", _run_leader, size, victim=size - 1)
+            _measure_alternative("leader, leader lost", _run_leader, size, victim=0)
         )
-        rows.append(_measure_plain("leader, leader lost", _run_leader, size, victim=0))
     print("| way | instances | store calls/s each, idle | takeover ms | moved of 64 |")
     print("|---|---|---|---|---|")
-    for row in sorted(rows, key=lambda row: (row.way, row.instances)):
+    for row in sorted(rows, key=lambda row: (row.scheme, row.instances)):
         print(
-            f"| {row.way} | {row.instances} | {row.idle_per_s:.2f} "
-            f"| {row.takeover_ms:.0f} | {row.moved} |"
+            f"| {row.scheme} | {row.instances} | {row.idle_per_s:.2f} "
+            f"| {row.takeover_ms:.0f} | {row.moved_shards} |"
         )
 
 
--- a/bench/store_calls.py
+++ b/bench/store_calls.py
@@ -1,7 +1,7 @@
-"""Calls to the store, idle and with jobs coming in, with nine instances.
+"""Store call rate of nine instances, idle and with job submissions.
 
 Run from the root of the repository: ``python -m bench.store_calls``. All instances run
-in one process on loopback; the store's own counts are read.
+in one process on loopback. Calls are counted by the store.
 """
 
 import time
@@ -24,7 +24,7 @@
 
 
 async def _count(cluster: LocalCluster, duration_s: float) -> tuple[Counter, float]:
-    """Return the store's calls by kind within a time, and that time in s."""
+    """Return the store calls by kind during an interval, and its length in s."""
     before = Counter(cluster.platform.store.counts.calls)
     started = time.perf_counter()
     await trio.sleep(duration_s)
@@ -37,7 +37,7 @@
 ) -> None:
     admin = cluster.open_admin(number % _INSTANCES, _OPERATOR)
     while True:
-        begun = trio.current_time()
+        started_s = trio.current_time()
         try:
             status, _ = await admin.exchange(
                 "POST",
@@ -47,7 +47,7 @@
             statuses[status] += 1
         except TransportError:
             statuses["no answer"] += 1
-        await trio.sleep_until(begun + 1 / rate_per_s)
+        await trio.sleep_until(started_s + 1 / rate_per_s)
 
 
 def _print_row(name: str, calls: Counter, elapsed_s: float, jobs: int) -> None:
--- a/bench/system.py
+++ b/bench/system.py
@@ -1,8 +1,8 @@
-"""A whole system for the benches: daemons and executors as processes of their own.
+"""Complete system for the benchmarks, with daemons and executors as processes.
 
-The store, the instance list and the workers run in the bench's own process: they get
-few calls. Executors and callers get processes of their own, lest they be the
-bottleneck. Every process is ended by its own handle.
+The store, the instance list and the workers run in the benchmark's process, as they
+receive few calls. Executors and callers run in separate processes, so that they do not
+become the bottleneck. Each process is terminated through its own handle.
 """
 
 import json
@@ -17,7 +17,7 @@
 import numpy as np
 import trio
 
-from bench.callers import Order, Outcome
+from bench.callers import LoadResult, LoadSettings
 from trefoilhook.clock import build_system_clock
 from trefoilhook.daemon import DaemonSettings
 from trefoilhook.daemon.tests.processes import (
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class System(ProcessCluster):
-    """A cluster of daemons with executors in processes of their own.
+    """A cluster of daemons with executors in separate processes.
 
     Parameters
     ----------
@@ -52,12 +52,12 @@
     """
 
     service_time_ms: float = 5.0
-    others: list[trio.Process] = attrs.field(factory=list)
+    executor_processes: list[trio.Process] = attrs.field(factory=list)
 
     async def add_executors(
         self, service: str, count: int, *, names: list[str] | None = None
     ) -> list[ExecutorRecord]:
-        """Start executors in one process and put them on the instance list."""
+        """Start executors in one process and add them to the instance list."""
         command = [sys.executable, "-m", "bench.executors", str(count)]
         process = await trio.lowlevel.open_process(
             [*command, str(self.service_time_ms)],
@@ -65,10 +65,12 @@
             stdout=subprocess.PIPE,
             cwd=ROOT,
         )
-        self.others.append(process)
+        self.executor_processes.append(process)
         ports = json.loads(await _read_line(process))
         known = self.platform.instance_list.lists
-        names = names or [f"{service}-{len(self.others)}-{n}" for n in range(count)]
+        names = names or [
+            f"{service}-{len(self.executor_processes)}-{n}" for n in range(count)
+        ]
         records = [
             ExecutorRecord(
                 executor_id=name,
@@ -86,10 +88,12 @@
         )
         return records
 
-    def build_order(self, daemon: Daemon, service: str, **options: object) -> Order:
-        """Build an order for callers of a daemon."""
+    def build_load(
+        self, daemon: Daemon, service: str, **options: object
+    ) -> LoadSettings:
+        """Build the load settings for callers of a daemon."""
         settings = self.platform.settings
-        return Order(
+        return LoadSettings(
             port=daemon.entry_port,
             token=CALLER,
             team=TEAM,
@@ -98,14 +102,14 @@
             **options,
         )
 
-    async def call(self, order: Order) -> Outcome:
-        """Have a process of its own carry an order out."""
+    async def run_load(self, load: LoadSettings) -> LoadResult:
+        """Generate load in a separate process."""
         result = await trio.run_process(
-            [sys.executable, "-m", "bench.callers", json.dumps(attrs.asdict(order))],
+            [sys.executable, "-m", "bench.callers", json.dumps(attrs.asdict(load))],
             capture_stdout=True,
             cwd=ROOT,
         )
-        return Outcome(**json.loads(result.stdout))
+        return LoadResult(**json.loads(result.stdout))
 
     async def list_shards(self, daemon: Daemon) -> list[str]:
         """Return the request shards that a daemon owns."""
@@ -118,8 +122,8 @@
         ]
 
     async def stop(self) -> None:
-        """End every process that was started."""
-        for process in self.others:
+        """Terminate all started processes."""
+        for process in self.executor_processes:
             process.kill()
             await process.wait()
         await super().stop()
@@ -127,18 +131,18 @@
 
 @attrs.define(kw_only=True)
 class CpuMeter:
-    """Processor time of one process since a first reading."""
+    """Processor time of a process since the start of the measurement."""
 
     pid: int
-    _first_s: float = 0.0
+    _start_s: float = 0.0
 
     def start(self) -> None:
-        """Begin to count."""
-        self._first_s = self._read_s()
+        """Start the measurement."""
+        self._start_s = self._read_s()
 
     def read_s(self) -> float:
-        """Return the seconds of processor time since the start."""
-        return self._read_s() - self._first_s
+        """Return the processor time since the start, in s."""
+        return self._read_s() - self._start_s
 
     def _read_s(self) -> float:
         fields = Path(f"/proc/{self.pid}/stat").read_text().rsplit(")", 1)[1].split()
@@ -165,7 +169,7 @@
     while not data.endswith(b"\n"):
         chunk = await process.stdout.receive_some()
         if not chunk:
-            raise RuntimeError("the process ended before it listened")
+            raise RuntimeError("process exited before it reported its ports")
         data += chunk
     return data.decode()
 
@@ -178,7 +182,7 @@
     settings: DaemonSettings | None = None,
     workers: int = 3,
 ) -> None:
-    """Run a scenario on a system; end every process whatever happens."""
+    """Run a scenario on a system, and terminate all processes afterwards."""
 
     async def run() -> None:
         with trio.fail_after(_DEADLINE_S), tempfile.TemporaryDirectory() as folder:
--- a/bench/throughput.py
+++ b/bench/throughput.py
@@ -1,8 +1,8 @@
-"""Requests a second that one instance carries, and its processor time a request.
+"""Request throughput of one instance, and its processor time per request.
 
-Run from the root of the repository: ``python -m bench.throughput``. First one instance
-in all roles, at growing concurrency. Then three instances with one role each: entry,
-owner of the keys, owner of the executors.
+Run from the root of the repository: ``python -m bench.throughput``. The first part
+measures one instance in all roles, with increasing concurrency. The second part
+measures three instances with one role each: entry, key owner and executor owner.
 """
 
 import sys
@@ -23,7 +23,7 @@
 _ROLES = ("entry", "key owner", "executor owner")
 
 
-async def _measure_one(system: System) -> None:
+async def _measure_single_instance(system: System) -> None:
     for _ in range(2):
         await system.add_executors(_SERVICE, _EXECUTORS)
     await trio.sleep(2)
@@ -33,28 +33,28 @@
     print("one instance in all roles")
     print("in flight      rate   CPU us      p50      p99  answers")
     for in_flight in _IN_FLIGHT:
-        order = system.build_order(
+        load = system.build_load(
             daemon, _SERVICE, callers=in_flight, duration_s=_DURATION_S, warm_up_s=0.0
         )
         meter.start()
-        outcome = await system.call(order)
+        result = await system.run_load(load)
         cpu_s = meter.read_s()
-        answered = len(outcome.latencies_ms)
-        p99_ms = float(np.percentile(outcome.latencies_ms, 99))
+        answered = len(result.latencies_ms)
+        p99_ms = float(np.percentile(result.latencies_ms, 99))
         base_p99_ms = base_p99_ms or p99_ms
         print(
-            f"{in_flight:>9} {answered / outcome.elapsed_s:>9.0f}"
+            f"{in_flight:>9} {answered / result.elapsed_s:>9.0f}"
             f" {cpu_s / answered * _US_PER_S:>8.0f}"
-            f" {format_quantiles(outcome.latencies_ms)}"
+            f" {format_quantiles(result.latencies_ms)}"
             f"  p99 x {p99_ms / base_p99_ms:.2f}",
             flush=True,
         )
-        if set(outcome.codes) != {"OK"}:
-            print("  codes:", outcome.codes)
+        if set(result.codes) != {"OK"}:
+            print("  codes:", result.codes)
 
 
-def _name_executors(shards: list[str], *, shard_count: int) -> list[str]:
-    """Return names of executors that hash to the given shards."""
+def _choose_executor_names(shards: list[str], *, shard_count: int) -> list[str]:
+    """Return executor names that hash to the given shards."""
     names = []
     number = 0
     while len(names) < 2 * _EXECUTORS:
@@ -68,13 +68,13 @@
 async def _measure_roles(system: System) -> None:
     entry, key_owner, executor_owner = system.daemons
     shard_count = system.platform.settings.requests.shard_count
-    names = _name_executors(
+    names = _choose_executor_names(
         await system.list_shards(executor_owner), shard_count=shard_count
     )
-    for part in (names[:_EXECUTORS], names[_EXECUTORS:]):
-        await system.add_executors(_SERVICE, _EXECUTORS, names=part)
+    for batch in (names[:_EXECUTORS], names[_EXECUTORS:]):
+        await system.add_executors(_SERVICE, _EXECUTORS, names=batch)
     await trio.sleep(3)
-    order = system.build_order(
+    load = system.build_load(
         entry,
         _SERVICE,
         callers=_ROLE_IN_FLIGHT,
@@ -85,11 +85,11 @@
     meters = [CpuMeter(pid=d.process.pid) for d in system.daemons]
     for meter in meters:
         meter.start()
-    outcome = await system.call(order)
-    answered = len(outcome.latencies_ms)
-    rate = answered / outcome.elapsed_s
+    result = await system.run_load(load)
+    answered = len(result.latencies_ms)
+    rate = answered / result.elapsed_s
     print(f"\none role an instance, {_ROLE_IN_FLIGHT} in flight, {rate:.0f} requests/s")
-    print("p50, p99, answers:", format_quantiles(outcome.latencies_ms), outcome.codes)
+    print("p50, p99, answers:", format_quantiles(result.latencies_ms), result.codes)
     for role, meter in zip(_ROLES, meters, strict=True):
         print(f"{role:>15} {meter.read_s() / answered * _US_PER_S:>6.0f} us a request")
 
@@ -97,6 +97,8 @@
 if __name__ == "__main__":
     which = sys.argv[1:]
     if not which or "one" in which:
-        run_system(_measure_one, daemons=1, service_time_ms=_SERVICE_TIME_MS)
+        run_system(
+            _measure_single_instance, daemons=1, service_time_ms=_SERVICE_TIME_MS
+        )
     if not which or "roles" in which:
         run_system(_measure_roles, daemons=3, service_time_ms=_SERVICE_TIME_MS)
