--- a/bench/placement_driver.py
+++ b/bench/placement_driver.py
@@ -50,7 +50,27 @@
 
 @attrs.frozen(kw_only=True)
 class Scheme:
-    """A placement policy under test, with its scoring and reactions."""
+    """A placement scheme under test.
+
+    Parameters
+    ----------
+    name : str
+        Name in the report.
+    policy : Policy
+        Weights of the decisions.
+    build_scorer : callable
+        Builds the function that scores workers for a task.
+    react : callable
+        Decides the reactions to reported slowdowns.
+    prepare : callable
+        Modifies the initial state.
+    after_step : callable
+        Modifies the state after each step.
+    immediate_reports : bool
+        Whether usage reports are delivered without delay.
+    order : callable
+        Orders the waiting tasks.
+    """
 
     name: str
     policy: Policy
--- a/bench/placement_load.py
+++ b/bench/placement_load.py
@@ -15,7 +15,23 @@
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """A submitted task, with its true properties that placement does not see."""
+    """A submitted task, with its true properties that placement does not see.
+
+    Parameters
+    ----------
+    at_s : float
+        Time of submission, in s.
+    shape : TaskShape
+        Task as declared by its caller.
+    true_cores : float
+        Cores that it uses at peak.
+    noise : float
+        Multiplier of its interference with other tasks.
+    needed_s : float
+        Run time without slowdown, in s; infinite for services and watchers.
+    fails_always : bool
+        Whether every attempt fails.
+    """
 
     at_s: float
     shape: TaskShape
--- a/bench/placement_world.py
+++ b/bench/placement_world.py
@@ -72,7 +72,26 @@
 
 @attrs.define(kw_only=True)
 class World:
-    """True state of the simulated fleet; tasks are columns indexed by slot."""
+    """True state of the simulated fleet.
+
+    The arrays hold one entry per task slot. Among them are the index of the worker
+    (``owner``) and of the task class (``kind_of``), the declared and true cores, the
+    interference multiplier of the task (``noise``), and sums over the steps since the
+    last report (``used_sum``, ``slowdown_sum``, and their number ``seen``).
+
+    Parameters
+    ----------
+    user : User
+        Size and workload mix.
+    conditions : Conditions
+        Parameters of the run.
+    rng : numpy.random.Generator
+        Source of randomness.
+    slowdown_matrix : numpy.ndarray
+        Slowdown of the class in the row by the class in the column.
+    constant_share : numpy.ndarray
+        Share of each slowdown that does not depend on the load of the worker.
+    """
 
     user: User
     conditions: Conditions
