--- a/bench/callers.py
+++ b/bench/callers.py
@@ -17,7 +17,7 @@
 from trefoilhook.clock import build_system_clock
 from trefoilhook.demo import EntryClient
 from trefoilhook.exceptions import TransportError
-from trefoilhook.requests import format_key, mint_key
+from trefoilhook.requests import format_key, generate_key
 from trefoilhook.requests.keys import compute_key_shard
 
 __all__ = ["LoadSettings", "LoadResult", "format_key", "run_callers"]
@@ -78,10 +78,10 @@
     elapsed_s: float
 
 
-def _mint_key_in_shards(settings: LoadSettings) -> str:
+def _generate_key_in_shards(settings: LoadSettings) -> str:
     shards = set(settings.shards)
     while True:
-        key = mint_key()
+        key = generate_key()
         if not shards:
             return format_key(key)
         if compute_key_shard(key, shard_count=settings.shard_count) in shards:
@@ -99,7 +99,7 @@
 
     async def call_repeatedly() -> None:
         while True:
-            key = _mint_key_in_shards(settings)
+            key = _generate_key_in_shards(settings)
             try:
                 answer = await client.send(
                     settings.team, settings.service, b"seat", key=key, timeout_ms=5_000
--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -17,7 +17,7 @@
 from bench.capacity.mesh import measure_calls, measure_inner
 from bench.capacity.page import rewrite_page
 from bench.capacity.running import rewrite_running
-from bench.capacity.shard import measure_book
+from bench.capacity.shard import measure_registry
 from trefoilhook.logs import configure_logs
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "CAPACITY.md"
@@ -30,7 +30,7 @@
     measure_cluster,
     measure_configuration,
     measure_keys,
-    measure_book,
+    measure_registry,
     measure_journal,
     measure_runner,
 )
--- a/bench/capacity/cluster.py
+++ b/bench/capacity/cluster.py
@@ -109,7 +109,7 @@
 
 async def _measure_loss(cluster, measurement):
     """Kill an instance, add another, and count the store calls apart from idle ones."""
-    cluster.forget_gaps()
+    cluster.reset_gaps()
     before = Counter(cluster.store.state.calls)
     cluster.instances["i0"].kill()
     await cluster.sleep_s(_SETTLE_S)
@@ -186,7 +186,7 @@
         clock=clock,
         settings=MembershipSettings(),
     )
-    membership.follower.mirror.replace(
+    membership.follower.mirror.apply_listing(
         [
             MirrorEntry(
                 key=f"{MEMBERS_PREFIX}i-{number:012x}",
@@ -262,7 +262,7 @@
     members = Members(by_id={f"i-{n:012x}": _build_member(n) for n in range(50)})
     me = members.by_id["i-000000000001"]
     plans = [
-        time_call(lambda t=t: plan_handovers(table=t, members=members, me=me))
+        time_call(lambda t=t: plan_handovers(table=t, members=members, local_member=me))
         for t in tables
     ]
     return [
--- a/bench/capacity/links.py
+++ b/bench/capacity/links.py
@@ -12,10 +12,10 @@
 from bench.capacity.fit import Slope, fit_line, time_call
 from bench.capacity.shard import build_records
 from trefoilhook.clock import build_system_clock
-from trefoilhook.exchange import decode_answer
-from trefoilhook.instances import BackendPage
+from trefoilhook.exchange import decode_response
+from trefoilhook.instances import BackendSnapshot
 from trefoilhook.jobs import JobSettings
-from trefoilhook.jobs.listing import WorkerSplit
+from trefoilhook.jobs.listing import WorkerPartition
 from trefoilhook.jobs.messages import WorkerAddress
 from trefoilhook.jobs.sessions import WorkerSession
 from trefoilhook.logs import configure_logs
@@ -103,7 +103,7 @@
             clock=clock,
             timeout_ms=_TIMEOUT_MS,
         )
-        await client.take_lease("i-1", 1, _LEASE_MS)
+        await client.acquire_lease("i-1", 1, _LEASE_MS)
         for sequence in itertools.count(1):
             for kind in (CommandKind.START, CommandKind.ACKNOWLEDGE):
                 command = WorkerCommand(
@@ -258,13 +258,13 @@
 def measure_list() -> list[Slope]:
     """Measure reading the instance list and splitting its workers by shard."""
     pages = [
-        BackendPage(executors=(), workers=build_records(count), age_ms=0.0)
+        BackendSnapshot(executors=(), workers=build_records(count), age_ms=0.0)
         for count in LIST_SIZES
     ]
     answers = [encode_answer(page) for page in pages]
 
     def split_workers(page):
-        return WorkerSplit(shards=_SHARDS).select(page.workers, "wrk-007")
+        return WorkerPartition(shards=_SHARDS).select(page.workers, "wrk-007")
 
     rows = (
         (
@@ -279,7 +279,10 @@
             "the same, decoded",
             "instances.client",
             "us",
-            [time_call(lambda a=a: decode_answer(a, BackendPage)) for a in answers],
+            [
+                time_call(lambda a=a: decode_response(a, BackendSnapshot))
+                for a in answers
+            ],
         ),
         (
             "list_filter",
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -18,8 +18,8 @@
 from trefoilhook.logs import configure_logs
 from trefoilhook.membership import Mirror, MirrorEntry
 from trefoilhook.requests import CallerAnswer
-from trefoilhook.requests.dedup import ActingWindow, KeyTable
-from trefoilhook.requests.keys import mint_key, read_minted_ms
+from trefoilhook.requests.dedup import KeyTable, KeyTimeWindow
+from trefoilhook.requests.keys import generate_key, read_created_ms
 from trefoilhook.results import ResultCode
 
 __all__ = ["measure_configuration", "measure_keys"]
@@ -78,7 +78,7 @@
     tracemalloc.start()
     mirror = Mirror()
     view = ConfigurationView(root=_ROOT)
-    mirror.replace(_build_entries(teams), revision=teams)
+    mirror.apply_listing(_build_entries(teams), revision=teams)
     view.apply(mirror.entries)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -89,7 +89,7 @@
     """Time the processing of a change of one team's value."""
     mirror = Mirror()
     view = ConfigurationView(root=_ROOT)
-    mirror.replace(_build_entries(teams), revision=teams)
+    mirror.apply_listing(_build_entries(teams), revision=teams)
     view.apply(mirror.entries)
     revision = teams
     key = build_team_key(_ROOT, "team-0007")
@@ -111,7 +111,7 @@
     configure_logs(level="CRITICAL")
     mirror = Mirror()
     view = ConfigurationView(root=_ROOT)
-    mirror.replace(_build_entries(teams), revision=teams + 1)
+    mirror.apply_listing(_build_entries(teams), revision=teams + 1)
     view.apply(mirror.entries)
     status = pathlib.Path("/proc/self/status").read_text()
     resident = next(x for x in status.splitlines() if x.startswith("VmRSS"))
@@ -175,16 +175,18 @@
 
 def _fill_key_table(count):
     table = KeyTable(max_age_ms=1e12, max_bytes=1 << 40)
-    window = ActingWindow(since_wall_ms=-1e15, skew_ms=500.0, ahead_ms=1e15)
+    window = KeyTimeWindow(
+        since_wall_ms=-1e15, max_clock_skew_ms=500.0, max_ahead_ms=1e15
+    )
     answer = CallerAnswer(code=ResultCode.OK, body=_BODY)
     for _ in range(count):
-        key = mint_key()
-        minted_ms = read_minted_ms(key)
+        key = generate_key()
+        created_ms = read_created_ms(key)
         verdict = table.begin(
             key=key,
-            minted_ms=minted_ms,
+            created_ms=created_ms,
             digest=key,
-            wall_ms=float(minted_ms),
+            wall_ms=float(created_ms),
             window=window,
         )
         table.finish(verdict.record, attrs.evolve(answer, body=bytes(bytearray(_BODY))))
--- a/bench/capacity/mesh.py
+++ b/bench/capacity/mesh.py
@@ -84,7 +84,7 @@
             done += 1
             await trio.sleep(_CALLERS / calls_per_s)
 
-    two.handle(ServiceRequest, answer)
+    two.register_handler(ServiceRequest, answer)
     async with trio.open_nursery() as nursery:
         await nursery.start(one.run)
         await nursery.start(two.run)
--- a/bench/capacity/running.py
+++ b/bench/capacity/running.py
@@ -31,8 +31,14 @@
     build_shard,
     learn_weights,
 )
-from trefoilhook.platform.looks import decode_look
-from trefoilhook.scheduling import Look, Running, TaskId, plan_orders, take_look
+from trefoilhook.platform.looks import decode_poll_answer
+from trefoilhook.scheduling import (
+    PollAnswer,
+    Running,
+    TaskId,
+    apply_poll_answer,
+    plan_orders,
+)
 from trefoilhook.scheduling.models import parse_task_id
 from trefoilhook.scheduling.tests.cases import Shard, build_job
 
@@ -110,12 +116,12 @@
     fleet = _assign_tasks(workers, tasks_per_worker)
     _submit_jobs(shard, fleet)
     _start_tasks(shard, fleet)
-    shard.pass_time(_POLL_INTERVAL_MS)
-    shard.look_all()
+    shard.advance_time(_POLL_INTERVAL_MS)
+    shard.poll_all()
     for _ in range(2):
         _plan(shard)
-        shard.pass_time(_POLL_INTERVAL_MS)
-        shard.look_all()
+        shard.advance_time(_POLL_INTERVAL_MS)
+        shard.poll_all()
     _plan(shard)
     running = sum(len(worker.runs) for worker in shard.scheduler.workers.values())
     assert running == workers * tasks_per_worker, running
@@ -148,30 +154,34 @@
 
 def _encode_poll_answer(shard: Shard) -> bytes:
     """Encode the poll answer of one worker in the format of the platform."""
-    look = shard.workers["w0"].look(shard.now_ms)
+    answer = shard.workers["w0"].answer_poll(shard.now_ms)
     rows = [
         [str(run.task), run.attempt, run.checkpoint, run.percent, run.load]
-        for run in look.running
+        for run in answer.running
     ]
-    table = {"clock_ms": look.clock_ms, "running": rows, "finished": []}
+    table = {"clock_ms": answer.clock_ms, "running": rows, "finished": []}
     return json.dumps(table, separators=(",", ":")).encode()
 
 
-def _build_variants(look: Look) -> tuple[Look, Look]:
+def _build_variants(answer: PollAnswer) -> tuple[PollAnswer, PollAnswer]:
     """Return a poll answer and a copy with different loads of all tasks."""
-    running = tuple(attrs.evolve(r, load=1.1 * (r.load or 0.0)) for r in look.running)
-    return look, attrs.evolve(look, running=running)
+    running = tuple(attrs.evolve(r, load=1.1 * (r.load or 0.0)) for r in answer.running)
+    return answer, attrs.evolve(answer, running=running)
 
 
 def _build_poll_call(tasks_per_worker: int) -> Callable[[], None]:
     """Return a function that processes one poll answer with changed loads."""
     shard = _build(WORKER_COUNTS[0], tasks_per_worker)
-    looks = itertools.cycle(_build_variants(shard.workers["w0"].look(shard.now_ms)))
+    answers = itertools.cycle(
+        _build_variants(shard.workers["w0"].answer_poll(shard.now_ms))
+    )
 
     def call() -> None:
-        shard.pass_time(_POLL_INTERVAL_MS)
+        shard.advance_time(_POLL_INTERVAL_MS)
         now_ms = shard.now_ms
-        take_look(shard.scheduler, "w0", next(looks), sent_ms=now_ms, now_ms=now_ms)
+        apply_poll_answer(
+            shard.scheduler, "w0", next(answers), sent_ms=now_ms, now_ms=now_ms
+        )
 
     return call
 
@@ -192,9 +202,9 @@
     polled_workers = list(shard.scheduler.workers.values())[:polled]
 
     def call() -> None:
-        shard.pass_time(_POLL_INTERVAL_MS)
+        shard.advance_time(_POLL_INTERVAL_MS)
         for worker in polled_workers:
-            worker.is_news = True
+            worker.has_changed = True
         shard.scheduler.fillers_due_ms = 0.0 if checks_halted else math.inf
         _plan(shard)
 
@@ -246,7 +256,9 @@
             description="the same, decoded",
             module="platform.looks",
             unit="us",
-            values=[time_call(lambda d=d: decode_look(d)) for d in answers.values()],
+            values=[
+                time_call(lambda d=d: decode_poll_answer(d)) for d in answers.values()
+            ],
         ),
         _fit_by_tasks(
             key="look_take",
--- a/bench/capacity/shard.py
+++ b/bench/capacity/shard.py
@@ -6,9 +6,9 @@
 
 from bench.capacity.fit import Slope, fit_line, time_call
 from trefoilhook.instances import WorkerRecord
-from trefoilhook.jobs import JobBook
+from trefoilhook.jobs import JobRegistry
 from trefoilhook.jobs.core import JobState
-from trefoilhook.jobs.messages import TaskNews, TaskRef, TaskStatus
+from trefoilhook.jobs.messages import TaskRef, TaskStatus, TaskUpdate
 from trefoilhook.jobs.planner import place_waiting, react_to_reports
 from trefoilhook.jobs.tests.shard import build_spec
 from trefoilhook.placement import (
@@ -20,7 +20,7 @@
 )
 from trefoilhook.workers import Resources as WorkerResources
 
-__all__ = ["build_records", "measure_book"]
+__all__ = ["build_records", "measure_registry"]
 
 WORKER_COUNTS = (100, 200, 400, 800)
 JOB_COUNTS = (1_000, 2_000, 4_000, 8_000)
@@ -49,10 +49,10 @@
 
 
 class _Shard:
-    """A job book with workers, and the operations of the shard runner on it."""
+    """A job registry with workers, and the operations of the shard runner on it."""
 
     def __init__(self, *, workers):
-        self.book = JobBook(epoch=1)
+        self.registry = JobRegistry(epoch=1)
         self.generator = np.random.default_rng(1)
         self.now_ms = 0.0
         self.count = 0
@@ -64,7 +64,7 @@
                 failure_domain=f"fd-{number % 23:02d}",
                 capacity=capacity,
             )
-            self.book.placement.add_worker(shape)
+            self.registry.placement.add_worker(shape)
 
     def submit(self, count, **changes):
         specs = []
@@ -72,14 +72,14 @@
             self.count += 1
             team = f"team-{self.count % 16}"
             spec = build_spec(f"job-{self.count:08d}", team=team, **changes)
-            self.book.accept(spec)
+            self.registry.accept(spec)
             specs.append(spec)
         return specs
 
     def place(self):
         self.now_ms += 50.0
         place_waiting(
-            self.book,
+            self.registry,
             now_ms=self.now_ms,
             wall_ms=_WALL_MS + self.now_ms,
             generator=self.generator,
@@ -91,23 +91,23 @@
     def report_status(self, orders, status):
         for batch in orders.values():
             for order in batch:
-                self.book.apply_news(
-                    TaskNews(ref=order.ref, status=status),
+                self.registry.apply_update(
+                    TaskUpdate(ref=order.ref, status=status),
                     now_ms=self.now_ms,
                     wall_ms=_WALL_MS,
                 )
 
     def commit(self):
-        commits = self.book.take_commits()
-        self.book.confirm(commits)
-        self.book.take_orders()
+        commits = self.registry.take_commits()
+        self.registry.confirm(commits)
+        self.registry.take_orders()
 
     def run_tasks(self, tasks):
         remaining = tasks
         while remaining > 0:
             self.submit(min(remaining, _BATCH_SIZE))
             self.place()
-            self.report_status(self.book.take_orders(), TaskStatus.RUNNING)
+            self.report_status(self.registry.take_orders(), TaskStatus.RUNNING)
             remaining -= _BATCH_SIZE
         self.commit()
 
@@ -120,12 +120,12 @@
     def run_jobs():
         specs = shard.submit(_BATCH_SIZE)
         shard.place()
-        orders = shard.book.take_orders()
+        orders = shard.registry.take_orders()
         shard.report_status(orders, TaskStatus.RUNNING)
         shard.report_status(orders, TaskStatus.FINISHED)
         shard.commit()
         for spec in specs:
-            assert shard.book.jobs.pop(spec.job_id).state is JobState.ENDED
+            assert shard.registry.jobs.pop(spec.job_id).state is JobState.ENDED
 
     return time_call(run_jobs, min_duration_s=0.3) / _BATCH_SIZE
 
@@ -152,12 +152,12 @@
 
     def report():
         shard.now_ms += 1_000.0
-        for worker_id, worker in shard.book.placement.workers.items():
+        for worker_id, worker in shard.registry.placement.workers.items():
             usage = tuple(
                 TaskUsage(task_id=task_id, used=task.shape.resources)
                 for task_id, task in worker.residents.items()
             )
-            shard.book.placement.observe_usage(
+            shard.registry.placement.apply_usage_report(
                 UsageReport(
                     worker_id=worker_id,
                     measured_at_ms=shard.now_ms - 5_000.0,
@@ -166,7 +166,7 @@
                 ),
                 shard.now_ms,
             )
-        react_to_reports(shard.book, shard.now_ms, LATENCY_FIRST)
+        react_to_reports(shard.registry, shard.now_ms, LATENCY_FIRST)
 
     return time_call(report, min_duration_s=0.3)
 
@@ -175,17 +175,19 @@
     """Time the processing of all workers' inventories by a new owner."""
     shard = _Shard(workers=workers)
     shard.run_tasks(workers * _TASKS_PER_WORKER)
-    by_worker: dict[str, list[TaskNews]] = {}
-    for job in shard.book.jobs.values():
+    by_worker: dict[str, list[TaskUpdate]] = {}
+    for job in shard.registry.jobs.values():
         ref = TaskRef(
             worker_id=job.worker_id, job_id=job.spec.job_id, attempt=job.attempt
         )
-        news = TaskNews(ref=ref, status=TaskStatus.RUNNING)
-        by_worker.setdefault(job.worker_id, []).append(news)
+        update = TaskUpdate(ref=ref, status=TaskStatus.RUNNING)
+        by_worker.setdefault(job.worker_id, []).append(update)
 
     def take_over():
-        for worker_id, news in by_worker.items():
-            shard.book.apply_inventory(worker_id, news, now_ms=0.0, wall_ms=_WALL_MS)
+        for worker_id, updates in by_worker.items():
+            shard.registry.apply_inventory(
+                worker_id, updates, now_ms=0.0, wall_ms=_WALL_MS
+            )
 
     return time_call(take_over, min_duration_s=0.3)
 
@@ -200,7 +202,7 @@
     return after - before
 
 
-def measure_book() -> list[Slope]:
+def measure_registry() -> list[Slope]:
     """Measure job records and placement by workers, jobs and waiting jobs."""
     rows = (
         ("life", "a job from accepted to recorded", "jobs.book, placement", "workers",
--- a/bench/capacity/sums.py
+++ b/bench/capacity/sums.py
@@ -205,7 +205,7 @@
             role="all",
             description="worker lost: its tasks may start elsewhere after",
             formula="two worker leases",
-            value=JobSettings().lapse_ms,
+            value=JobSettings().lease_expiry_ms,
             unit="ms",
         ),
         Projection(
--- a/bench/inner.py
+++ b/bench/inner.py
@@ -124,12 +124,12 @@
 
 async def _run() -> None:
     one, two = _build_node("one"), _build_node("two")
-    two.handle(ServiceRequest, _echo)
+    two.register_handler(ServiceRequest, _echo)
     async with trio.open_nursery() as nursery:
         await nursery.start(one.run)
         await nursery.start(two.run)
         one.set_peers([PeerAddress(instance_id="two", host=_HOST, port=two.port)])
-        while one.peer_state("two") is not PeerState.UP:
+        while one.get_peer_state("two") is not PeerState.UP:
             await trio.sleep(0.01)
         print("in flight   calls/s   CPU us a call bytes a call  frames/batch")
         for in_flight in _IN_FLIGHT:
--- a/bench/latency.py
+++ b/bench/latency.py
@@ -15,7 +15,7 @@
 from bench.system import System, format_quantiles, run_system
 from trefoilhook.daemon.tests.processes import TEAM
 from trefoilhook.executors import ExecutorClient
-from trefoilhook.requests import mint_key
+from trefoilhook.requests import generate_key
 
 _SERVICE = "seat-check"
 _EXECUTORS = 24
@@ -50,7 +50,7 @@
     latencies_ms = []
     for daemon in system.daemons:
         client = system.open_entry(daemon)
-        key = format_key(mint_key())
+        key = format_key(generate_key())
         answer = await client.send(TEAM, _SERVICE, b"seat", key=key)
         latencies_ms.append(answer.latency_ms)
         await client.close()
--- a/bench/placement_driver.py
+++ b/bench/placement_driver.py
@@ -317,7 +317,7 @@
 
     def receive_report(self, report):
         """Process a delayed usage report."""
-        self.state.observe_usage(report, self.now_ms)
+        self.state.apply_usage_report(report, self.now_ms)
 
     def apply_reactions(self):
         """Apply the reactions to the reported slowdowns."""
--- a/bench/placement_measure.py
+++ b/bench/placement_measure.py
@@ -54,7 +54,7 @@
     true_slowdowns = world.slowdown_matrix * (
         world.constant_share + gain * (1.0 - world.constant_share)
     )
-    learned = state.model.constant + CALIBRATION_LOAD * state.model.loaded
+    learned = state.model.base_slope + CALIBRATION_LOAD * state.model.load_slope
     pairs = [
         (
             true_slowdowns[CLASSES.index(victim), CLASSES.index(other)],
--- a/bench/placement_schemes.py
+++ b/bench/placement_schemes.py
@@ -16,7 +16,7 @@
     decide_reactions,
 )
 from trefoilhook.placement.interference import InterferenceModel
-from trefoilhook.placement.scoring import cost_taking_over
+from trefoilhook.placement.scoring import compute_consolidation_cost
 
 __all__ = ["PRESETS", "build_ablations", "build_schemes"]
 
@@ -195,7 +195,7 @@
     if task.kind is TaskKind.SERVICE:
         cost = policy.tail_weight * (tail + after[:, kind] ** 2) + 0.1 * load
         return _build_scores(
-            cost + cost_taking_over(state, task, class_index, rows, policy)
+            cost + compute_consolidation_cost(state, task, class_index, rows, policy)
         )
     worst = np.where(services > 0.0, after, 0.0).max(axis=1)
     slowdown = 0.1 * (
@@ -278,7 +278,7 @@
 
 
 def _disable_forgetting(state):
-    state.model.forget_ms = np.inf
+    state.model.decay_time_ms = np.inf
 
 
 def build_ablations(user):
--- a/bench/rounds.py
+++ b/bench/rounds.py
@@ -64,8 +64,8 @@
                 labels=("a", f"r{number // 12}"),
             )
         )
-        shard.scheduler.workers[worker_id].rostered = True
-        shard.look(worker_id)
+        shard.scheduler.workers[worker_id].is_in_roster = True
+        shard.poll(worker_id)
     return shard
 
 
@@ -86,7 +86,7 @@
 
 def _run_round(shard: Shard, *, pause_ms: float = 1000.0) -> tuple[float, int]:
     """Plan and execute one round; return its processor time in ms and its starts."""
-    shard.pass_time(pause_ms)
+    shard.advance_time(pause_ms)
     started_s = time.process_time()
     orders = [order for order in shard.plan() if isinstance(order, StartOrder)]
     cpu_ms = (time.process_time() - started_s) * 1000.0
@@ -97,12 +97,12 @@
         if state.job.steps[order.task.step].latency_limit_ms:
             worker.update(order.task, order.attempt, percent=100.0, load=7.0)
         shard.answer(order, OrderOutcome.DONE)
-    shard.pass_time(5.0)
+    shard.advance_time(5.0)
     # Advance every task, as workers whose tasks make no progress are avoided.
     for worker in shard.workers.values():
         for (task, attempt), running in worker.running.items():
             worker.update(task, attempt, percent=min(100.0, running.percent + 1.0))
-    shard.look_all()
+    shard.poll_all()
     return cpu_ms, len(orders)
 
 
--- a/bench/store_calls.py
+++ b/bench/store_calls.py
@@ -39,7 +39,7 @@
     while True:
         started_s = trio.current_time()
         try:
-            status, _ = await admin.exchange(
+            status, _ = await admin.send_request(
                 "POST",
                 f"/v1/teams/{_TEAM}/jobs",
                 {"name": "roster", "declared_run_ms": 1_000},
--- a/bench/system.py
+++ b/bench/system.py
@@ -83,7 +83,7 @@
             for number, (name, port) in enumerate(zip(names, ports, strict=True))
         ]
         executors = (*known.executors, *records)
-        self.platform.instance_list.change(
+        self.platform.instance_list.set_lists(
             InstanceLists(executors=executors, workers=known.workers)
         )
         return records
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -22,7 +22,7 @@
     run_processes,
 )
 from trefoilhook.exceptions import TransportError
-from trefoilhook.requests import mint_key
+from trefoilhook.requests import generate_key
 from trefoilhook.requests.keys import compute_key_shard
 from trefoilhook.results import Outcome, ResultCode
 
@@ -50,7 +50,7 @@
         client = self.cluster.open_entry(daemon)
         count = self.cluster.platform.settings.requests.shard_count
         while True:
-            key = mint_key()
+            key = generate_key()
             shard_id = compute_key_shard(key, shard_count=count)
             if shard_id not in self.shards:
                 continue
@@ -98,7 +98,7 @@
         gaps_s += [at - sales.killed_at_s for at in sales.first_success_s.values()]
         gaps_s += [float("inf")] * len(missing)
         codes += sales.codes
-        executed = cluster.list_run(_SERVICE)
+        executed = cluster.list_executed_requests(_SERVICE)
         outcomes = sales.outcomes.items()
         lost += sum(k not in executed for k, o in outcomes if o is Outcome.EXECUTED)
         run_despite_refusal += sum(
@@ -107,7 +107,7 @@
         cluster.daemons.remove(victim)
         await cluster.add_daemon()
         await cluster.wait_settled()
-    repeated = len(cluster.list_repeated(_SERVICE))
+    repeated = len(cluster.list_repeated_requests(_SERVICE))
     ttl_s = cluster.platform.settings.membership.lease_ttl_ms / 1000
     print(f"lease TTL {ttl_s:.1f} s, {_ROUNDS} owners killed, {len(gaps_s)} shards")
     print(
--- a/trefoilhook/admin/configuration.py
+++ b/trefoilhook/admin/configuration.py
@@ -137,7 +137,7 @@
         parse_json(call.request.body),
         author=call.operator.name,
         expected_revision=_read_expected_revision(call.request, call),
-        kept=_list_protected_sections(call),
+        protected=_list_protected_sections(call),
     )
     log_event(Event.CONFIG_CHANGED, team=team, path=path, revision=accepted.revision)
     return _build_value_response(call, accepted)
@@ -151,7 +151,7 @@
         path,
         author=call.operator.name,
         expected_revision=_read_expected_revision(call.request, call),
-        kept=_list_protected_sections(call),
+        protected=_list_protected_sections(call),
     )
     log_event(Event.CONFIG_CHANGED, team=team, path=path, revision=accepted.revision)
     return _build_value_response(call, accepted)
--- a/trefoilhook/admin/core.py
+++ b/trefoilhook/admin/core.py
@@ -12,7 +12,7 @@
 from trefoilhook.http import HttpRequest, HttpResponse
 from trefoilhook.logs import Event, log_event
 from trefoilhook.results import ResultCode
-from trefoilhook.settings import is_name
+from trefoilhook.settings import check_name
 
 __all__ = ["AdminHandler", "Observe"]
 
@@ -70,7 +70,7 @@
 
 def _validate_identifiers(parameters: dict[str, str]) -> None:
     for name in _IDENTIFIER_PARAMETERS & parameters.keys():
-        reason = is_name(parameters[name])
+        reason = check_name(parameters[name])
         if reason is not None:
             raise RequestError(f"{name} {reason}")
 
--- a/trefoilhook/admin/tokens.py
+++ b/trefoilhook/admin/tokens.py
@@ -1,7 +1,7 @@
 """Authentication and authorisation of admin calls by bearer tokens."""
 
 from trefoilhook.admin.calls import AdminContext, Operator, Scope
-from trefoilhook.configuration import digest_token, is_token_among
+from trefoilhook.configuration import digest_token, matches_any_digest
 from trefoilhook.exceptions import RequestError
 from trefoilhook.http import HttpRequest
 from trefoilhook.results import ResultCode
@@ -61,10 +61,10 @@
 
 def _find_operator(context: AdminContext, token: str) -> Operator:
     digest_prefix = digest_token(token)[:_DIGEST_PREFIX_LENGTH]
-    if is_token_among(token, context.settings.cluster_tokens):
+    if matches_any_digest(token, context.settings.cluster_tokens):
         return Operator(name=f"cluster/{digest_prefix}", team=None)
     for name in context.view.list_teams():
-        configuration = context.view.team(name)
+        configuration = context.view.get_team(name)
         if configuration is not None and configuration.tokens.covers_operator(token):
             return Operator(name=f"{name}/{digest_prefix}", team=name)
     message = "unknown token"
--- a/trefoilhook/clock/__init__.py
+++ b/trefoilhook/clock/__init__.py
@@ -2,7 +2,7 @@
 
 from trefoilhook.clock.core import (
     Clock,
-    build_boot_clock,
+    build_boottime_clock,
     build_manual_clock,
     build_system_clock,
 )
@@ -11,7 +11,7 @@
 __all__ = [
     "Clock",
     "ManualTime",
-    "build_boot_clock",
+    "build_boottime_clock",
     "build_manual_clock",
     "build_system_clock",
 ]
--- a/trefoilhook/clock/core.py
+++ b/trefoilhook/clock/core.py
@@ -12,7 +12,7 @@
 
 from trefoilhook.clock.manual import ManualTime
 
-__all__ = ["Clock", "build_boot_clock", "build_manual_clock", "build_system_clock"]
+__all__ = ["Clock", "build_boottime_clock", "build_manual_clock", "build_system_clock"]
 
 _MS_PER_S = 1000.0
 
@@ -67,7 +67,7 @@
     return Clock(monotonic_ms=read_monotonic, wall_ms=read_wall, sleep_ms=_sleep_ms)
 
 
-def build_boot_clock() -> Clock:
+def build_boottime_clock() -> Clock:
     """Build a clock whose monotonic time advances while the machine is suspended.
 
     ``CLOCK_MONOTONIC`` stops during a suspend, so that an expired lease would appear
--- a/trefoilhook/command/pages.py
+++ b/trefoilhook/command/pages.py
@@ -107,8 +107,8 @@
 Each line of the log is one JSON object with the number and name of an event, beside
 ids of requests and jobs: at the top level on the users' platform, under `record.extra`
 elsewhere. Numbers are stable. No event is written more than 100 times a second, and no
-decision on a job, task, worker or shard (`DECISIONS`) more than 1,000 times; what is
-over that is told as a count (1006).
+decision on a job, task, worker or shard (`DECISION_EVENTS`) more than 1,000 times; what
+is over that is told as a count (1006).
 
 {_build_table(("number", "name", "level", "meaning"), rows)}
 """
@@ -166,11 +166,11 @@
 
 
 def _render_settings() -> str:
-    return render_page(DaemonSettings, head=_SETTINGS_HEAD)
+    return render_page(DaemonSettings, header=_SETTINGS_HEAD)
 
 
 def _render_team() -> str:
-    return render_page(TeamConfiguration, head=_TEAM_HEAD)
+    return render_page(TeamConfiguration, header=_TEAM_HEAD)
 
 
 PAGES = (
--- a/trefoilhook/configuration/__init__.py
+++ b/trefoilhook/configuration/__init__.py
@@ -22,7 +22,7 @@
     TeamConfiguration,
     Tokens,
 )
-from trefoilhook.configuration.tokens import digest_token, is_token_among
+from trefoilhook.configuration.tokens import digest_token, matches_any_digest
 from trefoilhook.configuration.view import ConfigurationView, build_team_key
 
 __all__ = [
@@ -44,7 +44,7 @@
     "digest_token",
     "encode_document",
     "get_value",
-    "is_token_among",
+    "matches_any_digest",
     "list_changes",
     "parse_path",
 ]
--- a/trefoilhook/configuration/core.py
+++ b/trefoilhook/configuration/core.py
@@ -27,7 +27,7 @@
 from trefoilhook.configuration.view import build_team_key
 from trefoilhook.exceptions import RequestError, SettingsError
 from trefoilhook.results import ResultCode
-from trefoilhook.settings import is_name, read_settings
+from trefoilhook.settings import check_name, read_settings
 from trefoilhook.store import ConflictError
 
 __all__ = [
@@ -163,7 +163,7 @@
         *,
         author: str,
         expected_revision: int | None = None,
-        kept: tuple[str, ...] = (),
+        protected: tuple[str, ...] = (),
     ) -> ConfigurationValue:
         """Set the value at a path.
 
@@ -206,7 +206,7 @@
             return replace_value(subtree, segments, value)
 
         revision = await self._change(
-            team, segments, edit, "set", author, expected_revision, kept
+            team, segments, edit, "set", author, expected_revision, protected
         )
         return ConfigurationValue(revision=revision, value=value)
 
@@ -217,7 +217,7 @@
         *,
         author: str,
         expected_revision: int | None = None,
-        kept: tuple[str, ...] = (),
+        protected: tuple[str, ...] = (),
     ) -> ConfigurationValue:
         """Delete the value at a path; see `put` for parameters and errors."""
         segments = parse_path(path)
@@ -226,7 +226,7 @@
             return remove_value(subtree, segments)
 
         revision = await self._change(
-            team, segments, edit, "delete", author, expected_revision, kept
+            team, segments, edit, "delete", author, expected_revision, protected
         )
         return ConfigurationValue(revision=revision, value=None)
 
@@ -238,7 +238,7 @@
         With ``accepts_invalid`` an invalid value counts as an empty document, so that a
         value corrupted by another program can be replaced.
         """
-        reason = is_name(team)
+        reason = check_name(team)
         if reason is not None:
             raise RequestError(f"team name {reason}")
         entry = await self._get(build_team_key(self._root, team))
--- a/trefoilhook/configuration/schema.py
+++ b/trefoilhook/configuration/schema.py
@@ -4,14 +4,14 @@
 
 import attrs
 
-from trefoilhook.configuration.tokens import is_token_among
+from trefoilhook.configuration.tokens import matches_any_digest
 from trefoilhook.settings import (
     FieldError,
+    check_name,
+    check_range,
     declare,
     declare_section,
     is_digest,
-    is_name,
-    is_within,
 )
 
 __all__ = [
@@ -34,7 +34,7 @@
 
 def _are_names(value: Any) -> str | None:
     for name in value:
-        reason = is_name(name)
+        reason = check_name(name)
         if reason is not None:
             return f"name {name!r} {reason}"
     return None
@@ -48,24 +48,24 @@
         default=None,
         unit="cores",
         description="Total cores of the team's tasks.",
-        check=is_within(0, _MAX_CORES),
+        check=check_range(0, _MAX_CORES),
     )
     memory_bytes: int | None = declare(
         default=None,
         unit="bytes",
         description="Total memory of the team's tasks.",
-        check=is_within(0, _MAX_BYTES),
+        check=check_range(0, _MAX_BYTES),
     )
     accelerators: int | None = declare(
         default=None,
         description="Total accelerators of the team's tasks.",
-        check=is_within(0, _MAX_CORES),
+        check=check_range(0, _MAX_CORES),
     )
     requests_per_s: float | None = declare(
         default=None,
         unit="1/s",
         description="Request rate of the team's callers, over all services.",
-        check=is_within(0, _MAX_CORES),
+        check=check_range(0, _MAX_CORES),
     )
 
 
@@ -88,11 +88,11 @@
 
     def covers_operator(self, token: str) -> bool:
         """Tell whether ``token`` is one of the operators' tokens."""
-        return is_token_among(token, self.operators)
+        return matches_any_digest(token, self.operators)
 
     def covers_caller(self, token: str) -> bool:
         """Tell whether ``token`` is one of the callers' tokens."""
-        return is_token_among(token, self.callers)
+        return matches_any_digest(token, self.callers)
 
 
 @attrs.frozen(kw_only=True)
@@ -103,12 +103,12 @@
         default=250.0,
         unit="ms",
         description="A request answered later than this counts as bad.",
-        check=is_within(1, _DAY_MS),
+        check=check_range(1, _DAY_MS),
     )
     target: float = declare(
         default=0.99,
         description="Share of requests that must be good.",
-        check=is_within(_MIN_TARGET, _MAX_TARGET),
+        check=check_range(_MIN_TARGET, _MAX_TARGET),
     )
 
 
@@ -125,18 +125,18 @@
         default=2_000.0,
         unit="ms",
         description="Time-out of a request.",
-        check=is_within(1, _DAY_MS),
+        check=check_range(1, _DAY_MS),
     )
     max_queue: int = declare(
         default=64,
         description="Number of requests that may wait for a slot of one executor.",
-        check=is_within(0, 100_000),
+        check=check_range(0, 100_000),
     )
     run_ms: float = declare(
         default=50.0,
         unit="ms",
         description="Expected run time of a request on an executor.",
-        check=is_within(0.01, _DAY_MS),
+        check=check_range(0.01, _DAY_MS),
     )
     objective: Objective = declare_section(
         Objective, description="Service-level objective."
@@ -158,14 +158,14 @@
 
     tail_latency: float = declare(
         description="Weight of the services' tail latency.",
-        check=is_within(0, _MAX_WEIGHT),
+        check=check_range(0, _MAX_WEIGHT),
     )
     batch_throughput: float = declare(
-        description="Weight of the batch throughput.", check=is_within(0, _MAX_WEIGHT)
+        description="Weight of the batch throughput.", check=check_range(0, _MAX_WEIGHT)
     )
     evictions: float = declare(
         description="Weight of evictions and the work lost by them.",
-        check=is_within(0, _MAX_WEIGHT),
+        check=check_range(0, _MAX_WEIGHT),
     )
 
 
--- a/trefoilhook/configuration/tests/test_store.py
+++ b/trefoilhook/configuration/tests/test_store.py
@@ -9,7 +9,7 @@
 from trefoilhook.exceptions import StoreUnavailableError
 from trefoilhook.results import ResultCode
 from trefoilhook.standins import Availability, FaultSettings
-from trefoilhook.store import swap_reading_back
+from trefoilhook.store import swap_with_read_back
 from trefoilhook.store.tests.bench import run_with_store
 
 _PATH = "quota/cores"
@@ -18,7 +18,7 @@
 
 def _build_editor(bench, *, get=None):
     swap = functools.partial(
-        swap_reading_back, bench.client, clock=bench.clock, timeout_ms=_TIMEOUT_MS
+        swap_with_read_back, bench.client, clock=bench.clock, timeout_ms=_TIMEOUT_MS
     )
     return ConfigurationEditor(
         get=get or bench.client.get, swap=swap, root="root", clock=bench.clock
--- a/trefoilhook/configuration/tests/test_view.py
+++ b/trefoilhook/configuration/tests/test_view.py
@@ -10,7 +10,7 @@
     build_team_key,
     digest_token,
     encode_document,
-    is_token_among,
+    matches_any_digest,
 )
 
 _ROOT = "root"
@@ -31,7 +31,7 @@
 
 
 def _read_timeout(view):
-    team = view.team("bookings")
+    team = view.get_team("bookings")
     return None if team is None else team.services["seat-check"].timeout_ms
 
 
@@ -55,15 +55,17 @@
         # Guards against a removed team being served again: a snapshot taken before the
         # removal arrives from a peer after it.
         for remove in (
-            lambda view: view.forget(build_team_key(_ROOT, "bookings"), revision=7),
+            lambda view: view.apply_deletion(
+                build_team_key(_ROOT, "bookings"), revision=7
+            ),
             lambda view: view.apply([_build_entry(7, is_deleted=True)]),
         ):
             view = ConfigurationView(root=_ROOT)
             view.apply([_build_entry(5)])
             self.assertTrue(remove(view))
-            self.assertIsNone(view.team("bookings"))
+            self.assertIsNone(view.get_team("bookings"))
             self.assertEqual(view.apply([_build_entry(5)]), ())
-            self.assertIsNone(view.team("bookings"))
+            self.assertIsNone(view.get_team("bookings"))
             self.assertEqual(view.apply([_build_entry(8)]), ("bookings",))
             self.assertEqual(view.list_teams(), ("bookings",))
 
@@ -95,5 +97,5 @@
         cases = (("old", True), ("new", True), ("other", False), ("", False))
         for token, is_covered in cases:
             with self.subTest(token=token):
-                self.assertEqual(is_token_among(token, digests), is_covered)
-        self.assertFalse(is_token_among("new", ()))
+                self.assertEqual(matches_any_digest(token, digests), is_covered)
+        self.assertFalse(matches_any_digest("new", ()))
--- a/trefoilhook/configuration/tokens.py
+++ b/trefoilhook/configuration/tokens.py
@@ -4,7 +4,7 @@
 import hmac
 from collections.abc import Iterable
 
-__all__ = ["digest_token", "is_token_among"]
+__all__ = ["digest_token", "matches_any_digest"]
 
 
 def digest_token(token: str) -> str:
@@ -12,7 +12,7 @@
     return hashlib.sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
 
 
-def is_token_among(token: str, digests: Iterable[str]) -> bool:
+def matches_any_digest(token: str, digests: Iterable[str]) -> bool:
     """Tell whether the digest of ``token`` is one of ``digests``.
 
     Notes
--- a/trefoilhook/configuration/view.py
+++ b/trefoilhook/configuration/view.py
@@ -9,7 +9,7 @@
 from trefoilhook.configuration.schema import TeamConfiguration
 from trefoilhook.exceptions import SettingsError
 from trefoilhook.logs import Event, log_event
-from trefoilhook.settings import is_name, read_settings
+from trefoilhook.settings import check_name, read_settings
 
 __all__ = ["ConfigurationView", "RawEntry", "build_team_key"]
 
@@ -71,7 +71,7 @@
         """Highest revision in force over all teams."""
         return self._revision
 
-    def team(self, name: str) -> TeamConfiguration | None:
+    def get_team(self, name: str) -> TeamConfiguration | None:
         """Return a team's configuration, or None for an unknown team."""
         state = self._states.get(name)
         return None if state is None else state.configuration
@@ -101,7 +101,7 @@
         """
         return tuple(team for entry in entries for team in self._apply_entry(entry))
 
-    def forget(self, key: str, *, revision: int) -> bool:
+    def apply_deletion(self, key: str, *, revision: int) -> bool:
         """Apply the deletion of a key; return whether that changed anything."""
         team = self._find_team(key)
         if team is None or not self._is_newer(team, revision):
@@ -115,7 +115,7 @@
         if not key.startswith(self._prefix):
             return None
         team = key.removeprefix(self._prefix)
-        return team if is_name(team) is None else None
+        return team if check_name(team) is None else None
 
     def _is_newer(self, team: str, revision: int) -> bool:
         known = self.find_revision(team)
--- a/trefoilhook/daemon/backend.py
+++ b/trefoilhook/daemon/backend.py
@@ -92,8 +92,8 @@
     is_leaving: bool = False
 
     def __attrs_post_init__(self) -> None:
-        self.inner.handle(StatusRequest, self._handle_status)
-        self.inner.handle(DrainRequest, self._handle_drain)
+        self.inner.register_handler(StatusRequest, self._handle_status)
+        self.inner.register_handler(DrainRequest, self._handle_drain)
 
     async def read_status(self) -> ClusterStatus:
         """Return instances, shards, revision in force and health of the store."""
@@ -219,7 +219,7 @@
         """Return whether a load balancer should send requests to this instance."""
         if self.is_leaving:
             return ReadyReport(is_ready=False, reason="leaving")
-        if not self.membership.follower.is_filled:
+        if not self.membership.follower.is_loaded:
             return ReadyReport(is_ready=False, reason="no configuration yet")
         if not self.is_instance_list_loaded():
             return ReadyReport(is_ready=False, reason="no instance list yet")
@@ -281,7 +281,7 @@
             applied_revision=self.membership.follower.mirror.revision,
             is_store_reachable=self.membership.is_store_reachable,
             is_leaving=self.is_leaving,
-            shard_ids=self.ownership.list_owned(),
+            shard_ids=self.ownership.list_served(),
             burn=self.ledger.encode_part() if is_burn_wanted else "",
         )
 
--- a/trefoilhook/daemon/backends.py
+++ b/trefoilhook/daemon/backends.py
@@ -6,7 +6,7 @@
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import TrefoilhookError
 from trefoilhook.instances import (
-    BackendPage,
+    BackendSnapshot,
     ExecutorRecord,
     InstanceListClient,
     InstanceState,
@@ -35,8 +35,8 @@
     client: InstanceListClient
     clock: Clock
     interval_ms: float
-    _page: BackendPage = attrs.field(
-        factory=lambda: BackendPage(executors=(), workers=(), age_ms=0.0)
+    _page: BackendSnapshot = attrs.field(
+        factory=lambda: BackendSnapshot(executors=(), workers=(), age_ms=0.0)
     )
     _targets: tuple[ExecutorTarget, ...] = ()
     is_loaded: bool = False
--- a/trefoilhook/daemon/core.py
+++ b/trefoilhook/daemon/core.py
@@ -39,15 +39,17 @@
 from trefoilhook.metrics import Instrument, Metrics
 from trefoilhook.placement import LATENCY_FIRST, THROUGHPUT_FIRST, Policy
 from trefoilhook.requests import CallerAnswer, CallerRequest, RequestService
-from trefoilhook.shards import Ownership, Rights
-from trefoilhook.store import swap_reading_back
+from trefoilhook.shards import Ownership, ServingGrounds
+from trefoilhook.store import swap_with_read_back
 
 __all__ = ["Addresses", "Instance"]
 
 _ROOT = "root"
 _SWAP_TIMEOUT_MS = 2_000.0
 _BURN_GATHER_INTERVAL_MS = 60_000.0
-_PREDECESSOR_GONE_RIGHTS = frozenset({Rights.PROVED_DEAD, Rights.NO_PREVIOUS_OWNER})
+_OWNER_TERMINATED_GROUNDS = frozenset(
+    {ServingGrounds.PROVED_DEAD, ServingGrounds.NO_PREVIOUS_OWNER}
+)
 
 
 @attrs.frozen(kw_only=True)
@@ -187,17 +189,17 @@
             list_executors=self._backends.list_executors,
             list_peers=self._list_peers,
         )
-        self._inner.handle(ServiceRequest, self.requests.handle_inner)
-        self._inner.handle(ExecutorLoads, self.requests.handle_loads)
-        self.ownership.add_releaser(self._export_handover)
-        self.ownership.add_receiver(self.requests.take_handover)
+        self._inner.register_handler(ServiceRequest, self.requests.handle_inner)
+        self._inner.register_handler(ExecutorLoads, self.requests.handle_loads)
+        self.ownership.add_release_hook(self._export_handover)
+        self.ownership.add_handover_handler(self.requests.import_handover)
         self._ownership_changes = self.ownership.subscribe()
         self._entry_server = build_server(
             settings.listeners.entry,
             build_entry_handler(
                 instance_id=self.instance_id,
                 teams=teams,
-                handle_caller=self._handle_caller,
+                handle_request=self._handle_caller,
             ),
         )
 
@@ -249,7 +251,7 @@
         self._admin_server = build_server(settings.listeners.admin, handler.handle)
 
     async def _swap(self, key: str, value: bytes, *, expected_revision: int) -> int:
-        return await swap_reading_back(
+        return await swap_with_read_back(
             self._store,
             key,
             value,
@@ -280,7 +282,7 @@
         presets = [
             configuration.placement.preset
             for team in self.view.list_teams()
-            if (configuration := self.view.team(team)) is not None
+            if (configuration := self.view.get_team(team)) is not None
         ]
         wants_throughput = presets.count("throughput-first") * 2 > len(presets)
         return THROUGHPUT_FIRST if wants_throughput else LATENCY_FIRST
@@ -311,9 +313,9 @@
         be gone, or when there was none.
         """
         async for change in self._ownership_changes:
-            self.requests.follow_ownership()
-            if change.is_owned and change.rights in _PREDECESSOR_GONE_RIGHTS:
-                self.requests.note_predecessor_gone(change.shard_id)
+            self.requests.sync_ownership()
+            if change.is_owned and change.grounds in _OWNER_TERMINATED_GROUNDS:
+                self.requests.handle_owner_terminated(change.shard_id)
 
     def _apply_configuration(self) -> None:
         mirror = self.membership.follower.mirror
@@ -322,7 +324,7 @@
         for team in self.view.list_teams():
             key = f"{_ROOT}/config/teams/{team}"
             if key not in present:
-                self.view.forget(key, revision=mirror.revision)
+                self.view.apply_deletion(key, revision=mirror.revision)
         self._policy = self._choose_policy()
 
     async def _follow_configuration(self) -> None:
@@ -348,7 +350,7 @@
         shutdown = self._settings.shutdown
         with trio.move_on_after(shutdown.handover_ms / 1000.0):
             await self._run_store_step(self.membership.announce_leaving)
-            await self.ownership.release_all()
+            await self.ownership.wait_released()
         await self._entry_server.drain(grace_ms=shutdown.grace_ms)
         await self.requests.drain(grace_ms=shutdown.handover_ms)
         await self._admin_server.drain(grace_ms=0)
--- a/trefoilhook/daemon/gauges.py
+++ b/trefoilhook/daemon/gauges.py
@@ -33,25 +33,25 @@
     """Register the metrics of shards, peers and the store."""
 
     def count_shards() -> LabelledValues:
-        kinds = Counter(shard_id[:3] for shard_id in ownership.list_owned())
+        kinds = Counter(shard_id[:3] for shard_id in ownership.list_served())
         return {(kind,): count for kind, count in kinds.items()}
 
     def count_peers() -> LabelledValues:
         own = membership.instance_id
         states = Counter(
-            inner.peer_state(member.instance_id).value
+            inner.get_peer_state(member.instance_id).value
             for member in membership.members
             if member.instance_id != own
         )
         return {(state,): count for state, count in states.items()}
 
-    metrics.watch(Instrument.SHARDS, count_shards)
-    metrics.watch(Instrument.PEERS, count_peers)
-    metrics.watch(
+    metrics.register_gauge(Instrument.SHARDS, count_shards)
+    metrics.register_gauge(Instrument.PEERS, count_peers)
+    metrics.register_gauge(
         Instrument.STORE_REACHABLE, lambda: {(): float(membership.is_store_reachable)}
     )
-    metrics.follow(Instrument.STORE_CALLS, lambda: dict(store.calls))
-    metrics.follow(
+    metrics.register_counter_source(Instrument.STORE_CALLS, lambda: dict(store.calls))
+    metrics.register_counter_source(
         Instrument.INNER_BYTES, lambda: {("received",): inner.bytes_received}
     )
 
@@ -61,12 +61,12 @@
 
     def count_slots() -> LabelledValues:
         executors = requests.pool.list_executors()
-        in_use = sum(e.slots.in_progress + e.slots.unproved for e in executors)
+        in_use = sum(e.slots.in_progress + e.slots.unconfirmed for e in executors)
         total = sum(executor.target.slots for executor in executors)
         return {("in use",): in_use, ("free",): max(0, total - in_use)}
 
-    metrics.watch(Instrument.SLOTS, count_slots)
-    metrics.watch(
+    metrics.register_gauge(Instrument.SLOTS, count_slots)
+    metrics.register_gauge(
         Instrument.QUEUE_LENGTH, lambda: {(): float(requests.pool.count_waiting())}
     )
 
@@ -76,21 +76,25 @@
 
     def count_jobs() -> LabelledValues:
         states = Counter(
-            job.state.value for book in jobs.list_books() for job in book.jobs.values()
+            job.state.value
+            for registry in jobs.list_registries()
+            for job in registry.jobs.values()
         )
         return {(state,): count for state, count in states.items()}
 
-    metrics.watch(Instrument.JOBS, count_jobs)
-    metrics.follow(
+    metrics.register_gauge(Instrument.JOBS, count_jobs)
+    metrics.register_counter_source(
         Instrument.TASK_STARTS,
-        lambda: {(): sum(book.starts for book in jobs.list_books())},
+        lambda: {(): sum(registry.starts for registry in jobs.list_registries())},
     )
-    metrics.follow(
+    metrics.register_counter_source(
         Instrument.EVICTIONS,
-        lambda: {(): sum(book.evictions for book in jobs.list_books())},
+        lambda: {(): sum(registry.evictions for registry in jobs.list_registries())},
     )
 
 
 def register_configuration_metrics(metrics: Metrics, view: ConfigurationView) -> None:
     """Register the metric of the configuration revision in force."""
-    metrics.watch(Instrument.CONFIG_REVISION, lambda: {(): float(view.revision)})
+    metrics.register_gauge(
+        Instrument.CONFIG_REVISION, lambda: {(): float(view.revision)}
+    )
--- a/trefoilhook/daemon/settings.py
+++ b/trefoilhook/daemon/settings.py
@@ -10,10 +10,10 @@
 from trefoilhook.settings import (
     BaseSettings,
     FieldError,
+    check_choice,
+    check_range,
     declare,
     declare_section,
-    is_one_of,
-    is_within,
 )
 
 __all__ = ["DaemonSettings", "LogSettings", "ShutdownSettings"]
@@ -26,7 +26,7 @@
     level: str = declare(
         default="INFO",
         description="Minimum level that is written.",
-        check=is_one_of(("DEBUG", "INFO", "WARNING", "ERROR")),
+        check=check_choice(("DEBUG", "INFO", "WARNING", "ERROR")),
     )
     is_json: bool = declare(
         default=True, description="Write one JSON object per line instead of text."
@@ -41,13 +41,13 @@
         default=10_000.0,
         unit="ms",
         description="Time limit for handing over the shards.",
-        check=is_within(0, 600_000),
+        check=check_range(0, 600_000),
     )
     grace_ms: float = declare(
         default=2_000.0,
         unit="ms",
         description="How long idle connections stay open for requests in transit.",
-        check=is_within(0, 600_000),
+        check=check_range(0, 600_000),
     )
 
 
--- a/trefoilhook/daemon/teams.py
+++ b/trefoilhook/daemon/teams.py
@@ -4,7 +4,7 @@
 
 from trefoilhook.configuration import ConfigurationView, Objective
 from trefoilhook.placement import Resources
-from trefoilhook.requests import ServiceSettings, TeamView, TokenVerdict
+from trefoilhook.requests import ServiceSettings, TeamView, TokenCheckResult
 
 __all__ = ["build_team_view", "find_objective", "find_quota"]
 
@@ -15,7 +15,7 @@
     """Build the view of the teams that the request service uses."""
 
     def find_service(team: str, service: str) -> ServiceSettings | None:
-        configuration = view.team(team)
+        configuration = view.get_team(team)
         declared = configuration and configuration.services.get(service)
         if not declared:
             return None
@@ -26,20 +26,20 @@
         )
 
     def get_quota_per_s(team: str) -> float:
-        configuration = view.team(team)
+        configuration = view.get_team(team)
         if configuration is None or configuration.quota.requests_per_s is None:
             return math.inf
         return configuration.quota.requests_per_s
 
-    def check_token(team: str, token: str) -> TokenVerdict:
-        configuration = view.team(team)
+    def check_token(team: str, token: str) -> TokenCheckResult:
+        configuration = view.get_team(team)
         if configuration is not None and configuration.tokens.covers_caller(token):
-            return TokenVerdict.ALLOWED
+            return TokenCheckResult.ALLOWED
         for other in view.list_teams():
-            known = view.team(other)
+            known = view.get_team(other)
             if known is not None and known.tokens.covers_caller(token):
-                return TokenVerdict.FORBIDDEN
-        return TokenVerdict.UNKNOWN
+                return TokenCheckResult.FORBIDDEN
+        return TokenCheckResult.UNKNOWN
 
     return TeamView(
         find_service=find_service,
@@ -50,7 +50,7 @@
 
 def find_quota(view: ConfigurationView, team: str) -> Resources | None:
     """Return the resource quota of all tasks of a team, or None for no limit."""
-    configuration = view.team(team)
+    configuration = view.get_team(team)
     if configuration is None:
         return None
     quota = configuration.quota
@@ -67,6 +67,6 @@
     view: ConfigurationView, team: str, service: str
 ) -> Objective | None:
     """Return the service-level objective of a service, or None if it is unknown."""
-    configuration = view.team(team)
+    configuration = view.get_team(team)
     declared = configuration and configuration.services.get(service)
     return declared.objective if declared else None
--- a/trefoilhook/daemon/tests/processes.py
+++ b/trefoilhook/daemon/tests/processes.py
@@ -27,7 +27,7 @@
 )
 from trefoilhook.demo.cluster import CLUSTER_TOKEN
 from trefoilhook.exceptions import TransportError
-from trefoilhook.requests import format_key, mint_key
+from trefoilhook.requests import format_key, generate_key
 from trefoilhook.settings import PeerSettings, ShardSettings, dump_json
 
 CALLER = "caller-token"
@@ -185,7 +185,7 @@
                 daemon.send_signal(signal.SIGKILL)
             await daemon.process.wait()
 
-    def list_repeated(self, service: str) -> list[str]:
+    def list_repeated_requests(self, service: str) -> list[str]:
         """Return the ids of a service's requests that ran more than once."""
         ids = [
             run.request_id
@@ -195,7 +195,7 @@
         ]
         return [request_id for request_id in set(ids) if ids.count(request_id) > 1]
 
-    def list_run(self, service: str) -> set[str]:
+    def list_executed_requests(self, service: str) -> set[str]:
         """Return the ids of a service's requests that ran."""
         return {
             run.request_id
@@ -222,7 +222,7 @@
         """Send requests to a daemon until cancelled, each with a new key."""
         client = self.cluster.open_entry(daemon)
         while True:
-            key = mint_key()
+            key = generate_key()
             try:
                 answer = await client.send(
                     TEAM, self.service, b"seat", key=format_key(key), timeout_ms=1_500
--- a/trefoilhook/daemon/tests/test_faults.py
+++ b/trefoilhook/daemon/tests/test_faults.py
@@ -18,7 +18,7 @@
 )
 from trefoilhook.exceptions import TransportError
 from trefoilhook.instances import InstanceState
-from trefoilhook.requests import mint_key
+from trefoilhook.requests import generate_key
 from trefoilhook.results import Outcome, ResultCode
 from trefoilhook.standins import Availability, FaultSettings, TcpCut
 
@@ -28,10 +28,10 @@
 
     def _check(self, cluster: ProcessCluster, *loads: Load) -> None:
         """Compare the answers that callers got with the records of the executors."""
-        self.assertEqual(cluster.list_repeated("seat-sale"), [])
+        self.assertEqual(cluster.list_repeated_requests("seat-sale"), [])
         self.assertEqual(cluster.count_overloads(), 0)
         for load in loads:
-            run = cluster.list_run(load.service)
+            run = cluster.list_executed_requests(load.service)
             executed = {
                 k for k, a in load.answers if a.code.outcome is Outcome.EXECUTED
             }
@@ -112,7 +112,8 @@
             ]
             self.assertEqual(unknown, [])
             self.assertEqual(
-                set(sales.failed_keys) & cluster.list_run("seat-sale"), set()
+                set(sales.failed_keys) & cluster.list_executed_requests("seat-sale"),
+                set(),
             )
             self._check(cluster, sales)
 
@@ -132,7 +133,7 @@
                 before = len(sales.answers)
                 await trio.sleep(15)
                 admin = cluster.open_admin(cluster.daemons[1], OPERATOR)
-                status, answer = await admin.exchange(
+                status, answer = await admin.send_request(
                     "POST", f"/v1/teams/{TEAM}/jobs", {"name": "roster"}
                 )
                 await admin.close()
@@ -155,7 +156,7 @@
         async def scenario(cluster: ProcessCluster) -> None:
             entry = cluster.open_entry(cluster.daemons[0])
             other = cluster.open_entry(cluster.daemons[1])
-            keys = [format_key(mint_key()) for _ in range(12)]
+            keys = [format_key(generate_key()) for _ in range(12)]
             codes = []
 
             async def sell(key: str) -> None:
@@ -171,7 +172,7 @@
                 await trio.sleep(0.2)
                 cluster.daemons[0].send_signal(signal.SIGKILL)
             self.assertGreater(len(codes), 0)
-            self.assertEqual(cluster.list_repeated("seat-sale"), [])
+            self.assertEqual(cluster.list_repeated_requests("seat-sale"), [])
 
         run_processes(scenario, service_time_ms=600.0)
 
@@ -191,7 +192,7 @@
             record = {"state": ""}
             while record["state"] != "ended":
                 await trio.sleep(0.2)
-                status, found = await admin.exchange("GET", f"{path}/{job_id}")
+                status, found = await admin.send_request("GET", f"{path}/{job_id}")
                 record = found if status == 200 else record
             await admin.close()
             self.assertEqual(record["result_number"], ResultCode.OK.number, record)
@@ -276,7 +277,7 @@
 
             async def change(number: int) -> None:
                 target = f"{path}/services/check-{number}?revision={revision}"
-                answers[number] = await admins[number].exchange(
+                answers[number] = await admins[number].send_request(
                     "PUT", target, {"is_idempotent": True}
                 )
 
@@ -322,7 +323,7 @@
                     await cluster.wait_settled()
                     before = (await cluster.read_status(cluster.daemons[0]))["shards"]
                 for _ in range(2):
-                    self.assertGreater(cut.forget_connections(), 0)
+                    self.assertGreater(cut.blackhole_connections(), 0)
                     await trio.sleep(6)
                 after = (await cluster.read_status(cluster.daemons[0]))["shards"]
                 nursery.cancel_scope.cancel()
--- a/trefoilhook/decoding/core.py
+++ b/trefoilhook/decoding/core.py
@@ -15,24 +15,24 @@
 from trefoilhook.exceptions import DecodeError
 
 __all__ = [
-    "MOST_INTEGER",
+    "MAX_INTEGER",
     "check_integer",
     "check_number",
-    "check_table",
-    "check_text",
+    "check_object",
+    "check_string",
     "parse_json",
-    "parse_table",
+    "parse_object",
     "read_choice",
-    "read_flag",
+    "read_boolean",
     "read_integer",
     "read_list",
     "read_number",
-    "read_table",
-    "read_text",
-    "read_texts",
+    "read_object",
+    "read_string",
+    "read_strings",
 ]
 
-MOST_INTEGER = 2**53 - 1
+MAX_INTEGER = 2**53 - 1
 """Largest integer that all JSON implementations represent exactly."""
 
 _MAX_NUMBER = 1e18
@@ -59,7 +59,7 @@
         raise DecodeError("not valid JSON, or nested too deeply") from error
 
 
-def parse_table(data: bytes) -> dict[str, Any]:
+def parse_object(data: bytes) -> dict[str, Any]:
     """Parse a JSON object.
 
     Raises
@@ -67,13 +67,13 @@
     DecodeError
         If the data is not a JSON object.
     """
-    return check_table(parse_json(data), "document")
+    return check_object(parse_json(data), "document")
 
 
 # Checks of single values.
 
 
-def check_table(value: Any, name: str) -> dict[str, Any]:
+def check_object(value: Any, name: str) -> dict[str, Any]:
     """Return ``value`` if it is an object."""
     if not isinstance(value, dict):
         raise DecodeError(f"{name}: not an object")
@@ -81,29 +81,29 @@
 
 
 def check_integer(
-    value: Any, name: str, *, least: int = 0, most: int = MOST_INTEGER
+    value: Any, name: str, *, minimum: int = 0, maximum: int = MAX_INTEGER
 ) -> int:
     """Return ``value`` if it is an integer in the range; booleans are refused."""
     if type(value) is not int:
         raise DecodeError(f"{name}: not an integer")
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise DecodeError(f"{name}: out of range")
     return value
 
 
 def check_number(
-    value: Any, name: str, *, least: float = 0.0, most: float = _MAX_NUMBER
+    value: Any, name: str, *, minimum: float = 0.0, maximum: float = _MAX_NUMBER
 ) -> float:
     """Return ``value`` as a float if it is a finite number in the range."""
     if type(value) not in (int, float):
         raise DecodeError(f"{name}: not a number")
     # Compared before the conversion, as a large integer overflows; NaN is in no range.
-    if not least <= value <= most:
+    if not minimum <= value <= maximum:
         raise DecodeError(f"{name}: out of range")
     return float(value)
 
 
-def check_text(value: Any, name: str, *, filled: bool = False) -> str:
+def check_string(value: Any, name: str, *, non_empty: bool = False) -> str:
     """Return ``value`` if it is a string that can be encoded as UTF-8.
 
     Parameters
@@ -112,7 +112,7 @@
         The decoded value.
     name : str
         Name of the field, for the error message.
-    filled : bool, optional
+    non_empty : bool, optional
         Whether an empty string is refused.
     """
     if not isinstance(value, str):
@@ -121,7 +121,7 @@
         value.encode()
     except UnicodeEncodeError as error:
         raise DecodeError(f"{name}: not valid Unicode") from error
-    if filled and not value:
+    if non_empty and not value:
         raise DecodeError(f"{name}: empty")
     return value
 
@@ -141,27 +141,31 @@
     table: Mapping[str, Any],
     name: str,
     *,
-    least: int = 0,
-    most: int = MOST_INTEGER,
+    minimum: int = 0,
+    maximum: int = MAX_INTEGER,
     default: int | None = None,
 ) -> int:
     """Read a field that holds an integer."""
-    return check_integer(_get_field(table, name, default), name, least=least, most=most)
+    return check_integer(
+        _get_field(table, name, default), name, minimum=minimum, maximum=maximum
+    )
 
 
 def read_number(
     table: Mapping[str, Any],
     name: str,
     *,
-    least: float = 0.0,
-    most: float = _MAX_NUMBER,
+    minimum: float = 0.0,
+    maximum: float = _MAX_NUMBER,
     default: float | None = None,
 ) -> float:
     """Read a field that holds a finite number."""
-    return check_number(_get_field(table, name, default), name, least=least, most=most)
+    return check_number(
+        _get_field(table, name, default), name, minimum=minimum, maximum=maximum
+    )
 
 
-def read_flag(
+def read_boolean(
     table: Mapping[str, Any], name: str, *, default: bool | None = None
 ) -> bool:
     """Read a field that holds a boolean; numbers are refused."""
@@ -171,15 +175,15 @@
     return value
 
 
-def read_text(
+def read_string(
     table: Mapping[str, Any],
     name: str,
     *,
-    filled: bool = False,
+    non_empty: bool = False,
     default: str | None = None,
 ) -> str:
     """Read a field that holds a string."""
-    return check_text(_get_field(table, name, default), name, filled=filled)
+    return check_string(_get_field(table, name, default), name, non_empty=non_empty)
 
 
 def read_choice(
@@ -192,7 +196,7 @@
     An unknown value is an error and never a default: a state that a newer version
     adds may mean that nothing may be sent to that target.
     """
-    text = check_text(_get_field(table, name, None), name)
+    text = check_string(_get_field(table, name, None), name)
     if text not in choices:
         raise DecodeError(f"{name}: unknown value")
     return choices[text]
@@ -208,14 +212,14 @@
     return value
 
 
-def read_texts(
+def read_strings(
     table: Mapping[str, Any], name: str, *, default: list[Any] | None = None
 ) -> tuple[str, ...]:
     """Read a field that holds a list of strings."""
     rows = read_list(table, name, default=default)
-    return tuple(check_text(row, name) for row in rows)
+    return tuple(check_string(row, name) for row in rows)
 
 
-def read_table(table: Mapping[str, Any], name: str) -> dict[str, Any]:
+def read_object(table: Mapping[str, Any], name: str) -> dict[str, Any]:
     """Read a field that holds an object."""
-    return check_table(_get_field(table, name, None), name)
+    return check_object(_get_field(table, name, None), name)
--- a/trefoilhook/decoding/tests/test_readers.py
+++ b/trefoilhook/decoding/tests/test_readers.py
@@ -8,19 +8,19 @@
 
 from trefoilhook.decoding import (
     parse_json,
-    parse_table,
+    parse_object,
+    read_boolean,
     read_choice,
-    read_flag,
     read_integer,
     read_list,
     read_number,
-    read_table,
-    read_text,
-    read_texts,
+    read_object,
+    read_string,
+    read_strings,
 )
 from trefoilhook.exceptions import DecodeError
 
-NESTED = b"[" * 100_000
+DEEPLY_NESTED_JSON = b"[" * 100_000
 NO_VALUE = object()
 
 VALUES = st.recursive(
@@ -49,7 +49,7 @@
             ("nothing", b""),
             ("no text", b"\xff\xfe\xfa"),
             ("cut off", b'{"a": 1'),
-            ("nested deeply", NESTED),
+            ("nested deeply", DEEPLY_NESTED_JSON),
             ("nested deeply in an object", b'{"a":' * 100_000),
             ("not a number", b'{"a": NaN}'),
             ("infinite", b'{"a": -Infinity}'),
@@ -59,11 +59,11 @@
         )
         for name, data in table:
             with self.subTest(name), self.assertRaises(DecodeError):
-                parse_table(data)
+                parse_object(data)
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=60))
-    @example(NESTED)
+    @example(DEEPLY_NESTED_JSON)
     def test_any_bytes(self, data: bytes):
         try:
             parse_json(data)
@@ -83,11 +83,11 @@
         table = (
             (read_integer, (True, 1.0, "1", [1], None, -1, 2**53, NO_VALUE)),
             (read_number, (False, "1", float("nan"), float("inf"), 10**400, -0.5)),
-            (read_flag, (0, 1, "true", None)),
-            (read_text, (1, None, ["a"], "\ud800", NO_VALUE)),
+            (read_boolean, (0, 1, "true", None)),
+            (read_string, (1, None, ["a"], "\ud800", NO_VALUE)),
             (read_list, ("ab", {}, None, NO_VALUE)),
-            (read_texts, ("ab", [1], ["a", None])),
-            (read_table, ([], "a", None)),
+            (read_strings, ("ab", [1], ["a", None])),
+            (read_object, ([], "a", None)),
         )
         for reader, values in table:
             for value in values:
@@ -102,9 +102,9 @@
             (read_integer, 3, {}, 3),
             (read_integer, NO_VALUE, {"default": 4}, 4),
             (read_number, 3, {}, 3.0),
-            (read_flag, NO_VALUE, {"default": False}, False),
-            (read_text, "", {}, ""),
-            (read_texts, ["a", "b"], {}, ("a", "b")),
+            (read_boolean, NO_VALUE, {"default": False}, False),
+            (read_string, "", {}, ""),
+            (read_strings, ["a", "b"], {}, ("a", "b")),
             (read_choice, "a", {"choices": {"a": 1}}, 1),
         )
         for reader, value, options, expected in table:
@@ -118,9 +118,9 @@
             with self.subTest(value=value), self.assertRaises(DecodeError):
                 self.read(read_choice, value, choices={"a": 1})
 
-    def test_empty_text_is_refused_when_filled(self):
+    def test_empty_text_is_refused_with_non_empty(self):
         with self.assertRaises(DecodeError):
-            self.read(read_text, "", filled=True)
+            self.read(read_string, "", non_empty=True)
 
     @settings(derandomize=True, deadline=None)
     @given(VALUES)
@@ -130,11 +130,11 @@
         readers = {
             read_integer: int,
             read_number: float,
-            read_flag: bool,
-            read_text: str,
+            read_boolean: bool,
+            read_string: str,
             read_list: list,
-            read_texts: tuple,
-            read_table: dict,
+            read_strings: tuple,
+            read_object: dict,
         }
         for reader, kind in readers.items():
             try:
--- a/trefoilhook/demo/__main__.py
+++ b/trefoilhook/demo/__main__.py
@@ -11,7 +11,7 @@
 from trefoilhook.demo.clients import AdminClient
 from trefoilhook.demo.cluster import LocalCluster, LocalPlan, LocalPlatform
 from trefoilhook.logs import configure_logs
-from trefoilhook.requests import format_key, mint_key
+from trefoilhook.requests import format_key, generate_key
 from trefoilhook.results import ResultCode
 from trefoilhook.standins import check_answer
 
@@ -103,7 +103,7 @@
 
     The repeated request must not run; it is answered with the first result.
     """
-    key = mint_key()
+    key = generate_key()
     text = format_key(key)
     rows = []
     for number, expected_code in ((0, ResultCode.OK), (1, ResultCode.REPLAYED)):
--- a/trefoilhook/demo/clients.py
+++ b/trefoilhook/demo/clients.py
@@ -126,12 +126,12 @@
         RuntimeError
             If the response has an error status.
         """
-        status, value = await self.exchange(method, target, body)
+        status, value = await self.send_request(method, target, body)
         if status >= 300:
             raise RuntimeError(f"{method} {target}: {status} {value}")
         return value
 
-    async def exchange(
+    async def send_request(
         self, method: str, target: str, body: Any = None
     ) -> tuple[int, Any]:
         """Send a call and return the status and parsed JSON body of the response."""
--- a/trefoilhook/demo/cluster.py
+++ b/trefoilhook/demo/cluster.py
@@ -226,6 +226,6 @@
         remaining = [i for i in self.instances if not i.is_leaving]
         shards = self.platform.settings.shards
         count = shards.request_shards + shards.worker_shards
-        owned = sum(len(i.ownership.list_owned()) for i in remaining)
+        owned = sum(len(i.ownership.list_served()) for i in remaining)
         table_revisions = {i.ownership.table.revision for i in remaining}
         return owned == count and len(table_revisions) == 1
--- a/trefoilhook/entry/core.py
+++ b/trefoilhook/entry/core.py
@@ -16,7 +16,7 @@
     CallerAnswer,
     CallerRequest,
     TeamView,
-    TokenVerdict,
+    TokenCheckResult,
     parse_key,
 )
 from trefoilhook.results import Outcome, ResultCode
@@ -30,13 +30,13 @@
 _MS_PER_S = 1000.0
 _MAX_TIMEOUT_MS = 600_000.0
 _TOKEN_ERROR_CODES = {
-    TokenVerdict.UNKNOWN: ResultCode.UNAUTHENTICATED,
-    TokenVerdict.FORBIDDEN: ResultCode.FORBIDDEN,
+    TokenCheckResult.UNKNOWN: ResultCode.UNAUTHENTICATED,
+    TokenCheckResult.FORBIDDEN: ResultCode.FORBIDDEN,
 }
 
 
 def build_entry_handler(
-    *, instance_id: str, teams: TeamView, handle_caller: CallerHandler
+    *, instance_id: str, teams: TeamView, handle_request: CallerHandler
 ) -> Callable[[HttpRequest], Awaitable[HttpResponse]]:
     """Build the HTTP handler for callers' requests.
 
@@ -47,7 +47,7 @@
         request.
     teams : TeamView
         Configuration of the teams.
-    handle_caller : callable
+    handle_request : callable
         Handles a parsed and authorised request.
     """
 
@@ -64,7 +64,7 @@
         # An unexpected exception must not stop the listener and fail all other
         # requests. The caller receives an error with an unknown outcome.
         try:
-            return await handle_caller(request)
+            return await handle_request(request)
         except Exception as error:
             log_event(Event.TASK_FAILED, task="handle_caller", error=repr(error))
             return CallerAnswer(code=ResultCode.INTERNAL)
@@ -117,7 +117,7 @@
 def _parse_attempt(request: HttpRequest) -> Attempt:
     text = request.get_header("request-attempt")
     if text is None:
-        return Attempt.NOT_SAID
+        return Attempt.UNSPECIFIED
     if not (text.isascii() and text.isdigit() and int(text) > 0):
         raise RequestError("Request-Attempt is no number from 1 up")
     return Attempt.FIRST if int(text) == 1 else Attempt.REPEATED
--- a/trefoilhook/entry/tests/test_entry.py
+++ b/trefoilhook/entry/tests/test_entry.py
@@ -13,14 +13,14 @@
     CallerAnswer,
     ServiceSettings,
     TeamView,
-    TokenVerdict,
+    TokenCheckResult,
 )
 from trefoilhook.results import ResultCode
 
 _TARGET = "/v1/teams/sky/services/seats/requests"
 _KEY = str(uuid6.uuid7())
 _AUTH = ("Authorization", "Bearer right")
-_VERDICTS = {"right": TokenVerdict.ALLOWED, "other": TokenVerdict.FORBIDDEN}
+_VERDICTS = {"right": TokenCheckResult.ALLOWED, "other": TokenCheckResult.FORBIDDEN}
 
 
 def send_request(answer=None, serve=None, **changes):
@@ -41,10 +41,10 @@
     teams = TeamView(
         find_service=lambda team, service: ServiceSettings(),
         get_quota_per_s=lambda team: math.inf,
-        check_token=lambda team, token: _VERDICTS.get(token, TokenVerdict.UNKNOWN),
+        check_token=lambda team, token: _VERDICTS.get(token, TokenCheckResult.UNKNOWN),
     )
     handler = build_entry_handler(
-        instance_id="i1", teams=teams, handle_caller=serve or return_answer
+        instance_id="i1", teams=teams, handle_request=serve or return_answer
     )
     fields = {
         "method": "POST",
--- a/trefoilhook/exchange/__init__.py
+++ b/trefoilhook/exchange/__init__.py
@@ -4,14 +4,14 @@
     PlatformClient,
     Query,
     build_converter,
-    decode_answer,
-    read_error_name,
+    decode_response,
+    parse_error_name,
 )
 
 __all__ = [
     "PlatformClient",
     "Query",
     "build_converter",
-    "decode_answer",
-    "read_error_name",
+    "decode_response",
+    "parse_error_name",
 ]
--- a/trefoilhook/exchange/core.py
+++ b/trefoilhook/exchange/core.py
@@ -13,8 +13,8 @@
     "PlatformClient",
     "Query",
     "build_converter",
-    "decode_answer",
-    "read_error_name",
+    "decode_response",
+    "parse_error_name",
 ]
 
 _T = TypeVar("_T")
@@ -38,7 +38,7 @@
 _CONVERTER = build_converter()
 
 
-def decode_answer(response: HttpResponse, kind: type[_T]) -> _T:
+def decode_response(response: HttpResponse, kind: type[_T]) -> _T:
     """Decode the body of a response into an instance of ``kind``.
 
     Raises
@@ -55,7 +55,7 @@
         ) from error
 
 
-def read_error_name(response: HttpResponse) -> str:
+def parse_error_name(response: HttpResponse) -> str:
     """Return the error name in a response body; empty if there is none."""
     try:
         value = response.parse_json()
@@ -97,7 +97,7 @@
         if token is not None:
             self._headers = (("authorization", f"Bearer {token}"),)
 
-    async def exchange(
+    async def send_request(
         self,
         method: str,
         path: str,
@@ -129,7 +129,7 @@
         AnswerLostError
             If the request may have been sent and no complete response was received.
         """
-        return await self._client.exchange(
+        return await self._client.send_request(
             method,
             path,
             query=query,
--- a/trefoilhook/executors/__init__.py
+++ b/trefoilhook/executors/__init__.py
@@ -1,5 +1,5 @@
 """Client of the executors; the only module that implements their protocol."""
 
-from trefoilhook.executors.core import ExecutorAnswer, ExecutorClient, ExecutorHealth
+from trefoilhook.executors.core import ExecutorClient, ExecutorHealth, ExecutorResponse
 
-__all__ = ["ExecutorAnswer", "ExecutorClient", "ExecutorHealth"]
+__all__ = ["ExecutorResponse", "ExecutorClient", "ExecutorHealth"]
--- a/trefoilhook/executors/core.py
+++ b/trefoilhook/executors/core.py
@@ -16,7 +16,7 @@
 from trefoilhook.http import HttpClient, HttpRequest
 from trefoilhook.http.client import _Connection
 
-__all__ = ["ExecutorAnswer", "ExecutorClient", "ExecutorHealth"]
+__all__ = ["ExecutorResponse", "ExecutorClient", "ExecutorHealth"]
 
 _REQUEST_ID_HEADER = "x-request-id"
 _DEFAULT_CONTENT_TYPE = "application/octet-stream"
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecutorAnswer:
+class ExecutorResponse:
     """Complete response of an executor.
 
     Parameters
@@ -130,7 +130,7 @@
         timeout_ms: float,
         request_id: str,
         may_send: Callable[[], bool] = _always_allow,
-    ) -> ExecutorAnswer:
+    ) -> ExecutorResponse:
         """Run a request on the executor and return the complete response.
 
         Parameters
@@ -165,13 +165,13 @@
             may_send=may_send,
         )
         response = await self._run_client.send(request, timeout_ms=timeout_ms)
-        return ExecutorAnswer(
+        return ExecutorResponse(
             status=response.status,
             content_type=response.get_header("content-type") or "",
             body=response.body,
         )
 
-    async def check_health(self, *, timeout_ms: float = math.inf) -> ExecutorHealth:
+    async def get_health(self, *, timeout_ms: float = math.inf) -> ExecutorHealth:
         """Return the load reported by the executor.
 
         Raises
--- a/trefoilhook/executors/tests/test_contract.py
+++ b/trefoilhook/executors/tests/test_contract.py
@@ -30,7 +30,7 @@
                     request_id="r-1",
                     may_send=lambda: True,
                 )
-                health = await client.check_health(timeout_ms=10_000)
+                health = await client.get_health(timeout_ms=10_000)
                 await client.close()
                 nursery.cancel_scope.cancel()
             self.assertEqual([r.request_id for r in standin.records.runs], ["r-1"])
--- a/trefoilhook/executors/tests/test_executors.py
+++ b/trefoilhook/executors/tests/test_executors.py
@@ -93,7 +93,7 @@
                 checked.set()
                 return True
 
-            async def look():
+            async def peek_connection():
                 while not checked.is_set():
                     await trio.lowlevel.checkpoint()
                 try:
@@ -105,7 +105,7 @@
                 nursery.cancel_scope.cancel()
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(look)
+                nursery.start_soon(peek_connection)
                 await send(client, may_send=may_send)
             listener.close()
             self.assertEqual(seen, [b"POST"])
@@ -132,12 +132,12 @@
 
     def test_health(self):
         async def scenario(executor, client):
-            health = await client.check_health(timeout_ms=5_000)
+            health = await client.get_health(timeout_ms=5_000)
             self.assertEqual((health.slots, health.in_use), (8, 3))
             for bad in (b"", b"[]", b'{"slots": 8}', b'{"slots": 8, "in_use": null}'):
                 executor.health = bad
                 with self.subTest(bad=bad), self.assertRaises(AnswerLostError):
-                    await client.check_health(timeout_ms=5_000)
+                    await client.get_health(timeout_ms=5_000)
 
         run_with(scenario)
 
--- a/trefoilhook/http/exchange.py
+++ b/trefoilhook/http/exchange.py
@@ -30,7 +30,7 @@
             host=address[0], port=address[1], max_connections=max_connections
         )
 
-    async def exchange(
+    async def send_request(
         self,
         method: str,
         path: str,
--- a/trefoilhook/inner/core.py
+++ b/trefoilhook/inner/core.py
@@ -99,7 +99,9 @@
         """Total number of bytes received on all connections."""
         return self._links.watch.bytes_received
 
-    def handle(self, message_type: type[Message], handler: CallHandler) -> None:
+    def register_handler(
+        self, message_type: type[Message], handler: CallHandler
+    ) -> None:
         """Register the handler for calls that carry messages of a type.
 
         A handler may raise a ``TrefoilhookError``; its code is returned to the caller.
@@ -121,7 +123,7 @@
         """Maintain links to exactly these peers."""
         self._links.set_peers(peers)
 
-    def peer_state(self, instance_id: str) -> PeerState:
+    def get_peer_state(self, instance_id: str) -> PeerState:
         """Return the state of a peer; ``DOWN`` if the instance is not a peer."""
         peer = self._links.find_peer(instance_id)
         return PeerState.DOWN if peer is None else peer.state
@@ -162,7 +164,7 @@
             raise NotSentError(f"no link to {instance_id}")
         return await link.call(message, timeout_ms=timeout_ms)
 
-    def tell(self, instance_id: str, message: Message) -> bool:
+    def send_one_way(self, instance_id: str, message: Message) -> bool:
         """Send a one-way message; return whether it was queued.
 
         The message is dropped if the link is down, and may be lost if the link breaks.
--- a/trefoilhook/inner/links.py
+++ b/trefoilhook/inner/links.py
@@ -241,7 +241,7 @@
         except ConnectionRefusedError:
             return PeerState.REFUSED
         except IdentityMismatchError:
-            return PeerState.STRANGER
+            return PeerState.IDENTITY_MISMATCH
         except LINK_ERRORS:
             return PeerState.DOWN
         return PeerState.DOWN
--- a/trefoilhook/inner/peers.py
+++ b/trefoilhook/inner/peers.py
@@ -13,16 +13,16 @@
 class PeerState(enum.Enum):
     """Reachability of a peer, from the latest connection attempts.
 
-    ``REFUSED`` and ``STRANGER`` (another instance answers at the address) prove that
-    the process with that instance id has exited: it listened before its address was
-    published and would still hold the port. Lost connections and timeouts prove
-    nothing, because the peer may be running behind a network fault.
+    ``REFUSED`` and ``IDENTITY_MISMATCH`` (another instance answers at the address)
+    prove that the process with that instance id has exited: it listened before its
+    address was published and would still hold the port. Lost connections and timeouts
+    prove nothing, because the peer may be running behind a network fault.
     """
 
     UP = "up"
     DOWN = "down"
     REFUSED = "refused"
-    STRANGER = "stranger"
+    IDENTITY_MISMATCH = "stranger"
 
 
 @attrs.frozen(kw_only=True)
--- a/trefoilhook/inner/tests/net.py
+++ b/trefoilhook/inner/tests/net.py
@@ -47,7 +47,7 @@
 
 async def wait_for_state(node, instance_id, state):
     """Wait until a peer has the given state."""
-    await wait_for(lambda: node.peer_state(instance_id) is state)
+    await wait_for(lambda: node.get_peer_state(instance_id) is state)
 
 
 @contextlib.asynccontextmanager
--- a/trefoilhook/inner/tests/test_calls.py
+++ b/trefoilhook/inner/tests/test_calls.py
@@ -55,10 +55,10 @@
 
 
 def _register(node):
-    node.handle(StatusRequest, _answer_sender)
-    node.handle(JobQuery, _refuse)
-    node.handle(JobCancel, _fail)
-    node.handle(ServiceRequest, _hang)
+    node.register_handler(StatusRequest, _answer_sender)
+    node.register_handler(JobQuery, _refuse)
+    node.register_handler(JobCancel, _fail)
+    node.register_handler(ServiceRequest, _hang)
 
 
 class CallTest(unittest.TestCase):
@@ -104,7 +104,7 @@
 
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(JobQuery, answer)
+                two.register_handler(JobQuery, answer)
                 async with trio.open_nursery() as nursery:
                     for number in range(200):
                         nursery.start_soon(ask, one, number)
@@ -123,7 +123,7 @@
 
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(JobQuery, answer)
+                two.register_handler(JobQuery, answer)
                 late = await result_or_error(
                     one.call("two", JobQuery(limit=1), timeout_ms=20)
                 )
@@ -145,7 +145,7 @@
 
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(StatusRequest, answer)
+                two.register_handler(StatusRequest, answer)
                 await one.call("two", StatusRequest(), timeout_ms=12_345)
 
         trio.run(scenario)
@@ -159,7 +159,7 @@
 
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(ServiceRequest, answer)
+                two.register_handler(ServiceRequest, answer)
                 request = ServiceRequest(body=body)
                 answered = await one.call("two", request, timeout_ms=TIMEOUT_MS)
                 self.assertEqual(answered.body, body)
@@ -175,11 +175,11 @@
 
         async def scenario():
             async with run_pair() as (one, two):
-                one.handle(StatusRequest, note)
-                two.handle(StatusRequest, note)
-                self.assertTrue(one.tell("one", StatusRequest()))
-                self.assertTrue(one.tell("two", StatusRequest()))
-                self.assertFalse(one.tell("three", StatusRequest()))
+                one.register_handler(StatusRequest, note)
+                two.register_handler(StatusRequest, note)
+                self.assertTrue(one.send_one_way("one", StatusRequest()))
+                self.assertTrue(one.send_one_way("two", StatusRequest()))
+                self.assertFalse(one.send_one_way("three", StatusRequest()))
                 await wait_for(lambda: len(seen) == 2)
 
         trio.run(scenario)
@@ -210,7 +210,7 @@
         async def scenario():
             one = build_node("one")
             two = build_node("two")
-            two.handle(StatusRequest, answer)
+            two.register_handler(StatusRequest, answer)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
                 scope = await nursery.start(run_cancellable, two)
@@ -242,7 +242,7 @@
             ):
                 _register(two)
                 for _ in range(2):
-                    one.tell("two", ServiceRequest())
+                    one.send_one_way("two", ServiceRequest())
                 third = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
                 )
@@ -272,7 +272,7 @@
                 await nursery.start(plain.run)
                 plain.set_peers([build_address(two)])
                 await trio.sleep(0.1)
-                self.assertIs(plain.peer_state("two"), PeerState.DOWN)
+                self.assertIs(plain.get_peer_state("two"), PeerState.DOWN)
                 nursery.cancel_scope.cancel()
 
         trio.run(scenario)
--- a/trefoilhook/inner/tests/test_links.py
+++ b/trefoilhook/inner/tests/test_links.py
@@ -48,7 +48,7 @@
         async def scenario():
             one = build_node("one")
             two = build_node("two")
-            two.handle(StatusRequest, _answer)
+            two.register_handler(StatusRequest, _answer)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
                 await nursery.start(two.run)
@@ -76,7 +76,7 @@
         async def scenario():
             one = build_node("one")
             two = build_node("two")
-            two.handle(StatusRequest, _answer)
+            two.register_handler(StatusRequest, _answer)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
                 await nursery.start(two.run)
@@ -87,7 +87,7 @@
                 relay.blackhole()
                 relay.is_stalled = True
                 for _ in range(12):
-                    one.tell("two", StatusAnswer(burn="x" * 1_000_000))
+                    one.send_one_way("two", StatusAnswer(burn="x" * 1_000_000))
                 await wait_for(lambda: relay.accepted == 2)
                 await wait_for_state(one, "two", PeerState.UP)
                 nursery.cancel_scope.cancel()
@@ -114,7 +114,7 @@
                 two.on_heartbeat(lambda sender, beat: heard.append((sender, beat)))
                 one.set_heartbeat_source(lambda: Heartbeat(applied_revision=7))
                 await wait_for(lambda: len(heard) >= 20)
-                self.assertIs(one.peer_state("two"), PeerState.UP)
+                self.assertIs(one.get_peer_state("two"), PeerState.UP)
                 sequences = [beat.sequence for _, beat in heard]
                 self.assertEqual(sequences, sorted(set(sequences)))
                 self.assertEqual(heard[-1][0], "one")
@@ -199,7 +199,7 @@
         # Calls from peers must continue to work.
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(StatusRequest, _answer)
+                two.register_handler(StatusRequest, _answer)
                 for garbage in (b"GET / HTTP/1.1\r\n\r\n", b"\x00" * 100_000):
                     stream = await trio.open_tcp_stream(HOST, two.port)
                     with contextlib.suppress(trio.BrokenResourceError):
@@ -213,7 +213,7 @@
         # An exception in a callback of the asyncio loop must not stop the instance.
         async def scenario():
             async with run_pair() as (one, two):
-                two.handle(StatusRequest, _answer)
+                two.register_handler(StatusRequest, _answer)
                 two._links._loop.call_soon(lambda: 1 / 0)
                 for _ in range(3):
                     await one.call("two", StatusRequest(), timeout_ms=TIMEOUT_MS)
@@ -230,7 +230,7 @@
         async def scenario():
             one = build_node("one")
             two = build_node("two")
-            two.handle(StatusRequest, _hang)
+            two.register_handler(StatusRequest, _hang)
             async with trio.open_nursery() as nursery:
                 await nursery.start(one.run)
                 peers = await nursery.start(run_cancellable, two)
@@ -261,7 +261,7 @@
                 await nursery.start(successor.run)
                 old = PeerAddress(instance_id="old", host=HOST, port=successor.port)
                 one.set_peers([old])
-                await wait_for_state(one, "old", PeerState.STRANGER)
+                await wait_for_state(one, "old", PeerState.IDENTITY_MISMATCH)
                 error = await result_or_error(
                     one.call("old", StatusRequest(), timeout_ms=50)
                 )
@@ -288,7 +288,7 @@
                 await nursery.start(one.run)
                 one.set_peers([PeerAddress(instance_id="two", host=HOST, port=port)])
                 await wait_for(lambda: len(attempts) >= 2)
-                self.assertIs(one.peer_state("two"), PeerState.DOWN)
+                self.assertIs(one.get_peer_state("two"), PeerState.DOWN)
                 nursery.cancel_scope.cancel()
 
         trio.run(scenario)
@@ -298,7 +298,7 @@
         # exit is kept. A heartbeat shows that the peer never exited: it is discarded.
         cases = (
             (["refused", "timeout"], PeerState.REFUSED),
-            (["stranger", "timeout"], PeerState.STRANGER),
+            (["stranger", "timeout"], PeerState.IDENTITY_MISMATCH),
             (["timeout"], PeerState.DOWN),
             (["refused", "heard"], PeerState.DOWN),
             (["refused", "up"], PeerState.UP),
@@ -314,7 +314,7 @@
                         PeerState.REFUSED
                     ),
                     "stranger": lambda peer=peer: peer.record_disconnected(
-                        PeerState.STRANGER
+                        PeerState.IDENTITY_MISMATCH
                     ),
                     "timeout": lambda peer=peer: peer.record_disconnected(
                         PeerState.DOWN
@@ -353,7 +353,7 @@
         async def scenario():
             async with run_pair() as (one, _):
                 one.set_peers([])
-                self.assertIs(one.peer_state("two"), PeerState.DOWN)
+                self.assertIs(one.get_peer_state("two"), PeerState.DOWN)
                 error = await result_or_error(
                     one.call("two", StatusRequest(), timeout_ms=50)
                 )
--- a/trefoilhook/instances/__init__.py
+++ b/trefoilhook/instances/__init__.py
@@ -2,14 +2,14 @@
 
 from trefoilhook.instances.client import InstanceListClient
 from trefoilhook.instances.core import (
-    BackendPage,
+    BackendSnapshot,
     ExecutorRecord,
     InstanceState,
     WorkerRecord,
 )
 
 __all__ = [
-    "BackendPage",
+    "BackendSnapshot",
     "ExecutorRecord",
     "InstanceListClient",
     "InstanceState",
--- a/trefoilhook/instances/client.py
+++ b/trefoilhook/instances/client.py
@@ -6,8 +6,8 @@
 
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import AnswerLostError
-from trefoilhook.exchange import PlatformClient, decode_answer
-from trefoilhook.instances.core import BackendPage
+from trefoilhook.exchange import PlatformClient, decode_response
+from trefoilhook.instances.core import BackendSnapshot
 
 __all__ = ["InstanceListClient"]
 
@@ -47,7 +47,7 @@
             max_connections=2,
         )
 
-    async def list_backends(self) -> BackendPage:
+    async def list_backends(self) -> BackendSnapshot:
         """Return all executors and workers.
 
         Raises
@@ -60,10 +60,10 @@
         The list lags behind the actual state: it may contain instances that no longer
         exist, omit new ones, and report instances that are shutting down as live.
         """
-        response = await self._platform.exchange("GET", "/v1/instances")
+        response = await self._platform.send_request("GET", "/v1/instances")
         if response.status != 200:
             raise AnswerLostError(f"instance list returned status {response.status}")
-        return decode_answer(response, BackendPage)
+        return decode_response(response, BackendSnapshot)
 
     async def close(self) -> None:
         """Close all idle connections."""
--- a/trefoilhook/instances/core.py
+++ b/trefoilhook/instances/core.py
@@ -6,7 +6,7 @@
 
 from trefoilhook.workers import Resources
 
-__all__ = ["BackendPage", "ExecutorRecord", "InstanceState", "WorkerRecord"]
+__all__ = ["BackendSnapshot", "ExecutorRecord", "InstanceState", "WorkerRecord"]
 
 
 class InstanceState(enum.Enum):
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BackendPage:
+class BackendSnapshot:
     """Snapshot of the instance list.
 
     Parameters
--- a/trefoilhook/instances/tests/test_contract.py
+++ b/trefoilhook/instances/tests/test_contract.py
@@ -85,7 +85,7 @@
 
     def test_removed_instance_is_listed_until_the_lag_has_passed(self):
         async def scenario(standin, client) -> None:
-            standin.change(InstanceLists())
+            standin.set_lists(InstanceLists())
             self.assertEqual(len((await client.list_backends()).workers), 1)
             await trio.sleep(_LAG_MS / 1000 + 1)
             self.assertEqual((await client.list_backends()).workers, ())
--- a/trefoilhook/jobs/__init__.py
+++ b/trefoilhook/jobs/__init__.py
@@ -1,6 +1,6 @@
 """Job lifecycle: acceptance, placement, execution on one worker, and completion."""
 
-from trefoilhook.jobs.book import JobBook
+from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Attempt, Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
 from trefoilhook.jobs.messages import JobRecord, RecordKind, WorkerAddress
@@ -12,7 +12,7 @@
 __all__ = [
     "Attempt",
     "Job",
-    "JobBook",
+    "JobRegistry",
     "JobJournal",
     "JobRecord",
     "JobService",
--- a/trefoilhook/jobs/book.py
+++ b/trefoilhook/jobs/book.py
@@ -17,9 +17,9 @@
     Order,
     OrderKind,
     RecordKind,
-    TaskNews,
     TaskRef,
     TaskStatus,
+    TaskUpdate,
     WorkerAddress,
 )
 from trefoilhook.jobs.outbox import Outbox
@@ -27,13 +27,13 @@
 from trefoilhook.placement import ShardState, StopOutcome
 from trefoilhook.results import ResultCode
 
-__all__ = ["JobBook"]
+__all__ = ["JobRegistry"]
 
 _FAILED_DETAIL = "the attempt failed"
 
 
 @attrs.define(kw_only=True)
-class JobBook:
+class JobRegistry:
     """Jobs and attempts of a shard, with pending orders and journal records.
 
     Parameters
@@ -148,7 +148,7 @@
     def apply_inventory(
         self,
         worker_id: str,
-        updates: Iterable[TaskNews],
+        updates: Iterable[TaskUpdate],
         *,
         now_ms: float,
         wall_ms: float,
@@ -161,13 +161,15 @@
         """
         received = list(updates)
         for item in received:
-            self.apply_news(item, now_ms=now_ms, wall_ms=wall_ms)
+            self.apply_update(item, now_ms=now_ms, wall_ms=wall_ms)
         present = {item.ref.job_id for item in received}
         for job in self._list_active_jobs(worker_id):
             if job.spec.job_id not in present:
                 self._handle_lost(job, now_ms=now_ms, wall_ms=wall_ms)
 
-    def apply_news(self, update: TaskNews, *, now_ms: float, wall_ms: float) -> None:
+    def apply_update(
+        self, update: TaskUpdate, *, now_ms: float, wall_ms: float
+    ) -> None:
         """Apply the state of one attempt as reported by its worker.
 
         A worker repeats an update until it is acknowledged, which happens only after
@@ -190,7 +192,9 @@
             return
         self._handle_stopped(job, update, now_ms=now_ms, wall_ms=wall_ms)
 
-    def lose_worker(self, worker_id: str, *, now_ms: float, wall_ms: float) -> None:
+    def handle_worker_loss(
+        self, worker_id: str, *, now_ms: float, wall_ms: float
+    ) -> None:
         """Handle the loss of a worker whose leases have all lapsed.
 
         Its tasks have stopped by then.
@@ -259,7 +263,7 @@
         while len(self._ended) > self.kept_ended:
             self.jobs.pop(self._ended.popleft(), None)
 
-    def _discard_attempt(self, update: TaskNews) -> None:
+    def _discard_attempt(self, update: TaskUpdate) -> None:
         """Stop an obsolete attempt, or acknowledge it if it has already ended."""
         is_running = update.status is TaskStatus.RUNNING
         kind = OrderKind.STOP if is_running else OrderKind.ACKNOWLEDGE
@@ -285,7 +289,7 @@
             self._stop(job, now_ms)
 
     def _finish(
-        self, job: Job, update: TaskNews, *, now_ms: float, wall_ms: float
+        self, job: Job, update: TaskUpdate, *, now_ms: float, wall_ms: float
     ) -> None:
         """End a job with the result of any of its attempts.
 
@@ -299,7 +303,7 @@
         self._end(job, ResultCode.OK, wall_ms, result=update.result, update=update)
 
     def _handle_stopped(
-        self, job: Job, update: TaskNews, *, now_ms: float, wall_ms: float
+        self, job: Job, update: TaskUpdate, *, now_ms: float, wall_ms: float
     ) -> None:
         """Handle an attempt that stopped running without finishing."""
         outcomes = {
@@ -331,7 +335,7 @@
         else:
             self._end(job, ResultCode.OUTCOME_UNKNOWN, wall_ms, update=update)
 
-    def _requeue_evicted(self, job: Job, update: TaskNews, wall_ms: float) -> None:
+    def _requeue_evicted(self, job: Job, update: TaskUpdate, wall_ms: float) -> None:
         """Requeue an evicted job and record the checkpoint to resume from.
 
         The next attempt need not wait for the commit: the worker keeps the checkpoint
@@ -396,7 +400,7 @@
         )
 
     def _end_cancelled(
-        self, job: Job, wall_ms: float, *, update: TaskNews | None = None
+        self, job: Job, wall_ms: float, *, update: TaskUpdate | None = None
     ) -> None:
         was_started = job.attempt is not None
         code = ResultCode.CANCELLED if was_started else ResultCode.CANCELLED_UNSTARTED
@@ -410,7 +414,7 @@
         *,
         detail: str = "",
         result: str = "",
-        update: TaskNews | None = None,
+        update: TaskUpdate | None = None,
     ) -> None:
         job.state = JobState.ENDED
         job.result_number = code.number
--- a/trefoilhook/jobs/bounds.py
+++ b/trefoilhook/jobs/bounds.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from trefoilhook.jobs.messages import TaskNews, TaskStatus
+from trefoilhook.jobs.messages import TaskStatus, TaskUpdate
 
 __all__ = ["MAX_STORED_CHARACTERS", "limit_update_size"]
 
@@ -14,7 +14,7 @@
 _CHECKPOINT_TOO_LARGE = "the checkpoint is too large to keep"
 
 
-def limit_update_size(update: TaskNews) -> TaskNews:
+def limit_update_size(update: TaskUpdate) -> TaskUpdate:
     """Return an update that is small enough for the journal.
 
     A result or checkpoint larger than the maximum value size of the store could never
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    update : TaskNews
+    update : TaskUpdate
         Update received from the worker.
     """
     if len(update.checkpoint) > MAX_STORED_CHARACTERS:
--- a/trefoilhook/jobs/listing.py
+++ b/trefoilhook/jobs/listing.py
@@ -6,13 +6,13 @@
 
 from trefoilhook.instances import WorkerRecord
 from trefoilhook.settings import ShardSettings
-from trefoilhook.shards import ShardKind, find_shard
+from trefoilhook.shards import ShardKind, hash_to_shard
 
-__all__ = ["WorkerSplit"]
+__all__ = ["WorkerPartition"]
 
 
 @attrs.define(kw_only=True)
-class WorkerSplit:
+class WorkerPartition:
     """Partitions the worker list by shard and caches the latest partition.
 
     Parameters
@@ -48,7 +48,7 @@
         for record in listed:
             rack = record.rack
             if rack not in shard_ids:
-                shard_ids[rack] = find_shard(
+                shard_ids[rack] = hash_to_shard(
                     ShardKind.WORKER, rack.encode(), self.shards
                 )
             found.setdefault(shard_ids[rack], []).append(record)
--- a/trefoilhook/jobs/messages.py
+++ b/trefoilhook/jobs/messages.py
@@ -12,7 +12,7 @@
     "OrderKind",
     "RecordKind",
     "JobRecord",
-    "TaskNews",
+    "TaskUpdate",
     "TaskRef",
     "TaskStatus",
     "WorkerAddress",
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class TaskNews:
+class TaskUpdate:
     """State of one attempt as reported by its worker.
 
     Parameters
--- a/trefoilhook/jobs/outbox.py
+++ b/trefoilhook/jobs/outbox.py
@@ -10,8 +10,8 @@
     JobRecord,
     Order,
     OrderKind,
-    TaskNews,
     TaskRef,
+    TaskUpdate,
 )
 
 __all__ = ["Outbox"]
@@ -39,7 +39,7 @@
         """Queue a record, and orders to be sent only after its commit."""
         self._commits.append(Commit(record=record, orders=orders))
 
-    def record_and_acknowledge(self, record: JobRecord, update: TaskNews) -> None:
+    def record_and_acknowledge(self, record: JobRecord, update: TaskUpdate) -> None:
         """Queue the record of a worker's update, acknowledged after the commit.
 
         The worker discards a result when it is acknowledged. If the acknowledgement
--- a/trefoilhook/jobs/planner.py
+++ b/trefoilhook/jobs/planner.py
@@ -2,7 +2,7 @@
 
 import numpy as np
 
-from trefoilhook.jobs.book import JobBook
+from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.quotas import FindQuota, TeamUsage, is_within_quota
 from trefoilhook.logs import Event, log_event
@@ -29,7 +29,7 @@
 
 
 def find_impossible_reason(
-    book: JobBook,
+    registry: JobRegistry,
     spec: JobSpec,
     *,
     now_ms: float,
@@ -41,10 +41,10 @@
     No job is refused while no worker is known, since the workers may not have
     responded yet.
     """
-    if not book.placement.workers:
+    if not registry.placement.workers:
         return ""
     shape = spec.build_shape()
-    decision = decide_placement(book.placement, shape, now_ms, generator, policy)
+    decision = decide_placement(registry.placement, shape, now_ms, generator, policy)
     return _describe_impossible(decision) if isinstance(decision, Impossible) else ""
 
 
@@ -53,7 +53,7 @@
 
 
 def place_waiting(
-    book: JobBook,
+    registry: JobRegistry,
     *,
     now_ms: float,
     wall_ms: float,
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    book : JobBook
+    registry : JobRegistry
         Jobs of the shard.
     now_ms : float
         Current monotonic time, in ms.
@@ -83,23 +83,23 @@
     """
     waiting = [
         WaitingTask(shape=job.spec.build_shape(), queued_at_ms=job.spec.submitted_ms)
-        for job in book.jobs.values()
+        for job in registry.jobs.values()
         if job.state is JobState.QUEUED and not job.is_cancelled
     ]
-    ordered = order_queue(book.placement, waiting, wall_ms, policy)
-    usage = TeamUsage.count(book.placement) if ordered else TeamUsage()
+    ordered = order_queue(registry.placement, waiting, wall_ms, policy)
+    usage = TeamUsage.count(registry.placement) if ordered else TeamUsage()
     for entry in ordered[:limit]:
         shape = entry.shape
-        job = book.jobs[shape.task_id]
+        job = registry.jobs[shape.task_id]
         if not is_within_quota(usage, shape, find_quota(shape.team)):
             continue
-        _place(book, job, entry, now_ms, wall_ms, generator, policy)
-        if shape.task_id in book.placement.tasks:
+        _place(registry, job, entry, now_ms, wall_ms, generator, policy)
+        if shape.task_id in registry.placement.tasks:
             usage.add(shape)
 
 
 def _place(
-    book: JobBook,
+    registry: JobRegistry,
     job: Job,
     entry: WaitingTask,
     now_ms: float,
@@ -107,54 +107,54 @@
     generator: np.random.Generator,
     policy: Policy,
 ) -> None:
-    if not book.placement.workers:
+    if not registry.placement.workers:
         return
     shape = entry.shape
-    decision = decide_placement(book.placement, shape, now_ms, generator, policy)
+    decision = decide_placement(registry.placement, shape, now_ms, generator, policy)
     if isinstance(decision, Placement):
-        book.placement.reserve(shape, decision.worker_id, now_ms)
-        book.start(job, decision.worker_id, wall_ms)
+        registry.placement.reserve(shape, decision.worker_id, now_ms)
+        registry.start(job, decision.worker_id, wall_ms)
         log_event(Event.JOB_STARTED, job=shape.task_id, worker=decision.worker_id)
     elif isinstance(decision, Impossible):
         detail = _describe_impossible(decision)
-        book.refuse(job, ResultCode.IMPOSSIBLE_JOB, detail, wall_ms)
+        registry.refuse(job, ResultCode.IMPOSSIBLE_JOB, detail, wall_ms)
     elif isinstance(decision, Preempt):
-        begin_preemption(book.placement, shape, decision, now_ms, policy)
+        begin_preemption(registry.placement, shape, decision, now_ms, policy)
         for task_id in decision.victims:
-            book.order_eviction(book.jobs[task_id])
+            registry.order_eviction(registry.jobs[task_id])
             log_event(Event.JOB_EVICTED, job=task_id, urgent_job=shape.task_id)
 
 
-def react_to_reports(book: JobBook, now_ms: float, policy: Policy) -> None:
+def react_to_reports(registry: JobRegistry, now_ms: float, policy: Policy) -> None:
     """Throttle, evict or move tasks that slow down services, per usage reports."""
-    for reaction in decide_reactions(book.placement, now_ms, policy):
-        if _is_possible(book, reaction):
-            apply_reaction(book.placement, reaction, now_ms, policy)
-            _send_reaction(book, reaction)
+    for reaction in decide_reactions(registry.placement, now_ms, policy):
+        if _is_possible(registry, reaction):
+            apply_reaction(registry.placement, reaction, now_ms, policy)
+            _send_reaction(registry, reaction)
 
 
-def _is_possible(book: JobBook, reaction: Reaction) -> bool:
+def _is_possible(registry: JobRegistry, reaction: Reaction) -> bool:
     if reaction.task_id is None:
         return True
-    task = book.placement.tasks.get(reaction.task_id)
+    task = registry.placement.tasks.get(reaction.task_id)
     return task is not None and task.phase is TaskPhase.RUNNING
 
 
-def _send_reaction(book: JobBook, reaction: Reaction) -> None:
+def _send_reaction(registry: JobRegistry, reaction: Reaction) -> None:
     if reaction.kind is ReactionKind.QUARANTINE:
         log_event(Event.WORKER_QUARANTINED, worker=reaction.worker_id)
     if reaction.task_id is None:
         return
-    job = book.jobs[reaction.task_id]
+    job = registry.jobs[reaction.task_id]
     if reaction.kind in (ReactionKind.THROTTLE, ReactionKind.UNTHROTTLE):
-        book.order_throttle(job, reaction.speed)
+        registry.order_throttle(job, reaction.speed)
     else:
-        book.order_eviction(job)
+        registry.order_eviction(job)
         log_event(Event.JOB_EVICTED, job=reaction.task_id)
 
 
 def explain_job(
-    book: JobBook,
+    registry: JobRegistry,
     job: Job,
     now_ms: float,
     generator: np.random.Generator,
@@ -165,9 +165,11 @@
     if job.state is JobState.ENDED:
         return f"ended: {job.detail or 'see its result'}"
     shape = job.spec.build_shape()
-    usage = TeamUsage.count(book.placement)
+    usage = TeamUsage.count(registry.placement)
     is_waiting = job.state is JobState.QUEUED
     if is_waiting and not is_within_quota(usage, shape, find_quota(shape.team)):
         return f"waits: the quota of {shape.team} is used up"
-    explanation = explain_placement(book.placement, shape, now_ms, generator, policy)
+    explanation = explain_placement(
+        registry.placement, shape, now_ms, generator, policy
+    )
     return render_explanation(explanation)
--- a/trefoilhook/jobs/runner.py
+++ b/trefoilhook/jobs/runner.py
@@ -13,7 +13,7 @@
     StoreError,
 )
 from trefoilhook.instances import InstanceState, WorkerRecord
-from trefoilhook.jobs.book import JobBook
+from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.commits import STORE_RETRY_MS, Committer
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
@@ -35,7 +35,7 @@
     InventoryReceived,
     SessionEvent,
     UpdatesReceived,
-    WorkerLeaseLapsed,
+    WorkerLeaseExpired,
     WorkerSession,
 )
 from trefoilhook.jobs.settings import JobSettings
@@ -132,7 +132,7 @@
         sender, receiver = trio.open_memory_channel[SessionEvent](_EVENT_BUFFER_SIZE)
         self._events_in = sender
         self._events = receiver
-        self.book = JobBook(epoch=epoch, kept_ended=settings.kept_ended)
+        self.registry = JobRegistry(epoch=epoch, kept_ended=settings.kept_ended)
         self.is_loaded = False
 
     async def run(self) -> None:
@@ -141,7 +141,7 @@
             await self._load()
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
-                for address in self.book.workers.values():
+                for address in self.registry.workers.values():
                     self._open_session(address)
                 nursery.start_soon(self._committer.run)
                 await self._run_steps()
@@ -163,14 +163,14 @@
             return known
         self._refuse_impossible(spec)
         await self._committer.accept(spec)
-        return self.book.jobs[spec.job_id]
+        return self.registry.jobs[spec.job_id]
 
     def cancel(self, job_ids: Sequence[str]) -> None:
         """Cancel jobs; the stop orders are sent in one message per worker."""
         now_ms = self._clock.monotonic_ms()
         wall_ms = self._clock.wall_ms()
         for job_id in job_ids:
-            self.book.cancel(job_id, now_ms, wall_ms)
+            self.registry.cancel(job_id, now_ms, wall_ms)
         self._wake()
 
     def explain(self, job: Job) -> str:
@@ -179,7 +179,7 @@
             unreported = ", ".join(sorted(self._unreported))
             return f"held: it may run on a worker that has not been heard: {unreported}"
         return explain_job(
-            self.book,
+            self.registry,
             job,
             self._clock.monotonic_ms(),
             self._generator,
@@ -189,7 +189,7 @@
 
     def _refuse_impossible(self, spec: JobSpec) -> None:
         reason = find_impossible_reason(
-            self.book,
+            self.registry,
             spec,
             now_ms=self._clock.monotonic_ms(),
             generator=self._generator,
@@ -202,7 +202,7 @@
         if not self.is_loaded:
             message = "the shard is being recovered"
             raise RequestError(message, code=ResultCode.NO_OWNER)
-        return self.book.jobs.get(spec.job_id)
+        return self.registry.jobs.get(spec.job_id)
 
     async def _load(self) -> None:
         while True:
@@ -214,9 +214,9 @@
             except StoreError as error:
                 log_event(Event.STORE_DOWN, reason=str(error))
                 await self._clock.sleep_ms(STORE_RETRY_MS)
-        self.book.restore(records)
-        self.book.release_unstarted()
-        self._unreported = set(self.book.workers)
+        self.registry.restore(records)
+        self.registry.release_unstarted()
+        self._unreported = set(self.registry.workers)
         self.is_loaded = True
 
     async def _run_steps(self) -> None:
@@ -253,13 +253,13 @@
             self._place(now_ms)
         if now_ms - self._last_reaction_ms >= self._settings.react_interval_ms:
             self._last_reaction_ms = now_ms
-            react_to_reports(self.book, now_ms, self._policy())
+            react_to_reports(self.registry, now_ms, self._policy())
         self._send_orders()
-        self._committer.add(self.book.take_commits())
+        self._committer.add(self.registry.take_commits())
 
     def _place(self, now_ms: float) -> None:
         place_waiting(
-            self.book,
+            self.registry,
             now_ms=now_ms,
             wall_ms=self._clock.wall_ms(),
             generator=self._generator,
@@ -280,14 +280,16 @@
         now_ms, wall_ms = self._clock.monotonic_ms(), self._clock.wall_ms()
         if not isinstance(event, UpdatesReceived) or event.updates:
             self._placement_timer.request_pass()
-        if isinstance(event, WorkerLeaseLapsed):
-            self.book.lose_worker(event.worker_id, now_ms=now_ms, wall_ms=wall_ms)
+        if isinstance(event, WorkerLeaseExpired):
+            self.registry.handle_worker_loss(
+                event.worker_id, now_ms=now_ms, wall_ms=wall_ms
+            )
             self._withdraw(event.worker_id)
             self._remove_if_unlisted(event.worker_id)
             self._unreported.discard(event.worker_id)
         elif isinstance(event, InventoryReceived):
             self._add_worker(event)
-            self.book.apply_inventory(
+            self.registry.apply_inventory(
                 event.worker_id, event.updates, now_ms=now_ms, wall_ms=wall_ms
             )
             self._unreported.discard(event.worker_id)
@@ -299,11 +301,11 @@
         self, event: UpdatesReceived, now_ms: float, wall_ms: float
     ) -> None:
         for item in event.updates:
-            self.book.apply_news(item, now_ms=now_ms, wall_ms=wall_ms)
+            self.registry.apply_update(item, now_ms=now_ms, wall_ms=wall_ms)
         report = event.report
         if report is None:
             return
-        self.book.placement.observe_usage(
+        self.registry.placement.apply_usage_report(
             read_report(event.worker_id, report, now_ms), now_ms
         )
 
@@ -316,9 +318,9 @@
             failure_domain=record.failure_domain if record else "",
             capacity=event.capacity,
         )
-        known = self.book.placement.workers.get(event.worker_id)
-        if known is None or known.withdrawn:
-            self.book.placement.add_worker(shape)
+        known = self.registry.placement.workers.get(event.worker_id)
+        if known is None or known.is_removed:
+            self.registry.placement.add_worker(shape)
 
     def _withdraw_if_leaving(self, worker_id: str) -> None:
         """Exclude a worker from placement if it is leaving or no longer listed."""
@@ -327,13 +329,13 @@
             self._withdraw(worker_id)
 
     def _withdraw(self, worker_id: str) -> None:
-        known = self.book.placement.workers.get(worker_id)
-        if known is not None and not known.withdrawn:
-            self.book.placement.remove_worker(worker_id)
+        known = self.registry.placement.workers.get(worker_id)
+        if known is not None and not known.is_removed:
+            self.registry.placement.remove_worker(worker_id)
 
     def _remove_if_unlisted(self, worker_id: str) -> None:
         if self._find_record(worker_id) is None:
-            self.book.remove_worker(worker_id)
+            self.registry.remove_worker(worker_id)
             self._sessions.pop(worker_id).scope.cancel()
 
     def _sync_workers(self) -> None:
@@ -346,11 +348,11 @@
         for record in self._list_workers():
             if record.state is InstanceState.LEAVING:
                 self._withdraw(record.worker_id)
-            elif record.worker_id not in self.book.workers:
+            elif record.worker_id not in self.registry.workers:
                 address = WorkerAddress(
                     worker_id=record.worker_id, host=record.host, port=record.port
                 )
-                self.book.add_worker(address)
+                self.registry.add_worker(address)
 
     def _recover(self) -> None:
         """Release the held jobs once no unknown attempt can still be running."""
@@ -358,7 +360,7 @@
             return
         self._is_recovered = True
         self._placement_timer.request_pass()
-        self.book.release_held(self._clock.wall_ms())
+        self.registry.release_held(self._clock.wall_ms())
 
     def _find_record(self, worker_id: str) -> WorkerRecord | None:
         for record in self._list_workers():
@@ -383,7 +385,7 @@
         self._nursery.start_soon(session.run)
 
     def _send_orders(self) -> None:
-        for worker_id, orders in self.book.take_orders().items():
+        for worker_id, orders in self.registry.take_orders().items():
             session = self._sessions.get(worker_id)
             if session is not None and session.is_held:
                 session.send(orders)
@@ -396,10 +398,10 @@
         self, specs: Sequence[JobSpec], commits: Sequence[Commit]
     ) -> None:
         for spec in specs:
-            self.book.accept(spec)
+            self.registry.accept(spec)
             log_event(Event.JOB_ACCEPTED, job=spec.job_id)
-        self.book.confirm(commits)
+        self.registry.confirm(commits)
         for commit in commits:
             if commit.record.kind is RecordKind.WORKER_ADDED:
-                self._open_session(self.book.workers[commit.record.worker_id])
+                self._open_session(self.registry.workers[commit.record.worker_id])
         self._wake()
--- a/trefoilhook/jobs/service.py
+++ b/trefoilhook/jobs/service.py
@@ -21,10 +21,10 @@
     JobView,
 )
 from trefoilhook.instances import WorkerRecord
-from trefoilhook.jobs.book import JobBook
+from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
-from trefoilhook.jobs.listing import WorkerSplit
+from trefoilhook.jobs.listing import WorkerPartition
 from trefoilhook.jobs.messages import WorkerAddress
 from trefoilhook.jobs.quotas import FindQuota, split_quota
 from trefoilhook.jobs.runner import ShardRunner
@@ -36,8 +36,8 @@
     Ownership,
     OwnershipChange,
     ShardKind,
-    find_shard,
-    name_shard,
+    format_shard_id,
+    hash_to_shard,
 )
 from trefoilhook.workers import WorkerClient
 
@@ -103,13 +103,13 @@
         self._clock = clock
         self._settings = settings
         self._shards = shards
-        self._split = WorkerSplit(shards=shards)
+        self._split = WorkerPartition(shards=shards)
         self._runners: dict[str, ShardRunner] = {}
         self._scopes: dict[str, trio.CancelScope] = {}
         self._changes = ownership.subscribe()
-        inner.handle(JobSubmit, self._handle_submit)
-        inner.handle(JobQuery, self._handle_query)
-        inner.handle(JobCancel, self._handle_cancel)
+        inner.register_handler(JobSubmit, self._handle_submit)
+        inner.register_handler(JobQuery, self._handle_query)
+        inner.register_handler(JobCancel, self._handle_cancel)
 
     async def run(self) -> None:
         """Run the shards owned by this instance until cancelled."""
@@ -152,7 +152,9 @@
             query = JobQuery(
                 team=team, kind=kind, after_job_id=after_job_id, limit=limit + 1
             )
-            page = await self._call_owner(name_shard(ShardKind.WORKER, index), query)
+            page = await self._call_owner(
+                format_shard_id(ShardKind.WORKER, index), query
+            )
             pages.append(list(page.jobs))
         merged = list(heapq.merge(*pages, key=lambda view: view.job_id))
         page_jobs = merged[:limit]
@@ -172,12 +174,12 @@
             found.extend(view.job_id for view in page.jobs)
         return found
 
-    def list_books(self) -> tuple[JobBook, ...]:
-        """Return the job books of the shards running on this instance."""
-        return tuple(runner.book for runner in self._runners.values())
+    def list_registries(self) -> tuple[JobRegistry, ...]:
+        """Return the job registries of the shards running on this instance."""
+        return tuple(runner.registry for runner in self._runners.values())
 
     def _find_shard(self, job_id: str) -> str:
-        return find_shard(ShardKind.WORKER, job_id.encode(), self._shards)
+        return hash_to_shard(ShardKind.WORKER, job_id.encode(), self._shards)
 
     def _apply_ownership_change(
         self, change: OwnershipChange, nursery: trio.Nursery
@@ -202,7 +204,7 @@
             shard_id=shard_id,
             epoch=epoch,
             owner_id=self._instance_id,
-            may_act=lambda: self._ownership.owns(shard_id) == epoch,
+            may_act=lambda: self._ownership.get_serving_epoch(shard_id) == epoch,
             journal=self._open_journal(shard_id, epoch),
             list_workers=lambda: self._list_shard_workers(shard_id),
             open_worker=self._open_worker,
@@ -261,10 +263,14 @@
         return reply
 
     def _find_runner(self, index: int) -> ShardRunner:
-        shard_id = name_shard(ShardKind.WORKER, index)
+        shard_id = format_shard_id(ShardKind.WORKER, index)
         runner = self._runners.get(shard_id)
         is_ready = runner is not None and runner.is_loaded
-        if runner is None or not is_ready or self._ownership.owns(shard_id) is None:
+        if (
+            runner is None
+            or not is_ready
+            or self._ownership.get_serving_epoch(shard_id) is None
+        ):
             message = f"{shard_id} is not owned by this instance"
             raise RequestError(message, code=ResultCode.NO_OWNER)
         return runner
@@ -288,21 +294,21 @@
         assert isinstance(query, JobQuery)
         runner = self._find_runner(query.shard)
         if query.job_id:
-            job = runner.book.jobs.get(query.job_id)
+            job = runner.registry.jobs.get(query.job_id)
             if job is None or job.spec.team != query.team:
                 return JobPage()
             explanation = runner.explain(job) if query.is_explained else ""
             return JobPage(jobs=[_build_view(job, explanation=explanation)])
         ids = sorted(
             job_id
-            for job_id, job in runner.book.jobs.items()
+            for job_id, job in runner.registry.jobs.items()
             if job.spec.team == query.team
             and (not query.kind or job.spec.kind.value == query.kind)
             and job_id > query.after_job_id
         )
         chosen = ids[: query.limit or 1]
         return JobPage(
-            jobs=[_build_view(runner.book.jobs[job_id]) for job_id in chosen]
+            jobs=[_build_view(runner.registry.jobs[job_id]) for job_id in chosen]
         )
 
     async def _handle_cancel(self, call: Call) -> JobPage:
@@ -312,11 +318,13 @@
         found = [
             job_id
             for job_id in message.job_ids
-            if (job := runner.book.jobs.get(job_id)) is not None
+            if (job := runner.registry.jobs.get(job_id)) is not None
             and job.spec.team == message.team
         ]
         runner.cancel(found)
-        return JobPage(jobs=[_build_view(runner.book.jobs[job_id]) for job_id in found])
+        return JobPage(
+            jobs=[_build_view(runner.registry.jobs[job_id]) for job_id in found]
+        )
 
 
 def _build_view(job: Job, *, explanation: str = "") -> JobView:
--- a/trefoilhook/jobs/sessions.py
+++ b/trefoilhook/jobs/sessions.py
@@ -18,9 +18,9 @@
 from trefoilhook.jobs.messages import (
     Order,
     OrderKind,
-    TaskNews,
     TaskRef,
     TaskStatus,
+    TaskUpdate,
     WorkerAddress,
 )
 from trefoilhook.jobs.settings import JobSettings
@@ -41,7 +41,7 @@
     "InventoryReceived",
     "UpdatesReceived",
     "SessionEvent",
-    "WorkerLeaseLapsed",
+    "WorkerLeaseExpired",
     "WorkerSession",
     "compose_epoch",
 ]
@@ -73,13 +73,13 @@
         Id of the worker.
     capacity : Resources
         Total capacity of the worker.
-    updates : tuple of TaskNews
+    updates : tuple of TaskUpdate
         State of all its tasks.
     """
 
     worker_id: str
     capacity: Resources
-    updates: tuple[TaskNews, ...]
+    updates: tuple[TaskUpdate, ...]
 
 
 @attrs.frozen(kw_only=True)
@@ -90,19 +90,19 @@
     ----------
     worker_id : str
         Id of the worker.
-    updates : tuple of TaskNews
+    updates : tuple of TaskUpdate
         Tasks that started, ended or were refused.
     report : UsageReport or None
         Latest usage report.
     """
 
     worker_id: str
-    updates: tuple[TaskNews, ...]
+    updates: tuple[TaskUpdate, ...]
     report: UsageReport | None = None
 
 
 @attrs.frozen(kw_only=True)
-class WorkerLeaseLapsed:
+class WorkerLeaseExpired:
     """A worker was unreachable for so long that its tasks have certainly stopped.
 
     Parameters
@@ -114,7 +114,7 @@
     worker_id: str
 
 
-SessionEvent = InventoryReceived | UpdatesReceived | WorkerLeaseLapsed
+SessionEvent = InventoryReceived | UpdatesReceived | WorkerLeaseExpired
 
 
 def compose_epoch(shard_epoch: int, generation: int) -> int:
@@ -174,7 +174,7 @@
         self._orders_queued = trio.Event()
         self._generation = 0
         self._last_sent_ms = -math.inf
-        self._is_lapse_reported = False
+        self._is_expiry_reported = False
         self.scope = trio.CancelScope()
         self.is_held = False
 
@@ -205,7 +205,7 @@
         """
         self._generation += 1
         first_attempt_ms = self._clock.monotonic_ms()
-        self._is_lapse_reported = False
+        self._is_expiry_reported = False
         while True:
             await self._wait_until_allowed()
             try:
@@ -213,13 +213,13 @@
             except FencedError:
                 raise
             except NotSentError:
-                await self._report_lapse_if_due()
+                await self._report_expiry_if_due()
             except LeaseLostError:
                 self._generation += 1
             except TrefoilhookError:
                 self._last_sent_ms = self._clock.monotonic_ms()
                 if self._last_sent_ms - first_attempt_ms >= self._settings.give_up_ms:
-                    await self._wait_for_lapse()
+                    await self._wait_for_expiry()
             else:
                 break
             await self._clock.sleep_ms(self._settings.renew_interval_ms)
@@ -238,31 +238,31 @@
     async def _request_lease(self) -> WorkerInventory:
         epoch = compose_epoch(self._shard_epoch, self._generation)
         ttl_ms = self._settings.worker_lease_ms
-        return await self._client.take_lease(self._owner_id, epoch, ttl_ms)
+        return await self._client.acquire_lease(self._owner_id, epoch, ttl_ms)
 
-    async def _wait_for_lapse(self) -> None:
+    async def _wait_for_expiry(self) -> None:
         """Send no requests until the worker's tasks have certainly stopped.
 
         A request whose response was lost may have acquired the lease, under which the
         tasks continue. Repeating it would keep the lease alive indefinitely, and the
         jobs could never be started on another worker.
         """
-        while not self._is_lapse_reported:
+        while not self._is_expiry_reported:
             await self._clock.sleep_ms(self._settings.renew_interval_ms)
-            await self._report_lapse_if_due()
+            await self._report_expiry_if_due()
 
-    async def _report_lapse_if_due(self) -> None:
+    async def _report_expiry_if_due(self) -> None:
         """Report once that all leases on the worker must have lapsed.
 
         The time is measured from the last message that could have extended a lease, or
         from the start of the session.
         """
         elapsed_ms = self._clock.monotonic_ms() - self._last_sent_ms
-        if self._is_lapse_reported or elapsed_ms < self._settings.lapse_ms:
+        if self._is_expiry_reported or elapsed_ms < self._settings.lease_expiry_ms:
             return
-        self._is_lapse_reported = True
+        self._is_expiry_reported = True
         log_event(Event.WORKER_LOST, worker=self._address.worker_id)
-        await self._events.send(WorkerLeaseLapsed(worker_id=self._address.worker_id))
+        await self._events.send(WorkerLeaseExpired(worker_id=self._address.worker_id))
 
     async def _wait_until_allowed(self) -> None:
         while not self._may_act():
@@ -315,7 +315,7 @@
         commands = [self._build_command(order) for order in batch]
         results = await self._client.command(epoch, commands)
         del self._orders[: len(batch)]
-        updates: list[TaskNews] = []
+        updates: list[TaskUpdate] = []
         for order, result in zip(batch, results, strict=True):
             update = self._convert_result(order, result)
             if update is not None:
@@ -324,7 +324,7 @@
             await self._publish_updates(tuple(updates), None)
 
     async def _publish_updates(
-        self, updates: tuple[TaskNews, ...], report: UsageReport | None
+        self, updates: tuple[TaskUpdate, ...], report: UsageReport | None
     ) -> None:
         await self._events.send(
             UpdatesReceived(
@@ -332,19 +332,19 @@
             )
         )
 
-    def _convert_result(self, order: Order, result: CommandResult) -> TaskNews | None:
+    def _convert_result(self, order: Order, result: CommandResult) -> TaskUpdate | None:
         if order.kind is OrderKind.START and result.status in _REFUSED_STATUSES:
-            return TaskNews(ref=order.ref, status=TaskStatus.REFUSED)
+            return TaskUpdate(ref=order.ref, status=TaskStatus.REFUSED)
         if order.kind is OrderKind.ACKNOWLEDGE or result.task is None:
             return None
         return self._convert_task(result.task)
 
-    def _convert_task(self, task: WorkerTask) -> TaskNews:
+    def _convert_task(self, task: WorkerTask) -> TaskUpdate:
         attempt = Attempt(epoch=task.attempt_epoch, sequence=task.attempt_sequence)
         ref = TaskRef(
             worker_id=self._address.worker_id, job_id=task.job_id, attempt=attempt
         )
-        update = TaskNews(
+        update = TaskUpdate(
             ref=ref,
             status=_STATUSES[task.state.value],
             checkpoint=task.checkpoint,
--- a/trefoilhook/jobs/settings.py
+++ b/trefoilhook/jobs/settings.py
@@ -59,7 +59,7 @@
     )
 
     @property
-    def lapse_ms(self) -> float:
+    def lease_expiry_ms(self) -> float:
         """Time after which an unreachable worker has stopped all tasks, in ms.
 
         A renewal in flight when contact was lost may arrive up to one lease duration
--- a/trefoilhook/jobs/tests/shard.py
+++ b/trefoilhook/jobs/tests/shard.py
@@ -34,7 +34,7 @@
     appends: int = 0
     is_down: bool = False
     # Applies only to appends that accept a job; a worker record may precede them.
-    answers_to_lose: int = 0
+    responses_to_drop: int = 0
 
 
 @attrs.define(kw_only=True)
@@ -56,8 +56,8 @@
         fresh = [record for record in records if repr(record) not in known]
         self.journal.records.extend(fresh)
         is_acceptance = any(r.kind is RecordKind.ACCEPTED for r in records)
-        if is_acceptance and self.journal.answers_to_lose:
-            self.journal.answers_to_lose -= 1
+        if is_acceptance and self.journal.responses_to_drop:
+            self.journal.responses_to_drop -= 1
             raise StoreUnavailableError("the response was lost")
 
     async def _wait(self):
--- a/trefoilhook/jobs/tests/test_bounds.py
+++ b/trefoilhook/jobs/tests/test_bounds.py
@@ -10,7 +10,7 @@
 from trefoilhook.jobs import JobRecord, JobState, RecordKind
 from trefoilhook.jobs.bounds import MAX_STORED_CHARACTERS, limit_update_size
 from trefoilhook.jobs.core import Attempt
-from trefoilhook.jobs.messages import TaskNews, TaskRef, TaskStatus
+from trefoilhook.jobs.messages import TaskRef, TaskStatus, TaskUpdate
 from trefoilhook.jobs.tests.shard import Shard, run_shard
 from trefoilhook.journal import JournalSettings, open_journal
 from trefoilhook.standins.virtual import VirtualStore, VirtualStoreClient
@@ -31,7 +31,7 @@
         )
         for status, checkpoint, result, expected, is_same in cases:
             with self.subTest(status=status, checkpoint=checkpoint, result=result):
-                update = TaskNews(
+                update = TaskUpdate(
                     ref=_REF,
                     status=status,
                     checkpoint="x" * checkpoint,
@@ -70,7 +70,7 @@
             payload = json.dumps({"run_ms": 10_000, "result": "x" * 2_000_000})
             await shard.submit(owner, "j1", payload=payload)
             await shard.sleep_s(15)
-            job = owner.runner.book.jobs["j1"]
+            job = owner.runner.registry.jobs["j1"]
             self.assertIs(job.state, JobState.ENDED)
             self.assertEqual(len(job.result), MAX_STORED_CHARACTERS)
 
--- a/trefoilhook/jobs/tests/test_event_sequences.py
+++ b/trefoilhook/jobs/tests/test_event_sequences.py
@@ -6,24 +6,24 @@
 
 from trefoilhook.instances import InstanceState
 from trefoilhook.jobs import JobState
-from trefoilhook.jobs.book import JobBook
+from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Attempt
-from trefoilhook.jobs.messages import OrderKind, TaskNews, TaskRef, TaskStatus
+from trefoilhook.jobs.messages import OrderKind, TaskRef, TaskStatus, TaskUpdate
 from trefoilhook.jobs.tests.shard import SETTINGS, Shard, build_spec, run_shard
 
 
 class StaleUpdateTest(unittest.TestCase):
     """A partitioned worker reconnects and reports an earlier attempt."""
 
-    def _build(self) -> tuple[JobBook, TaskRef]:
-        """Return a book whose job runs on w1, and a reference to its attempt on w0."""
-        book = JobBook(epoch=2)
-        book.accept(build_spec("j1"))
-        job = book.jobs["j1"]
+    def _build(self) -> tuple[JobRegistry, TaskRef]:
+        """Return a registry whose job runs on w1, and a ref to its attempt on w0."""
+        registry = JobRegistry(epoch=2)
+        registry.accept(build_spec("j1"))
+        job = registry.jobs["j1"]
         job.state, job.worker_id = JobState.RUNNING, "w1"
         job.attempt = Attempt(epoch=2, sequence=1)
         old = Attempt(epoch=1, sequence=9)
-        return book, TaskRef(worker_id="w0", job_id="j1", attempt=old)
+        return registry, TaskRef(worker_id="w0", job_id="j1", attempt=old)
 
     def test_earlier_attempt_does_not_end_the_present_one(self):
         # If the updates were applied to the current attempt, its resources would be
@@ -35,31 +35,33 @@
             (TaskStatus.EVICTED, OrderKind.ACKNOWLEDGE),
         ):
             with self.subTest(status=status):
-                book, ref = self._build()
-                update = TaskNews(ref=ref, status=status, checkpoint="early")
-                book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-                job = book.jobs["j1"]
+                registry, ref = self._build()
+                update = TaskUpdate(ref=ref, status=status, checkpoint="early")
+                registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+                job = registry.jobs["j1"]
                 self.assertEqual((job.state, job.worker_id), (JobState.RUNNING, "w1"))
                 self.assertEqual(job.checkpoint, "")
-                orders = [(each.kind, each.ref) for each in book.take_orders()["w0"]]
+                orders = [
+                    (each.kind, each.ref) for each in registry.take_orders()["w0"]
+                ]
                 self.assertEqual(orders, [(kind, ref)])
 
     def test_result_of_an_earlier_attempt_stops_the_present_one(self):
-        book, ref = self._build()
-        update = TaskNews(ref=ref, status=TaskStatus.FINISHED, result="done")
-        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-        self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
-        stops = [each.kind for each in book.take_orders()["w1"]]
+        registry, ref = self._build()
+        update = TaskUpdate(ref=ref, status=TaskStatus.FINISHED, result="done")
+        registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+        self.assertEqual(registry.jobs["j1"].state, JobState.ENDED)
+        stops = [each.kind for each in registry.take_orders()["w1"]]
         self.assertEqual(stops, [OrderKind.STOP])
 
     def test_attempt_of_an_ended_job_is_stopped(self):
-        book, ref = self._build()
-        book.jobs["j1"].state = JobState.ENDED
-        book.jobs["j1"].attempt = None
-        update = TaskNews(ref=ref, status=TaskStatus.RUNNING)
-        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-        self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
-        stops = [each.kind for each in book.take_orders()["w0"]]
+        registry, ref = self._build()
+        registry.jobs["j1"].state = JobState.ENDED
+        registry.jobs["j1"].attempt = None
+        update = TaskUpdate(ref=ref, status=TaskStatus.RUNNING)
+        registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+        self.assertEqual(registry.jobs["j1"].state, JobState.ENDED)
+        stops = [each.kind for each in registry.take_orders()["w0"]]
         self.assertEqual(stops, [OrderKind.STOP])
 
 
@@ -76,7 +78,7 @@
             owner.may_act = False
             await owner.runner.submit(build_spec("j2"))
             await shard.sleep_s(2.0 * SETTINGS.worker_lease_ms / 1000.0)
-            self.assertEqual(owner.runner.book.jobs["j2"].state, JobState.QUEUED)
+            self.assertEqual(owner.runner.registry.jobs["j2"].state, JobState.QUEUED)
             states = [start.state for start in shard.list_starts("j1")]
             self.assertEqual(states, ["stopped"])
             self.assertEqual(shard.list_starts("j2"), [])
@@ -93,7 +95,7 @@
             await shard.sleep_s(3)
             worker_id = shard.list_starts("j1")[0].worker_id
             first.scope.cancel()
-            shard.workers[worker_id].answers_to_lose = 1_000_000
+            shard.workers[worker_id].responses_to_drop = 1_000_000
             shard.start_owner("i1")
             await shard.sleep_s(120)
             starts = shard.list_starts("j1")
@@ -113,7 +115,7 @@
             await shard.sleep_s(60)
             shard.workers["w0"].is_cut = False
             await shard.sleep_s(60)
-            self.assertEqual(owner.runner.book.jobs["j1"].state, JobState.ENDED)
+            self.assertEqual(owner.runner.registry.jobs["j1"].state, JobState.ENDED)
             states = [start.state for start in shard.list_starts("j1")]
             self.assertEqual(states, ["stopped", "finished"])
 
@@ -132,7 +134,7 @@
             await shard.sleep_s(60)
             self.assertEqual(len(shard.list_starts("j1")), 1)
             self.assertEqual(shard.find_overlaps(), [])
-            self.assertEqual(owner.runner.book.jobs["j1"].state, JobState.ENDED)
+            self.assertEqual(owner.runner.registry.jobs["j1"].state, JobState.ENDED)
 
         run_shard(scenario, workers=1)
 
@@ -168,6 +170,6 @@
             await shard.submit(second, "j2")
             await shard.sleep_s(20)
             self.assertEqual(shard.list_starts("j2"), [])
-            self.assertEqual(second.runner.book.jobs["j1"].state, JobState.RUNNING)
+            self.assertEqual(second.runner.registry.jobs["j1"].state, JobState.RUNNING)
 
         run_shard(scenario, workers=1)
--- a/trefoilhook/jobs/tests/test_runner.py
+++ b/trefoilhook/jobs/tests/test_runner.py
@@ -28,7 +28,7 @@
             )
 
     def _assert_ended(self, owner, job_id: str, code: ResultCode) -> None:
-        job = owner.runner.book.jobs[job_id]
+        job = owner.runner.registry.jobs[job_id]
         self.assertEqual(job.state, JobState.ENDED)
         self.assertEqual(ResultCode.from_number(job.result_number), code, job.detail)
 
@@ -129,7 +129,7 @@
             starts = shard.list_starts("j1")
             self.assertEqual(len(starts), 2)
             gap_ms = starts[1].started_ms - starts[0].started_ms
-            self.assertGreaterEqual(gap_ms, SETTINGS.lapse_ms)
+            self.assertGreaterEqual(gap_ms, SETTINGS.lease_expiry_ms)
             self._check(shard)
 
         run_shard(scenario)
@@ -145,7 +145,7 @@
             await shard.sleep_s(3)
             worker_id = shard.list_starts("j1")[0].worker_id
             shard.workers[worker_id].is_cut = True
-            await shard.sleep_s(SETTINGS.lapse_ms / 1000.0 + 20)
+            await shard.sleep_s(SETTINGS.lease_expiry_ms / 1000.0 + 20)
             first, second = shard.list_starts("j1")
             self.assertEqual((first.state, second.state), ("finished", "finished"))
             self.assertLess(first.ended_ms, second.started_ms)
@@ -165,7 +165,7 @@
             await shard.sleep_s(3)
             worker = shard.workers[shard.list_starts("j1")[0].worker_id]
             worker.is_cut = True
-            await shard.sleep_s(SETTINGS.lapse_ms / 1000.0 + 20)
+            await shard.sleep_s(SETTINGS.lease_expiry_ms / 1000.0 + 20)
             worker.is_cut = False
             await shard.sleep_s(20)
             (start,) = shard.list_starts("j1")
@@ -274,9 +274,9 @@
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             for number in range(6):
-                shard.journal.answers_to_lose = 1
+                shard.journal.responses_to_drop = 1
                 for worker in shard.workers.values():
-                    worker.answers_to_lose = 1
+                    worker.responses_to_drop = 1
                 error = await read_error(shard.submit(owner, f"j{number}"))
                 self.assertEqual(error and error.code, ResultCode.COMMIT_UNKNOWN)
                 await shard.sleep_s(1)
@@ -300,7 +300,7 @@
             self.assertEqual(error.code.outcome, Outcome.NOT_RUN)
             shard.journal.is_down = False
             await shard.sleep_s(30)
-            self.assertNotIn("j1", owner.runner.book.jobs)
+            self.assertNotIn("j1", owner.runner.registry.jobs)
             self.assertEqual(shard.list_starts("j1"), [])
 
         run_shard(scenario)
@@ -316,7 +316,7 @@
             owner.runner.cancel(names)
             await shard.sleep_s(5)
             self.assertLessEqual(shard.journal.appends - before, 4)
-            codes = {owner.runner.book.jobs[name].result_number for name in names}
+            codes = {owner.runner.registry.jobs[name].result_number for name in names}
             wanted = {ResultCode.CANCELLED, ResultCode.CANCELLED_UNSTARTED}
             self.assertEqual(codes, {code.number for code in wanted})
             running = [r for n in names for r in shard.list_starts(n) if not r.ended_ms]
@@ -331,11 +331,11 @@
             await shard.submit(owner, "j1", resources=size)
             await shard.sleep_s(5)
             self._assert_ended(owner, "j1", ResultCode.IMPOSSIBLE_JOB)
-            self.assertIn("cores", owner.runner.book.jobs["j1"].detail)
+            self.assertIn("cores", owner.runner.registry.jobs["j1"].detail)
             error = await read_error(shard.submit(owner, "j2", resources=size))
             self.assertEqual(error and error.code, ResultCode.IMPOSSIBLE_JOB)
             self.assertIn("cores", str(error))
-            self.assertNotIn("j2", owner.runner.book.jobs)
+            self.assertNotIn("j2", owner.runner.registry.jobs)
 
         run_shard(scenario)
 
@@ -376,11 +376,11 @@
             for number in range(6):
                 await shard.submit(owner, f"j{number}")
             await shard.sleep_s(5)
-            held = sum(w.state.held.cores for w in shard.workers.values())
+            held = sum(w.state.reserved_resources.cores for w in shard.workers.values())
             self.assertEqual(held, 3.0)
             waiting = next(
                 job
-                for job in owner.runner.book.jobs.values()
+                for job in owner.runner.registry.jobs.values()
                 if job.state is JobState.QUEUED
             )
             self.assertIn("quota", owner.runner.explain(waiting))
@@ -409,11 +409,11 @@
         # without bound.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
-            owner.runner.book.kept_ended = 3
+            owner.runner.registry.kept_ended = 3
             for number in range(8):
                 await shard.submit(owner, f"j{number}", run_ms=1_000)
             await shard.sleep_s(30)
-            names = sorted(owner.runner.book.jobs)
+            names = sorted(owner.runner.registry.jobs)
             self.assertEqual(names, ["j5", "j6", "j7"])
 
         run_shard(scenario)
--- a/trefoilhook/jobs/tests/test_scaling.py
+++ b/trefoilhook/jobs/tests/test_scaling.py
@@ -4,9 +4,9 @@
 from unittest import mock
 
 from trefoilhook.instances import WorkerRecord
-from trefoilhook.jobs import JobBook, JobState, runner
-from trefoilhook.jobs.listing import WorkerSplit
-from trefoilhook.jobs.messages import TaskNews, TaskStatus
+from trefoilhook.jobs import JobRegistry, JobState, runner
+from trefoilhook.jobs.listing import WorkerPartition
+from trefoilhook.jobs.messages import TaskStatus, TaskUpdate
 from trefoilhook.jobs.pace import PlacementTimer
 from trefoilhook.jobs.tests.shard import (
     CAPACITY,
@@ -55,7 +55,7 @@
     def test_worker_list_is_partitioned_once_per_refresh(self):
         # If each step of each shard hashed the rack of every listed worker, jobs would
         # start seconds late on a large fleet.
-        split = WorkerSplit(shards=_SHARDS)
+        split = WorkerPartition(shards=_SHARDS)
         listing = _build_listing(40)
         _CountingList.readings = 0
         parts = [split.select(listing, f"wrk-{n:03d}") for n in range(4)] * 5
@@ -69,29 +69,29 @@
     def test_jobs_of_a_worker_are_found_without_a_full_scan(self):
         # If each worker's inventory were compared with all jobs of the shard, the jobs
         # would stall for seconds after a takeover.
-        book = self._start_jobs()
-        book.jobs = _UnscannableJobs(book.jobs)
-        book.apply_inventory("w0", (), **_TIMES)
-        book.lose_worker("w1", **_TIMES)
-        states = {job_id: book.jobs[job_id].state for job_id in book.jobs}
+        registry = self._start_jobs()
+        registry.jobs = _UnscannableJobs(registry.jobs)
+        registry.apply_inventory("w0", (), **_TIMES)
+        registry.handle_worker_loss("w1", **_TIMES)
+        states = {job_id: registry.jobs[job_id].state for job_id in registry.jobs}
         queued = {job_id for job_id, s in states.items() if s is JobState.QUEUED}
         self.assertEqual(queued, {"j0", "j1", "j3", "j4"})
 
     def test_jobs_that_left_a_worker_are_not_lost_with_it(self):
         # A job finishes on a worker, or moves to another, and then the worker is lost.
         # The job must not be restarted while it is finished or runs elsewhere.
-        book = self._start_jobs()
-        refs = [o.ref for orders in book.take_orders().values() for o in orders]
+        registry = self._start_jobs()
+        refs = [o.ref for orders in registry.take_orders().values() for o in orders]
         by_job = {ref.job_id: ref for ref in refs}
         for name, status in (("j0", TaskStatus.FINISHED), ("j3", TaskStatus.REFUSED)):
-            book.apply_news(TaskNews(ref=by_job[name], status=status), **_TIMES)
-        spec = book.jobs["j3"].spec
-        book.placement.reserve(spec.build_shape(), "w2", 0.0)
-        book.start(book.jobs["j3"], "w2", 0.0)
-        book.lose_worker("w0", **_TIMES)
-        self.assertEqual(book.jobs["j0"].state, JobState.ENDED)
-        self.assertEqual(book.jobs["j3"].state, JobState.STARTING)
-        self.assertEqual(book.jobs["j3"].worker_id, "w2")
+            registry.apply_update(TaskUpdate(ref=by_job[name], status=status), **_TIMES)
+        spec = registry.jobs["j3"].spec
+        registry.placement.reserve(spec.build_shape(), "w2", 0.0)
+        registry.start(registry.jobs["j3"], "w2", 0.0)
+        registry.handle_worker_loss("w0", **_TIMES)
+        self.assertEqual(registry.jobs["j0"].state, JobState.ENDED)
+        self.assertEqual(registry.jobs["j3"].state, JobState.STARTING)
+        self.assertEqual(registry.jobs["j3"].worker_id, "w2")
 
     def test_placement_timer(self):
         cases = (
@@ -150,9 +150,9 @@
 
         run_shard(scenario)
 
-    def _start_jobs(self) -> JobBook:
-        """Start six jobs, two on each of three workers, and return the job book."""
-        book = JobBook(epoch=1)
+    def _start_jobs(self) -> JobRegistry:
+        """Start six jobs, two on each of three workers, and return the job registry."""
+        registry = JobRegistry(epoch=1)
         for number in range(3):
             capacity = Resources(cores=4.0, memory_bytes=8_000, accelerators=0)
             shape = WorkerShape(
@@ -161,11 +161,11 @@
                 failure_domain="a",
                 capacity=capacity,
             )
-            book.placement.add_worker(shape)
+            registry.placement.add_worker(shape)
         for number in range(6):
             spec = build_spec(f"j{number}")
-            book.accept(spec)
+            registry.accept(spec)
             worker_id = f"w{number % 3}"
-            book.placement.reserve(spec.build_shape(), worker_id, 0.0)
-            book.start(book.jobs[spec.job_id], worker_id, 0.0)
-        return book
+            registry.placement.reserve(spec.build_shape(), worker_id, 0.0)
+            registry.start(registry.jobs[spec.job_id], worker_id, 0.0)
+        return registry
--- a/trefoilhook/journal/core.py
+++ b/trefoilhook/journal/core.py
@@ -37,8 +37,8 @@
     ConflictError,
     StoreClient,
     StoreEntry,
-    build_nonce,
-    swap_reading_back,
+    generate_nonce,
+    swap_with_read_back,
 )
 
 __all__ = ["Journal", "open_journal"]
@@ -231,7 +231,7 @@
     async def _seal(self, stored: _StoredPage) -> None:
         self._check_epoch(stored.page.epoch)
         while True:
-            page = attrs.evolve(stored.page, epoch=self._epoch, nonce=build_nonce())
+            page = attrs.evolve(stored.page, epoch=self._epoch, nonce=generate_nonce())
             try:
                 stored.revision = await self._swap(
                     stored.key, encode_page(page), stored.revision
@@ -270,7 +270,7 @@
     async def _create_page(
         self, key: str, records: tuple[JobRecord, ...]
     ) -> _StoredPage:
-        page = Page(epoch=self._epoch, nonce=build_nonce(), records=records)
+        page = Page(epoch=self._epoch, nonce=generate_nonce(), records=records)
         value = encode_page(page)
         revision = await self._swap(key, value, 0)
         return _StoredPage(key=key, page=page, revision=revision, size=len(value))
@@ -285,7 +285,7 @@
         one of them takes effect, and on conflict the nonce identifies which.
         """
         while True:
-            page = Page(epoch=self._epoch, nonce=build_nonce(), records=records)
+            page = Page(epoch=self._epoch, nonce=generate_nonce(), records=records)
             value = encode_page(page)
             try:
                 revision = await self._swap(stored.key, value, stored.revision)
@@ -344,7 +344,7 @@
         )
         self._compactions += 1
         generation = name_generation(
-            epoch=self._epoch, number=self._compactions, nonce=build_nonce()
+            epoch=self._epoch, number=self._compactions, nonce=generate_nonce()
         )
         new_pages: list[_StoredPage] = []
         chunks = self._split_records(records, limit_bytes=_COMPACTED_PAGE_BYTES)
@@ -387,7 +387,7 @@
         return chunks
 
     async def _swap(self, key: str, value: bytes, expected_revision: int) -> int:
-        return await swap_reading_back(
+        return await swap_with_read_back(
             self._store,
             key,
             value,
--- a/trefoilhook/journal/head.py
+++ b/trefoilhook/journal/head.py
@@ -8,7 +8,7 @@
 from trefoilhook.store import (
     ConflictError,
     StoreClient,
-    build_nonce,
+    generate_nonce,
 )
 
 __all__ = ["JournalHead", "SwapFunction"]
@@ -76,7 +76,7 @@
         StoreUnavailableError
             If the outcome of the change is unknown; call `resolve` to determine it.
         """
-        head = Head(epoch=self._epoch, nonce=build_nonce(), generation=generation)
+        head = Head(epoch=self._epoch, nonce=generate_nonce(), generation=generation)
         try:
             revision = await self._swap(self._key, encode_head(head), self._revision)
         except ConflictError as conflict:
--- a/trefoilhook/journal/tests/test_journal.py
+++ b/trefoilhook/journal/tests/test_journal.py
@@ -122,7 +122,7 @@
             client = VirtualStoreClient(store=self.store)
             journal = self._open(1, client)
             await journal.load()
-            client.answers_to_lose = 1
+            client.responses_to_drop = 1
             with self.assertRaises(StoreUnavailableError):
                 await journal.append([_record("j1")])
             await journal.append([_record("j1"), _record("j2")])
@@ -217,7 +217,7 @@
                 client = _HeadResponseDroppingClient(store=self.store)
                 journal = self._open(1, client)
                 await journal.load()
-                client.responses_to_drop = lost
+                client.head_responses_to_drop = lost
                 client.is_late = is_late
                 confirmed = []
                 for number in range(40):
@@ -225,7 +225,7 @@
                     with contextlib.suppress(StoreUnavailableError):
                         await journal.append([_record(name, result="x" * 300)])
                         confirmed.append(name)
-                self.assertEqual(client.responses_to_drop, 0)
+                self.assertEqual(client.head_responses_to_drop, 0)
                 self.assertGreater(len(confirmed), 36)
                 names = _names(await self._open(2).load())
                 self.assertLessEqual(set(confirmed), set(names))
@@ -240,8 +240,8 @@
             client = _HeadResponseDroppingClient(store=self.store)
             journal = self._open(1, client)
             await journal.load()
-            client.responses_to_drop = 1
-            while client.responses_to_drop:
+            client.head_responses_to_drop = 1
+            while client.head_responses_to_drop:
                 await journal.append([_record("a", result="x" * 270)])
             self.assertLess(journal._pages[-1].size, _SMALL.page_bytes)
             client.is_compaction_blocked = True
@@ -257,8 +257,8 @@
             client = _HeadResponseDroppingClient(store=self.store)
             journal = self._open(1, client)
             await journal.load()
-            client.responses_to_drop = 1
-            while client.responses_to_drop:
+            client.head_responses_to_drop = 1
+            while client.head_responses_to_drop:
                 await journal.append([_record("a", result="x" * 1_100)])
             client.is_cut = True
             with self.assertRaises(StoreUnsentError):
@@ -285,8 +285,8 @@
             client = _HeadResponseDroppingClient(store=self.store)
             first = self._open(1, client)
             await first.load()
-            client.responses_to_drop = int(is_head_lost)
-            while client.responses_to_drop:
+            client.head_responses_to_drop = int(is_head_lost)
+            while client.head_responses_to_drop:
                 await first.append([_record("a", result="x" * 1_100)])
             second = self._open(1)
             await second.load()
@@ -407,7 +407,7 @@
 class _HeadResponseDroppingClient(VirtualStoreClient):
     """Drops responses to head changes; late changes take effect after 5 ms."""
 
-    responses_to_drop = 0
+    head_responses_to_drop = 0
     is_late = False
     is_compaction_blocked = False
 
@@ -415,10 +415,10 @@
         is_first_page = key.endswith("/000000") and not more["expected_revision"]
         if self.is_compaction_blocked and is_first_page:
             raise StoreUnsentError("writes of new generations are blocked")
-        is_lost = self.responses_to_drop and key.endswith("/head")
+        is_lost = self.head_responses_to_drop and key.endswith("/head")
         if not is_lost:
             return await super().swap(key, value, **more)
-        self.responses_to_drop -= 1
+        self.head_responses_to_drop -= 1
         if self.is_late:
             trio.lowlevel.spawn_system_task(self._swap_late, key, value, more)
         else:
--- a/trefoilhook/logs/core.py
+++ b/trefoilhook/logs/core.py
@@ -8,7 +8,7 @@
 import attrs
 from loguru import logger
 
-from trefoilhook.logs.events import DECISIONS, Event
+from trefoilhook.logs.events import DECISION_EVENTS, Event
 
 __all__ = [
     "EventRateLimiter",
@@ -24,8 +24,8 @@
 """Rate limit of each event that reports a state; excess lines are only counted."""
 
 _MAX_LINES_PER_DECISION_PER_S = 1000
-"""Rate limit of each event in `DECISIONS`, which no later line repeats. An owner of 250
-workers starts about 480 tasks per second; a line takes 210 bytes and 18 us."""
+"""Rate limit of each event in `DECISION_EVENTS`, which no later line repeats. An owner
+of 250 workers starts about 480 tasks per second; a line takes 210 bytes and 18 us."""
 
 
 @attrs.define(kw_only=True)
@@ -72,7 +72,7 @@
 def _get_limit(event: Event) -> int:
     return (
         _MAX_LINES_PER_DECISION_PER_S
-        if event in DECISIONS
+        if event in DECISION_EVENTS
         else _MAX_LINES_PER_EVENT_PER_S
     )
 
--- a/trefoilhook/logs/dependencies.py
+++ b/trefoilhook/logs/dependencies.py
@@ -11,7 +11,7 @@
 from trefoilhook.logs.core import log_event
 from trefoilhook.logs.events import Event
 
-__all__ = ["CallFailure", "DependencyLog"]
+__all__ = ["CallFailure", "OutageLog"]
 
 _MIN_LOSS_INTERVAL_MS = 1000.0
 """Minimum interval between two logged outages. A dependency that fails every other call
@@ -31,7 +31,7 @@
     RATE_LIMITED = "rate limited"
     """Rejected because of a rate limit: the call had no effect."""
 
-    TURNED_AWAY = "turned away"
+    UNAVAILABLE = "turned away"
     """Rejected by a service that is unavailable: the call had no effect."""
 
     INTERNAL = "internal error"
@@ -40,7 +40,7 @@
     UNREADABLE = "unreadable"
     """The response can't be decoded: the effect is unknown."""
 
-    REFUSED = "refused"
+    INVALID_CALL = "refused"
     """The service rejected the call as invalid."""
 
 
@@ -53,7 +53,7 @@
     is_logged: bool = False
 
 
-class DependencyLog:
+class OutageLog:
     """Logs the outages of one dependency, as observed by this process.
 
     An outage starts with the first call that fails and ends with the next that is
@@ -63,7 +63,7 @@
     ----------
     clock : Clock
         Source of time.
-    lost, regained : Event
+    started_event, ended_event : Event
         Events logged at the start and at the end of an outage.
     subject : dict of str to str, optional
         Fields that identify the dependency among several of its kind.
@@ -83,14 +83,14 @@
         self,
         *,
         clock: Clock,
-        lost: Event,
-        regained: Event,
+        started_event: Event,
+        ended_event: Event,
         subject: dict[str, str] | None = None,
         write: Callable[..., None] = log_event,
     ) -> None:
         self._clock = clock
-        self._lost = lost
-        self._regained = regained
+        self._lost = started_event
+        self._regained = ended_event
         self._subject = subject or {}
         self._write = write
         self._outage: _Outage | None = None
--- a/trefoilhook/logs/events.py
+++ b/trefoilhook/logs/events.py
@@ -5,7 +5,7 @@
 
 import enum
 
-__all__ = ["DECISIONS", "Event", "Level"]
+__all__ = ["DECISION_EVENTS", "Event", "Level"]
 
 
 class Level(enum.Enum):
@@ -142,7 +142,7 @@
         self.description = description
 
 
-DECISIONS = frozenset(
+DECISION_EVENTS = frozenset(
     {
         Event.SHARD_CLAIMED,
         Event.SHARD_RELEASED,
--- a/trefoilhook/logs/tests/test_dependencies.py
+++ b/trefoilhook/logs/tests/test_dependencies.py
@@ -3,10 +3,10 @@
 import unittest
 
 from trefoilhook.clock import ManualTime, build_manual_clock
-from trefoilhook.logs import CallFailure, DependencyLog, Event
+from trefoilhook.logs import CallFailure, Event, OutageLog
 
 NO_ANSWER = CallFailure.NO_ANSWER
-TURNED_AWAY = CallFailure.TURNED_AWAY
+UNAVAILABLE = CallFailure.UNAVAILABLE
 
 
 class _Log:
@@ -15,10 +15,10 @@
     def __init__(self, **fields) -> None:
         self.time = ManualTime()
         self.lines: list[tuple[str, dict]] = []
-        self.log = DependencyLog(
+        self.log = OutageLog(
             clock=build_manual_clock(self.time),
-            lost=Event.STORE_DOWN,
-            regained=Event.STORE_BACK,
+            started_event=Event.STORE_DOWN,
+            ended_event=Event.STORE_BACK,
             write=lambda event, **logged: self.lines.append((event.name, logged)),
             **fields,
         )
@@ -62,7 +62,7 @@
             (
                 "turned away, then silent: one outage",
                 [
-                    (5, "get", TURNED_AWAY, 4),
+                    (5, "get", UNAVAILABLE, 4),
                     (900, "get", NO_ANSWER, 6),
                     (990, "get", None, 9),
                 ],
@@ -76,9 +76,9 @@
             (
                 "a watch from before it was away is answered meanwhile",
                 [
-                    (5, "a", TURNED_AWAY, 4),
+                    (5, "a", UNAVAILABLE, 4),
                     (9, "watch", None, 1),
-                    (2000, "c", TURNED_AWAY, 1900),
+                    (2000, "c", UNAVAILABLE, 1900),
                 ],
                 [down],
             ),
@@ -103,7 +103,7 @@
         log.play(
             (1000, "get", None, 990),
             (3000, "watch", NO_ANSWER, 2000),
-            (3100, "commit", TURNED_AWAY, 3050),
+            (3100, "commit", UNAVAILABLE, 3050),
             (3200, "watch", NO_ANSWER, 3000),
             (7000, "get", None, 6990),
         )
--- a/trefoilhook/membership/core.py
+++ b/trefoilhook/membership/core.py
@@ -42,7 +42,7 @@
 
 _PROMISE_REQUEST_FRACTION = 1 / 6
 _DECLARED_GONE_PREFIX = "root/gone/"
-_DEAD_PEER_STATES = frozenset({PeerState.REFUSED, PeerState.STRANGER})
+_DEAD_PEER_STATES = frozenset({PeerState.REFUSED, PeerState.IDENTITY_MISMATCH})
 
 
 class Membership:
@@ -103,8 +103,8 @@
         self._update_peers()
         inner.set_heartbeat_source(self.build_heartbeat)
         inner.on_heartbeat(self.receive_heartbeat)
-        inner.handle(PromiseRequest, self._answer_promise)
-        inner.handle(AttestRequest, self._answer_attest)
+        inner.register_handler(PromiseRequest, self._answer_promise)
+        inner.register_handler(AttestRequest, self._answer_attest)
 
     @property
     def instance_id(self) -> str:
@@ -209,7 +209,7 @@
         The proof comes from its address, or from an operator's declaration: instances
         cannot tell a machine without power from one that is unreachable.
         """
-        if self._inner.peer_state(instance_id) in _DEAD_PEER_STATES:
+        if self._inner.get_peer_state(instance_id) in _DEAD_PEER_STATES:
             return True
         return self._is_declared_gone(instance_id)
 
@@ -274,7 +274,7 @@
             nursery.start_soon(self._maintain_lease)
             nursery.start_soon(self.follower.run)
             nursery.start_soon(self._request_promises)
-            await self.follower.wait_filled()
+            await self.follower.wait_loaded()
             task_status.started()
 
     async def announce_leaving(self) -> None:
@@ -381,7 +381,7 @@
             for address, at_ms in self._last_listed_ms.items()
             if at_ms >= oldest_ms
         }
-        seeds = () if self.follower.is_filled else self._seeds
+        seeds = () if self.follower.is_loaded else self._seeds
         self._inner.set_peers({*self._last_listed_ms, *self._probed_addresses, *seeds})
 
     def probe(self, addresses: Iterable[PeerAddress]) -> None:
@@ -402,7 +402,7 @@
         while True:
             await self._clock.sleep_ms(interval_ms)
             self._update_peers()
-            if self._health.is_reachable or not self.follower.is_filled:
+            if self._health.is_reachable or not self.follower.is_loaded:
                 continue
             async with trio.open_nursery() as nursery:
                 for member in self._list_other_members():
--- a/trefoilhook/membership/follower.py
+++ b/trefoilhook/membership/follower.py
@@ -77,14 +77,14 @@
         self._filled = trio.Event()
         self._subscribers: list[trio.MemorySendChannel[MirrorChanged]] = []
         self.mirror = Mirror()
-        inner.handle(SnapshotRequest, self._answer_snapshot)
+        inner.register_handler(SnapshotRequest, self._answer_snapshot)
 
     @property
-    def is_filled(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the mirror has been read once, from the store or from a peer."""
         return self._filled.is_set()
 
-    async def wait_filled(self) -> None:
+    async def wait_loaded(self) -> None:
         """Wait until the mirror has been read once."""
         await self._filled.wait()
 
@@ -137,7 +137,7 @@
                 )
             except StoreError as error:
                 log_event(Event.WATCH_SILENT, reason=str(error))
-                if not self.is_filled:
+                if not self.is_loaded:
                     self._pull_requested.set()
                 await self._clock.sleep_ms(self._settings.pull_after_ms)
                 continue
@@ -157,7 +157,7 @@
             if page.next_key is None:
                 break
             after_key = page.next_key
-        self.mirror.replace(entries, revision=revision)
+        self.mirror.apply_listing(entries, revision=revision)
         self._filled.set()
         self._publish_change()
         return revision
@@ -181,7 +181,7 @@
         while True:
             await self._pull_requested.wait()
             self._pull_requested = trio.Event()
-            if self.is_filled:
+            if self.is_loaded:
                 # In most cases this instance's watch delivers the change meanwhile.
                 await self._clock.sleep_ms(self._settings.pull_after_ms)
             for peer_id in self._list_pull_sources():
@@ -189,7 +189,7 @@
                     break
 
     def _list_pull_sources(self) -> list[str]:
-        if not self.is_filled:
+        if not self.is_loaded:
             return [*self._peers_ahead, *self._seed_ids]
         own_revision = self.mirror.revision
         return [peer for peer, at in self._peers_ahead.items() if at > own_revision]
--- a/trefoilhook/membership/mirror.py
+++ b/trefoilhook/membership/mirror.py
@@ -114,7 +114,7 @@
         self.revision = max(self.revision, revision)
         return known is not None
 
-    def replace(self, entries: Iterable[MirrorEntry], *, revision: int) -> bool:
+    def apply_listing(self, entries: Iterable[MirrorEntry], *, revision: int) -> bool:
         """Apply a complete listing; return False if nothing changed.
 
         A listing may be older than an own write already applied. If the listing were
@@ -148,7 +148,7 @@
         if snapshot.revision <= self.revision:
             return False
         if snapshot.is_whole:
-            self.replace(snapshot.entries, revision=snapshot.revision)
+            self.apply_listing(snapshot.entries, revision=snapshot.revision)
         for key in snapshot.deleted_keys:
             self.apply_deletion(key, snapshot.revision)
         for entry in snapshot.entries:
--- a/trefoilhook/membership/tests/test_mirror.py
+++ b/trefoilhook/membership/tests/test_mirror.py
@@ -30,8 +30,8 @@
             "change": lambda m: m.apply_change(old),
             "same change": lambda m: m.apply_change(_entry(5)),
             "deletion": lambda m: m.apply_deletion(_KEY, 4),
-            "listing": lambda m: m.replace([old], revision=4),
-            "empty listing": lambda m: m.replace([], revision=4),
+            "listing": lambda m: m.apply_listing([old], revision=4),
+            "empty listing": lambda m: m.apply_listing([], revision=4),
             "snapshot": lambda m: m.apply_snapshot(
                 Snapshot(revision=4, entries=(old,), is_whole=True)
             ),
@@ -48,7 +48,7 @@
         # A listing at an older revision lacks later writes. If it replaced the mirror,
         # it would remove a member that has just joined.
         mirror = _fill(_entry(3), _entry(7, _OTHER))
-        self.assertFalse(mirror.replace([_entry(3)], revision=6))
+        self.assertFalse(mirror.apply_listing([_entry(3)], revision=6))
         self.assertEqual(mirror.get(_OTHER), _entry(7, _OTHER))
         snapshot = Snapshot(revision=6, entries=(_entry(3),), is_whole=True)
         self.assertFalse(mirror.apply_snapshot(snapshot))
@@ -60,7 +60,7 @@
         # instance's change at 17 and a deletion, as the watch continues from 18.
         mirror = _fill(_entry(3), _entry(4, _OTHER))
         mirror.put_if_newer(_entry(20, "root/shards"))
-        self.assertTrue(mirror.replace([_entry(17)], revision=18))
+        self.assertTrue(mirror.apply_listing([_entry(17)], revision=18))
         self.assertEqual(mirror.get(_KEY), _entry(17))
         self.assertIsNone(mirror.get(_OTHER))
         self.assertEqual(mirror.get("root/shards"), _entry(20, "root/shards"))
@@ -87,7 +87,7 @@
         # replaced watch. Applied, it would put the team back in force.
         for name, apply in {
             "deletion": lambda m: m.apply_deletion(_KEY, 6),
-            "listing without it": lambda m: m.replace([], revision=6),
+            "listing without it": lambda m: m.apply_listing([], revision=6),
             "whole snapshot without it": lambda m: m.apply_snapshot(
                 Snapshot(revision=6, entries=(), is_whole=True)
             ),
--- a/trefoilhook/metrics/core.py
+++ b/trefoilhook/metrics/core.py
@@ -12,10 +12,10 @@
 from trefoilhook import __version__
 from trefoilhook.metrics.instruments import Instrument, Kind
 
-__all__ = ["MAX_SERIES", "Metrics", "ReadGauge"]
+__all__ = ["MAX_SERIES", "Metrics", "ReadValues"]
 
 #: Returns the current values of an instrument, keyed by its attribute values in order.
-ReadGauge = Callable[[], dict[tuple[str, ...], float]]
+ReadValues = Callable[[], dict[tuple[str, ...], float]]
 
 #: Maximum number of series of one instrument; further ones share an overflow series.
 MAX_SERIES = 200
@@ -83,7 +83,7 @@
         self._meter = self._provider.get_meter("trefoilhook", __version__)
         self._totals: dict[Instrument, dict[tuple[str, ...], float]] = {}
         self._histograms: dict[Instrument, Histogram] = {}
-        self._counter_sources: dict[Instrument, ReadGauge] = {}
+        self._counter_sources: dict[Instrument, ReadValues] = {}
         self._build_instruments()
 
     def add(self, instrument: Instrument, amount: int = 1, *values: str) -> None:
@@ -118,7 +118,7 @@
         attributes = _build_attributes(instrument, values)
         self._histograms[instrument].record(duration_ms / _MS_PER_S, attributes)
 
-    def watch(self, instrument: Instrument, read: ReadGauge) -> None:
+    def register_gauge(self, instrument: Instrument, read: ReadValues) -> None:
         """Register the callback of a gauge, at most once for each gauge."""
         spec = instrument.value
         self._meter.create_observable_gauge(
@@ -128,7 +128,7 @@
             description=spec.description,
         )
 
-    def follow(self, instrument: Instrument, read: ReadGauge) -> None:
+    def register_counter_source(self, instrument: Instrument, read: ReadValues) -> None:
         """Read the totals of a counter from ``read`` instead of those kept by `add`."""
         self._counter_sources[instrument] = read
 
@@ -167,7 +167,7 @@
                     explicit_bucket_boundaries_advisory=_DURATION_BOUNDS_S,
                 )
 
-    def _build_counter_reader(self, instrument: Instrument) -> ReadGauge:
+    def _build_counter_reader(self, instrument: Instrument) -> ReadValues:
         def read() -> dict[tuple[str, ...], float]:
             source = self._counter_sources.get(instrument)
             return dict(self._totals[instrument]) if source is None else source()
@@ -176,7 +176,7 @@
 
 
 def _build_callback(
-    instrument: Instrument, read: ReadGauge
+    instrument: Instrument, read: ReadValues
 ) -> Callable[[CallbackOptions], Iterable[Observation]]:
     def observe(_: CallbackOptions) -> Iterable[Observation]:
         for values, value in read().items():
--- a/trefoilhook/metrics/tests/test_metrics.py
+++ b/trefoilhook/metrics/tests/test_metrics.py
@@ -33,7 +33,9 @@
             elif instrument.value.kind is Kind.HISTOGRAM:
                 metrics.record(instrument, 30.0, *values)
             else:
-                metrics.watch(instrument, lambda values=values: {tuple(values): 3.0})
+                metrics.register_gauge(
+                    instrument, lambda values=values: {tuple(values): 3.0}
+                )
         names = " ".join(str(key[0]) for key in _read(metrics))
         for instrument in Instrument:
             with self.subTest(instrument=instrument):
--- a/trefoilhook/placement/interference.py
+++ b/trefoilhook/placement/interference.py
@@ -96,7 +96,7 @@
         Covariance of each row that has been updated.
     learned_at_ms : dict of int to float
         When each row was last updated, in ms.
-    forget_ms : float
+    decay_time_ms : float
         Time constant of the decay to the prior, in ms.
     """
 
@@ -104,15 +104,15 @@
     deviation: Floats = attrs.field(factory=_build_prior_deviation)
     covariances: dict[int, Floats] = attrs.field(factory=dict)
     updated_at_ms: dict[int, float] = attrs.field(factory=dict)
-    forget_ms: float = _DECAY_TIME_MS
+    decay_time_ms: float = _DECAY_TIME_MS
 
     @property
-    def constant(self) -> Floats:
+    def base_slope(self) -> Floats:
         """The part ``A`` of the slowdown that does not depend on load."""
         return self.mean[:, :CLASS_LIMIT]
 
     @property
-    def loaded(self) -> Floats:
+    def load_slope(self) -> Floats:
         """The part ``B`` of the slowdown that grows with load."""
         return self.mean[:, CLASS_LIMIT:]
 
@@ -122,7 +122,7 @@
     if covariance is None:
         return _PRIOR_COVARIANCE.copy()
     elapsed_ms = max(0.0, now_ms - model.updated_at_ms[row])
-    decay = math.exp(-elapsed_ms / model.forget_ms)
+    decay = math.exp(-elapsed_ms / model.decay_time_ms)
     model.mean[row] = _PRIOR_MEAN + decay * (model.mean[row] - _PRIOR_MEAN)
     return decay**2 * covariance + (1.0 - decay**2) * _PRIOR_COVARIANCE
 
--- a/trefoilhook/placement/preemption.py
+++ b/trefoilhook/placement/preemption.py
@@ -126,7 +126,7 @@
     now_ms: float,
     policy: Policy,
 ) -> _VictimSet | None:
-    if worker.withdrawn or worker.health.quarantined_until_ms is not None:
+    if worker.is_removed or worker.health.quarantined_until_ms is not None:
         return None
     shortfall = _compute_shortfall(worker, task.resources)
     candidates = [
--- a/trefoilhook/placement/reactions.py
+++ b/trefoilhook/placement/reactions.py
@@ -188,8 +188,8 @@
     """Return the part of a service's excess that the model attributes to a task."""
     row, column = service.class_index, task.class_index
     load = float(state.table.load[worker.slot])
-    slope = float(state.model.constant[row, column])
-    slope += load * float(state.model.loaded[row, column])
+    slope = float(state.model.base_slope[row, column])
+    slope += load * float(state.model.load_slope[row, column])
     share = task.expected_cores * task.speed / worker.shape.capacity.cores
     return max(slope, _MIN_SLOPE) * share
 
--- a/trefoilhook/placement/records.py
+++ b/trefoilhook/placement/records.py
@@ -191,7 +191,7 @@
         factory=lambda: deque(maxlen=_MAX_SNAPSHOTS)
     )
     health: WorkerHealth = attrs.field(factory=WorkerHealth)
-    withdrawn: bool = False
+    is_removed: bool = False
     last_report_ms: float = -np.inf
     acted_at_ms: float = -np.inf
     throttled_floor_since_ms: float | None = None
--- a/trefoilhook/placement/refresh.py
+++ b/trefoilhook/placement/refresh.py
@@ -57,7 +57,7 @@
 
 def _is_open(worker: WorkerState) -> bool:
     health = worker.health
-    if worker.withdrawn or health.quarantined_until_ms is not None:
+    if worker.is_removed or health.quarantined_until_ms is not None:
         return False
     return not (health.on_probation and worker.residents)
 
@@ -87,8 +87,8 @@
 def _write_excess(state: ShardRecords, row: int) -> None:
     table, model = state.table, state.model
     pressure = table.pressure[row]
-    loaded = model.loaded @ pressure
-    excess = model.constant @ pressure + table.load[row] * loaded
+    loaded = model.load_slope @ pressure
+    excess = model.base_slope @ pressure + table.load[row] * loaded
     excess += max(table.residual[row], 0.0)
     table.loaded[row] = loaded
     table.excess[row] = np.maximum(excess, 0.0) * table.scale[row]
--- a/trefoilhook/placement/scoring.py
+++ b/trefoilhook/placement/scoring.py
@@ -14,9 +14,10 @@
 ``e`` and ``e'`` are the predicted excess slowdowns before and after placement, ``b``
 is the tolerated excess of the service. Squaring makes interference costly for services
 near their target and cheap for services far from it. The consolidation cost is given
-by :func:`cost_taking_over`. A batch task waits unless a sampled worker is admissible
-and has a negative cost. A worker is inadmissible if a service is past its target, or
-would exceed ``admit_ratio`` of its tolerated excess and the increase is not negligible.
+by :func:`compute_consolidation_cost`. A batch task waits unless a sampled worker is
+admissible and has a negative cost. A worker is inadmissible if a service is past its
+target, or would exceed ``admit_ratio`` of its tolerated excess and the increase is not
+negligible.
 """
 
 from collections.abc import Callable
@@ -33,7 +34,7 @@
 if TYPE_CHECKING:
     from trefoilhook.placement.state import ShardState
 
-__all__ = ["Scorer", "Scores", "cost_taking_over", "score_rows"]
+__all__ = ["Scorer", "Scores", "compute_consolidation_cost", "score_rows"]
 
 _ACCELERATOR_PENALTY = 0.5
 _LOAD_BALANCE_WEIGHT = 0.1
@@ -130,12 +131,12 @@
     """Return the increase of ``excess / tolerated excess`` by row and class."""
     table, model = state.table, state.model
     slope = (
-        model.constant[:, class_index] + policy.risk * model.deviation[:, class_index]
+        model.base_slope[:, class_index] + policy.risk * model.deviation[:, class_index]
     )
     increase = table.loaded.take(rows, axis=0)
     increase += slope
     load = table.load.take(rows) + share
-    increase += load[:, None] * model.loaded[:, class_index]
+    increase += load[:, None] * model.load_slope[:, class_index]
     increase *= share[:, None]
     increase *= table.scale.take(rows, axis=0)
     return np.maximum(increase, 0.0, out=increase)
@@ -145,8 +146,8 @@
     """Return the predicted excess of a new service on each row."""
     table, model = state.table, state.model
     pressure = table.pressure.take(rows, axis=0)
-    constant = pressure @ model.constant[class_index]
-    loaded = pressure @ model.loaded[class_index]
+    constant = pressure @ model.base_slope[class_index]
+    loaded = pressure @ model.load_slope[class_index]
     residual = np.maximum(table.residual.take(rows), 0.0)
     excess: Floats = constant + table.load.take(rows) * loaded + residual
     return np.maximum(excess, 0.0)
@@ -171,13 +172,13 @@
         + policy.spread_weight * concentration
     )
     cost += _LOAD_BALANCE_WEIGHT * (state.table.load.take(rows) + share)
-    cost += cost_taking_over(state, task, class_index, rows, policy)
+    cost += compute_consolidation_cost(state, task, class_index, rows, policy)
     return Scores(
         cost=cost, excess=own_excess, admissible=np.ones(len(rows), dtype=bool)
     )
 
 
-def cost_taking_over(
+def compute_consolidation_cost(
     state: "ShardState",
     task: TaskShape,
     class_index: int,
--- a/trefoilhook/placement/state.py
+++ b/trefoilhook/placement/state.py
@@ -51,14 +51,14 @@
             If the worker is already in use.
         """
         worker = self.workers.get(shape.worker_id)
-        if worker is not None and not worker.withdrawn:
+        if worker is not None and not worker.is_removed:
             raise UnknownWorkerError(f"worker {shape.worker_id} is already in use")
         if worker is None:
             slot = add_row(self.table, shape.worker_id)
             worker = WorkerState(shape=shape, slot=slot)
             self.workers[shape.worker_id] = worker
         worker.shape = shape
-        worker.withdrawn = False
+        worker.is_removed = False
         self.capacities[shape.capacity] += 1
         refresh_worker(self, worker)
 
@@ -77,7 +77,7 @@
             If the worker is not in use.
         """
         worker = self._get_active_worker(worker_id)
-        worker.withdrawn = True
+        worker.is_removed = True
         self.capacities[worker.shape.capacity] -= 1
         if not self.capacities[worker.shape.capacity]:
             del self.capacities[worker.shape.capacity]
@@ -200,7 +200,7 @@
         refresh_worker(self, worker, now_ms)
         self._drop_if_empty(worker)
 
-    def observe_usage(self, report: UsageReport, now_ms: float) -> None:
+    def apply_usage_report(self, report: UsageReport, now_ms: float) -> None:
         """Process a worker's usage report; reports of unknown workers are ignored."""
         apply_report(self, report, now_ms)
 
@@ -251,7 +251,7 @@
 
     def _get_active_worker(self, worker_id: str) -> WorkerState:
         worker = self.workers.get(worker_id)
-        if worker is None or worker.withdrawn:
+        if worker is None or worker.is_removed:
             raise UnknownWorkerError(f"worker {worker_id} is not in use")
         return worker
 
@@ -304,7 +304,7 @@
             self.run_ratios.record(key, total_ms / task.shape.declared_run_ms)
 
     def _drop_if_empty(self, worker: WorkerState) -> None:
-        if not worker.withdrawn or worker.residents:
+        if not worker.is_removed or worker.residents:
             return
         moved = remove_row(self.table, worker.slot)
         if moved is not None:
--- a/trefoilhook/placement/tests/test_capacity.py
+++ b/trefoilhook/placement/tests/test_capacity.py
@@ -128,7 +128,7 @@
 
     def _bring_back(self, driver, number):
         worker = driver.state.workers.get(f"worker-{number}")
-        if worker is None or worker.withdrawn:
+        if worker is None or worker.is_removed:
             driver.state.add_worker(build_worker(number, accelerators=1))
 
     def test_unconfirmed_start_holds_its_resources(self):
--- a/trefoilhook/placement/tests/test_decisions.py
+++ b/trefoilhook/placement/tests/test_decisions.py
@@ -54,7 +54,7 @@
         usage=(),
         slowdowns=(ServiceSlowdown(task_id=task_id, slowdown=slowdown),),
     )
-    state.observe_usage(report, at_ms + 10_000.0)
+    state.apply_usage_report(report, at_ms + 10_000.0)
 
 
 class RefusalTest(unittest.TestCase):
@@ -130,7 +130,7 @@
             report_slowdown(state, "service-0", 1.3, at_ms)
             report_slowdown(state, "service-1", 1.0, at_ms, "worker-1")
         row = state.class_indexes["seat-check"]
-        slopes = state.model.constant[row] + 0.25 * state.model.loaded[row]
+        slopes = state.model.base_slope[row] + 0.25 * state.model.load_slope[row]
         loud_slope = slopes[state.class_indexes["loud"]]
         quiet_slope = slopes[state.class_indexes["quiet"]]
         self.assertGreater(loud_slope, 10 * max(quiet_slope, 0.02))
@@ -145,7 +145,7 @@
         new = build_task("new", cores=16.0, task_class="new")
         run_task(state, new, now_ms=65_000.0)
         report_slowdown(state, "service", 1.5, 60_000.0)
-        row = state.model.constant[state.class_indexes["s"]]
+        row = state.model.base_slope[state.class_indexes["s"]]
         loud, newer = (row[state.class_indexes[name]] for name in ("loud", "new"))
         unobserved = row[-1]
         self.assertGreater(loud, 2.0 * newer)
@@ -176,7 +176,7 @@
                 usage=(TaskUsage(task_id="service", used=used),),
                 slowdowns=(),
             )
-            state.observe_usage(report, 70_000.0)
+            state.apply_usage_report(report, 70_000.0)
         self.assertEqual(held.expected_cores, 4.0)
 
     @settings(max_examples=50, deadline=None, derandomize=True)
--- a/trefoilhook/placement/tests/test_reactions.py
+++ b/trefoilhook/placement/tests/test_reactions.py
@@ -59,7 +59,7 @@
                     ServiceSlowdown(task_id=f"service-{number}", slowdown=slowdown),
                 ),
             )
-            self.state.observe_usage(report, self.now_ms)
+            self.state.apply_usage_report(report, self.now_ms)
         return self.react()
 
     def react(self):
--- a/trefoilhook/platform/advice.py
+++ b/trefoilhook/platform/advice.py
@@ -1,6 +1,6 @@
 """Client of the advice service, which decides on which workers a step may run."""
 
-from trefoilhook.decoding import check_text, parse_table, read_list
+from trefoilhook.decoding import check_string, parse_object, read_list
 from trefoilhook.exceptions import DecodeError, TransportError
 from trefoilhook.http import JsonClient
 from trefoilhook.platform.core import Address
@@ -19,10 +19,10 @@
     listed counts as refused.
     """
     grants: list[Grant] = []
-    for row in read_list(parse_table(data), "granted"):
+    for row in read_list(parse_object(data), "granted"):
         if not isinstance(row, list) or len(row) < 2:
             raise DecodeError("granted: not a whole row")
-        worker_id, ticket = (check_text(part, "granted") for part in row[:2])
+        worker_id, ticket = (check_string(part, "granted") for part in row[:2])
         grants.append(Grant(worker_id=worker_id, ticket=ticket))
     return tuple(grants)
 
@@ -54,7 +54,7 @@
             "workers": list(request.workers),
         }
         try:
-            response = await self._client.exchange(
+            response = await self._client.send_request(
                 "POST", "/trefoilhook/advise", timeout_ms=timeout_ms, body=body
             )
         except TransportError:
--- a/trefoilhook/platform/core.py
+++ b/trefoilhook/platform/core.py
@@ -3,11 +3,11 @@
 import re
 from typing import Any
 
-from trefoilhook.decoding import parse_table
+from trefoilhook.decoding import parse_object
 from trefoilhook.exceptions import AnswerLostError, DecodeError
 from trefoilhook.http import HttpResponse
 
-__all__ = ["Address", "parse_address", "read_object"]
+__all__ = ["Address", "parse_address", "parse_response_object"]
 
 Address = tuple[str, int]
 
@@ -42,7 +42,7 @@
     return match[1].strip("[]"), port
 
 
-def read_object(response: HttpResponse) -> dict[str, Any]:
+def parse_response_object(response: HttpResponse) -> dict[str, Any]:
     """Decode the body of a response as a JSON object.
 
     Raises
@@ -51,6 +51,6 @@
         If the body is invalid: the call took effect, but its result is unknown.
     """
     try:
-        return parse_table(response.body)
+        return parse_object(response.body)
     except DecodeError as error:
         raise AnswerLostError(f"invalid answer: {error}") from error
--- a/trefoilhook/platform/declarations.py
+++ b/trefoilhook/platform/declarations.py
@@ -8,16 +8,16 @@
 
 from trefoilhook.decoding import (
     check_integer,
-    check_table,
-    parse_table,
+    check_object,
+    parse_object,
+    read_boolean,
     read_choice,
-    read_flag,
     read_integer,
     read_list,
     read_number,
-    read_table,
-    read_text,
-    read_texts,
+    read_object,
+    read_string,
+    read_strings,
 )
 from trefoilhook.exceptions import DecodeError, RequestError
 from trefoilhook.platform.core import parse_address
@@ -88,30 +88,30 @@
 
 def _decode_after(table: Mapping[str, Any], number: int) -> tuple[int, ...]:
     return tuple(
-        check_integer(earlier, "after", most=number - 1)
+        check_integer(earlier, "after", maximum=number - 1)
         for earlier in read_list(table, "after", default=[])
     )
 
 
 def _decode_step(value: Any, number: int) -> Step:
-    table = _drop_nulls(check_table(value, "step"))
+    table = _drop_nulls(check_object(value, "step"))
     max_absent = None
     if "miss_allowed" in table:
         max_absent = read_integer(table, "miss_allowed")
     return Step(
-        count=read_integer(table, "count", least=1, most=_MAX_TASKS),
+        count=read_integer(table, "count", minimum=1, maximum=_MAX_TASKS),
         demand=_decode_demand(table),
         estimate_ms=read_number(table, "estimate_ms", default=0.0),
         after=_decode_after(table, number),
-        checkpointing=read_flag(table, "checkpointing", default=False),
-        gang=read_flag(table, "gang", default=False),
-        same_rack=read_flag(table, "rack_local", default=False),
-        required_label=read_text(table, "requirements", default=""),
-        data_rack=read_text(table, "affinity", default=""),
+        checkpointing=read_boolean(table, "checkpointing", default=False),
+        gang=read_boolean(table, "gang", default=False),
+        same_rack=read_boolean(table, "rack_local", default=False),
+        required_label=read_string(table, "requirements", default=""),
+        data_rack=read_string(table, "affinity", default=""),
         max_per_worker=read_integer(table, "anti_affinity", default=0),
-        speculative=read_flag(table, "speculative", default=False),
-        long_running=read_flag(table, "long_running", default=False),
-        image=read_text(table, "image", default=""),
+        speculative=read_boolean(table, "speculative", default=False),
+        long_running=read_boolean(table, "long_running", default=False),
+        image=read_string(table, "image", default=""),
         # "target_ms" is the limit on a service task's tail latency.
         latency_limit_ms=read_number(table, "target_ms", default=0.0),
         # Despite its name, "fill_count" is a flag: the processor use of the step does
@@ -135,14 +135,16 @@
         If the submission is not a valid job.
     """
     try:
-        table = _drop_nulls(parse_table(body))
+        table = _drop_nulls(parse_object(body))
         return Job(
             job_id=job_id,
             queue=queue,
             accepted_ms=accepted_ms,
-            spec=read_text(table, "spec", default=""),
+            spec=read_string(table, "spec", default=""),
             steps=_decode_steps(table),
-            repeats=read_integer(table, "repeat_count", most=_MAX_REPEATS, default=0),
+            repeats=read_integer(
+                table, "repeat_count", maximum=_MAX_REPEATS, default=0
+            ),
             first_due_ms=read_number(table, "start_at_ms", default=0.0),
             interval_ms=read_number(table, "interval_ms", default=0.0),
         )
@@ -178,21 +180,21 @@
 
 
 def _decode_queue(value: Any) -> Queue:
-    table = check_table(value, "route")
-    prefix = read_text(table, "prefix")
+    table = check_object(value, "route")
+    prefix = read_string(table, "prefix")
     if not prefix.startswith("/"):
         raise DecodeError("prefix: not a path")
     advice = table.get("advice")
     return Queue(
-        name=read_text(table, "name", filled=True),
-        host=read_text(table, "host", filled=True),
+        name=read_string(table, "name", non_empty=True),
+        host=read_string(table, "host", non_empty=True),
         prefix=prefix,
-        service=read_text(table, "service", filled=True),
+        service=read_string(table, "service", non_empty=True),
         priority=read_integer(table, "priority", default=0),
-        max_attempts=read_integer(table, "max_attempts", least=1, default=1),
+        max_attempts=read_integer(table, "max_attempts", minimum=1, default=1),
         stretch=read_number(table, "stretch", default=1.0),
         objective_ms=read_number(table, "target_latency_ms", default=0.0),
-        advice=None if advice is None else _decode_advice(read_table(table, "advice")),
+        advice=None if advice is None else _decode_advice(read_object(table, "advice")),
     )
 
 
@@ -210,7 +212,9 @@
     services: set[str] = set()
     try:
         for row in read_list(table, "services"):
-            services.add(read_text(check_table(row, "service"), "name", filled=True))
+            services.add(
+                read_string(check_object(row, "service"), "name", non_empty=True)
+            )
     except DecodeError as error:
         problems.append(f"services: {error}")
     return services
@@ -228,7 +232,7 @@
         If the configuration is invalid, or has no version by which to detect an
         outdated one.
     """
-    table = parse_table(data)
+    table = parse_object(data)
     problems: list[str] = []
     version = read_integer(table, "version")
     queues = _decode_queues(read_list(table, "routes"), problems)
@@ -276,7 +280,7 @@
         raise DecodeError("key: no failure domain name")
     problem = ""
     try:
-        unknown = sorted(parse_table(data))
+        unknown = sorted(parse_object(data))
         if unknown:
             problem = f"unknown fields: {', '.join(unknown)}"
     except DecodeError as error:
@@ -292,7 +296,7 @@
 
     An entry without them was written by a foreign writer, even if the rest is valid.
     """
-    read_text(table, "version")
+    read_string(table, "version")
     read_integer(table, "slots")
     read_number(table, "cold_left_ms")
     read_integer(table, "sequence")
@@ -317,17 +321,17 @@
     worker_id = key.removeprefix(WORKER_PREFIX)
     if worker_id == key or not _WORKER_ID.fullmatch(worker_id):
         raise DecodeError("key: not a worker's")
-    table = parse_table(data)
+    table = parse_object(data)
     _check_unused_fields(table)
-    host, port = parse_address(read_text(table, "address"))
+    host, port = parse_address(read_string(table, "address"))
     return WorkerReport(
         worker_id=worker_id,
-        service=read_text(table, "service", filled=True),
+        service=read_string(table, "service", non_empty=True),
         host=host,
         port=port,
-        failure_domain=read_text(table, "zone"),
-        capacity=_decode_capacity(read_table(table, "capacity")),
-        labels=read_texts(table, "labels"),
+        failure_domain=read_string(table, "zone"),
+        capacity=_decode_capacity(read_object(table, "capacity")),
+        labels=read_strings(table, "labels"),
         draining=read_choice(table, "state", _IS_DRAINING),
         remaining_ms=read_number(table, "remaining_ms", default=0.0),
     )
