--- a/trefoilhook/platform/looks.py
+++ b/trefoilhook/platform/looks.py
@@ -3,8 +3,8 @@
 An unreadable row must not invalidate the whole answer: no poll would succeed, and the
 leases of all tasks on the worker would expire. It must not be skipped either, because
 tasks that are not listed count as ended. Each such row is therefore returned as an
-`UnreadRow` with its readable parts, and the scheduler draws no conclusion from what is
-not listed.
+`UnreadableRow` with its readable parts, and the scheduler draws no conclusion from what
+is not listed.
 """
 
 from collections.abc import Mapping
@@ -13,23 +13,23 @@
 from trefoilhook.decoding import (
     check_integer,
     check_number,
-    check_text,
-    parse_table,
+    check_string,
+    parse_object,
     read_list,
     read_number,
 )
 from trefoilhook.exceptions import DecodeError
 from trefoilhook.scheduling import (
-    End,
+    AttemptEnd,
     EndKind,
-    Look,
+    PollAnswer,
     Running,
     TaskId,
-    UnreadRow,
+    UnreadableRow,
     parse_task_id,
 )
 
-__all__ = ["decode_look"]
+__all__ = ["decode_poll_answer"]
 
 _END_KINDS = {
     "done": EndKind.DONE,
@@ -49,7 +49,7 @@
 
 
 def _check_attempt(task: Any, attempt: Any) -> tuple[TaskId, int]:
-    return parse_task_id(check_text(task, "task")), check_integer(attempt, "attempt")
+    return parse_task_id(check_string(task, "task")), check_integer(attempt, "attempt")
 
 
 def _decode_figure(row: list[Any], place: int) -> float | None:
@@ -78,53 +78,53 @@
     )
 
 
-def _decode_end(value: Any) -> End:
+def _decode_end(value: Any) -> AttemptEnd:
     row = _check_row(value, 5)
     task, attempt = _check_attempt(row[1], row[2])
-    kind = _END_KINDS.get(check_text(row[3], "how"))
+    kind = _END_KINDS.get(check_string(row[3], "how"))
     if kind is None:
         raise DecodeError("how: unknown word")
-    return End(
-        number=check_integer(row[0], "number", least=1),
+    return AttemptEnd(
+        number=check_integer(row[0], "number", minimum=1),
         task=task,
         attempt=attempt,
         kind=kind,
-        checkpoint=check_text(row[4], "saved"),
+        checkpoint=check_string(row[4], "saved"),
     )
 
 
-def _decode_partial_end(value: Any, reason: str) -> UnreadRow:
+def _decode_partial_end(value: Any, reason: str) -> UnreadableRow:
     """Decode the number and the attempt of an end that is otherwise unreadable."""
     number = attempt = None
     if isinstance(value, list) and len(value) > 2:
         try:
-            number = check_integer(value[0], "number", least=1)
+            number = check_integer(value[0], "number", minimum=1)
             attempt = _check_attempt(value[1], value[2])
         except DecodeError:
             pass
-    return UnreadRow(reason=reason, is_end=True, number=number, attempt=attempt)
+    return UnreadableRow(reason=reason, is_end=True, number=number, attempt=attempt)
 
 
 def _decode_rows(
     table: Mapping[str, Any],
-) -> tuple[list[Running], list[End], list[UnreadRow]]:
+) -> tuple[list[Running], list[AttemptEnd], list[UnreadableRow]]:
     running: list[Running] = []
-    ends: list[End] = []
-    unread: list[UnreadRow] = []
+    ends: list[AttemptEnd] = []
+    unreadable: list[UnreadableRow] = []
     for row in read_list(table, "running"):
         try:
             running.append(_decode_running(row))
         except DecodeError as error:
-            unread.append(UnreadRow(reason=f"running: {error}", is_end=False))
+            unreadable.append(UnreadableRow(reason=f"running: {error}", is_end=False))
     for row in read_list(table, "finished"):
         try:
             ends.append(_decode_end(row))
         except DecodeError as error:
-            unread.append(_decode_partial_end(row, f"finished: {error}"))
-    return running, ends, unread
+            unreadable.append(_decode_partial_end(row, f"finished: {error}"))
+    return running, ends, unreadable
 
 
-def decode_look(data: bytes) -> Look:
+def decode_poll_answer(data: bytes) -> PollAnswer:
     """Decode a worker's answer to a poll.
 
     Raises
@@ -132,11 +132,11 @@
     DecodeError
         If the clock or a list is missing, so that the answer proves nothing.
     """
-    table = parse_table(data)
-    running, ends, unread = _decode_rows(table)
-    return Look(
+    table = parse_object(data)
+    running, ends, unreadable = _decode_rows(table)
+    return PollAnswer(
         clock_ms=read_number(table, "clock_ms"),
         running=tuple(running),
         ends=tuple(ends),
-        unread=tuple(unread),
+        unreadable=tuple(unreadable),
     )
--- a/trefoilhook/platform/settings.py
+++ b/trefoilhook/platform/settings.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from trefoilhook.decoding import parse_table, read_number, read_table, read_text
+from trefoilhook.decoding import parse_object, read_number, read_object, read_string
 from trefoilhook.exceptions import DecodeError, SettingsError
 from trefoilhook.platform.core import Address, parse_address
 
@@ -153,7 +153,7 @@
 
 
 def _read_listen_address(table: Mapping[str, Any], name: str) -> Address:
-    return parse_address(read_text(table, name), min_port=0)
+    return parse_address(read_string(table, name), min_port=0)
 
 
 def parse_settings(text: str) -> ProcessSettings:
@@ -165,25 +165,27 @@
         If a required setting is missing or a setting is invalid.
     """
     try:
-        table = parse_table(text.encode())
-        addresses = read_table(table, "listen_addrs")
-        platform = read_table(table, "platform")
+        table = parse_object(text.encode())
+        addresses = read_object(table, "listen_addrs")
+        platform = read_object(table, "platform")
         advice = table.get("advice")
         return ProcessSettings(
-            name=read_text(table, "node_name", filled=True),
+            name=read_string(table, "node_name", non_empty=True),
             entry_address=_read_listen_address(addresses, "frontend"),
             readiness_address=_read_listen_address(addresses, "readiness"),
-            store_address=parse_address(read_text(platform, "address")),
+            store_address=parse_address(read_string(platform, "address")),
             bounds=_decode_bounds(
-                read_table(table, "bounds"),
+                read_object(table, "bounds"),
                 read_number(table, "heartbeat_ms", default=_DEFAULT_HEARTBEAT_MS),
             ),
-            size=_decode_size(read_table(table, "limits") if "limits" in table else {}),
-            advice_address=parse_address(read_text(table, "advice"))
+            size=_decode_size(
+                read_object(table, "limits") if "limits" in table else {}
+            ),
+            advice_address=parse_address(read_string(table, "advice"))
             if advice
             else None,
             failure_domains=frozenset(
-                read_table(table, "zones") if "zones" in table else {}
+                read_object(table, "zones") if "zones" in table else {}
             ),
         )
     except (UnicodeEncodeError, DecodeError) as error:
--- a/trefoilhook/platform/store.py
+++ b/trefoilhook/platform/store.py
@@ -9,12 +9,12 @@
 
 from trefoilhook.clock import Clock
 from trefoilhook.decoding import (
-    check_table,
-    parse_table,
-    read_flag,
+    check_object,
+    parse_object,
+    read_boolean,
     read_integer,
     read_list,
-    read_text,
+    read_string,
 )
 from trefoilhook.exceptions import (
     AnswerLostError,
@@ -28,7 +28,7 @@
     StoreUnsentError,
 )
 from trefoilhook.http import HttpResponse, JsonClient
-from trefoilhook.logs import CallFailure, DependencyLog, Event
+from trefoilhook.logs import CallFailure, Event, OutageLog
 from trefoilhook.platform.core import Address
 from trefoilhook.platform.messages import (
     Change,
@@ -66,28 +66,28 @@
 
 
 def _decode_item(value: Any) -> Item:
-    row = check_table(value, "item")
+    row = check_object(value, "item")
     return Item(
-        key=read_text(row, "key"),
-        value=_decode_value(read_text(row, "value", default="")),
+        key=read_string(row, "key"),
+        value=_decode_value(read_string(row, "value", default="")),
         revision=read_integer(row, "revision"),
         created=read_integer(row, "created", default=0),
     )
 
 
 def _decode_change(value: Any) -> Change:
-    row = check_table(value, "event")
-    if not read_flag(row, "deleted", default=False):
+    row = check_object(value, "event")
+    if not read_boolean(row, "deleted", default=False):
         item = _decode_item(row)
         return Change(key=item.key, revision=item.revision, item=item)
     return Change(
-        key=read_text(row, "key"), revision=read_integer(row, "revision"), item=None
+        key=read_string(row, "key"), revision=read_integer(row, "revision"), item=None
     )
 
 
 def _decode_page(table: Mapping[str, Any]) -> tuple[list[Item], int, bool]:
     items = [_decode_item(row) for row in read_list(table, "items")]
-    has_more = read_flag(table, "has_more", default=False)
+    has_more = read_boolean(table, "has_more", default=False)
     return items, read_integer(table, "as_of"), has_more
 
 
@@ -101,7 +101,7 @@
 
 def _decode_current_items(table: Mapping[str, Any]) -> tuple[Item, ...]:
     """Decode the current items of preconditions; an absent key has no revision."""
-    rows = (check_table(row, "item") for row in read_list(table, "items", default=[]))
+    rows = (check_object(row, "item") for row in read_list(table, "items", default=[]))
     return tuple(_decode_item(row) for row in rows if row.get("revision"))
 
 
@@ -154,8 +154,8 @@
         self._client = JsonClient(address=address, max_connections=_MAX_CONNECTIONS)
         self._timeout_ms = timeout_ms
         self._clock = clock
-        self._log = DependencyLog(
-            clock=clock, lost=Event.STORE_DOWN, regained=Event.STORE_BACK
+        self._log = OutageLog(
+            clock=clock, started_event=Event.STORE_DOWN, ended_event=Event.STORE_BACK
         )
         self.answers = 0
         self.failures = 0
@@ -241,7 +241,9 @@
     async def grant_lease(self, ttl_ms: int) -> int:
         """Grant a lease that expires after ``ttl_ms`` unless it is renewed."""
         response = await self._call("POST", "kv-lease", body={"ttl_ms": ttl_ms})
-        return self._read(response, lambda table: read_integer(table, "lease", least=1))
+        return self._read(
+            response, lambda table: read_integer(table, "lease", minimum=1)
+        )
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease.
@@ -279,7 +281,7 @@
     ) -> HttpResponse:
         sent_ms = self._clock.monotonic_ms()
         try:
-            response = await self._client.exchange(
+            response = await self._client.send_request(
                 method,
                 f"/trefoilhook/{name}",
                 query=query,
@@ -305,7 +307,7 @@
     ) -> _Answer:
         """Decode an answer; an unreadable one counts as no answer."""
         try:
-            return decode(parse_table(response.body))
+            return decode(parse_object(response.body))
         except DecodeError as error:
             now_ms = self._clock.monotonic_ms()
             self._fail("read", CallFailure.UNREADABLE, now_ms, str(error))
@@ -322,14 +324,14 @@
     if status == 429:
         return CallFailure.RATE_LIMITED
     if status == 503:
-        return CallFailure.TURNED_AWAY
-    return CallFailure.INTERNAL if status >= 500 else CallFailure.REFUSED
+        return CallFailure.UNAVAILABLE
+    return CallFailure.INTERNAL if status >= 500 else CallFailure.INVALID_CALL
 
 
 def _build_refusal(failure: CallFailure, status: int) -> StoreError:
     if failure is CallFailure.RATE_LIMITED:
         return StoreRateError("the store's rate limit is exceeded")
-    if failure is CallFailure.TURNED_AWAY:
+    if failure is CallFailure.UNAVAILABLE:
         return StoreUnsentError("the store turned the call away")
     if failure is CallFailure.INTERNAL:
         return StoreUnavailableError(f"the store failed: status {status}")
--- a/trefoilhook/platform/tests/test_answers.py
+++ b/trefoilhook/platform/tests/test_answers.py
@@ -8,8 +8,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from trefoilhook.clock import build_boot_clock
-from trefoilhook.decoding.tests.test_readers import NESTED, VALUES
+from trefoilhook.clock import build_boottime_clock
+from trefoilhook.decoding.tests.test_readers import DEEPLY_NESTED_JSON, VALUES
 from trefoilhook.exceptions import DecodeError, HistoryLostError, StoreUnavailableError
 from trefoilhook.http import HttpRequest, HttpResponse, HttpServer
 from trefoilhook.platform import (
@@ -21,13 +21,13 @@
     WorkerClient,
     read_client_timeout,
 )
-from trefoilhook.platform.looks import decode_look
+from trefoilhook.platform.looks import decode_poll_answer
 from trefoilhook.scheduling import (
     AdviceRequest,
     Demand,
     EndKind,
-    Look,
     OrderOutcome,
+    PollAnswer,
     StopOrder,
     TaskId,
     WorkerReport,
@@ -36,7 +36,7 @@
 TASK = TaskId("00000000000000a1", 0, 1, 17)
 RUNNING = [str(TASK), 2, "c", 41, 900]
 END = [58, str(TASK), 2, "done", ""]
-LOOK = {"clock_ms": 482113, "running": [RUNNING], "finished": [END]}
+ANSWER = {"clock_ms": 482113, "running": [RUNNING], "finished": [END]}
 
 
 def replace(row: list, place: int, value: Any) -> list:
@@ -47,14 +47,14 @@
 class PollAnswerTest(unittest.TestCase):
     """Decoding of workers' answers to polls."""
 
-    def read(self, **fields: Any) -> Look:
+    def read(self, **fields: Any) -> PollAnswer:
         """Decode an answer in which some fields are replaced."""
-        return decode_look(json.dumps({**LOOK, **fields}).encode())
+        return decode_poll_answer(json.dumps({**ANSWER, **fields}).encode())
 
     def test_valid_answer(self):
-        look = self.read()
-        self.assertEqual(look.unread, ())
-        (running,), (end,) = look.running, look.ends
+        answer = self.read()
+        self.assertEqual(answer.unreadable, ())
+        (running,), (end,) = answer.running, answer.ends
         self.assertEqual((running.task, running.percent), (TASK, 41.0))
         self.assertEqual((end.number, end.kind), (58, EndKind.DONE))
 
@@ -77,10 +77,10 @@
         )
         for row in table:
             with self.subTest(row=row):
-                look = self.read(running=[row, RUNNING])
-                self.assertEqual(len(look.running), 1)
-                (unread,) = look.unread
-                self.assertEqual((unread.is_end, unread.attempt), (False, None))
+                answer = self.read(running=[row, RUNNING])
+                self.assertEqual(len(answer.running), 1)
+                (unreadable,) = answer.unreadable
+                self.assertEqual((unreadable.is_end, unreadable.attempt), (False, None))
 
     def test_unreadable_measurements(self):
         # Invalid measurements must not hide a running attempt.
@@ -108,11 +108,13 @@
         for row, number, attempt in table:
             with self.subTest(row=row):
                 later = replace(END, 0, 59)
-                look = self.read(finished=[row, later])
-                self.assertEqual([end.number for end in look.ends], [59])
-                (unread,) = look.unread
-                self.assertTrue(unread.is_end)
-                self.assertEqual((unread.number, unread.attempt), (number, attempt))
+                answer = self.read(finished=[row, later])
+                self.assertEqual([end.number for end in answer.ends], [59])
+                (unreadable,) = answer.unreadable
+                self.assertTrue(unreadable.is_end)
+                self.assertEqual(
+                    (unreadable.number, unreadable.attempt), (number, attempt)
+                )
 
     def test_refused_answers(self):
         table = (
@@ -127,23 +129,23 @@
                 self.read(**fields)
 
     @settings(derandomize=True, deadline=None)
-    @given(VALUES, VALUES, VALUES | st.just(LOOK["clock_ms"]))
+    @given(VALUES, VALUES, VALUES | st.just(ANSWER["clock_ms"]))
     @example([[str(TASK), 2]], [[1, str(TASK), 10**400, "done", ""]], 1.0)
     def test_any_answer(self, running: Any, finished: Any, clock_ms: Any):
         table = {"running": [running], "finished": [finished], "clock_ms": clock_ms}
         try:
-            look = decode_look(json.dumps(table).encode())
+            answer = decode_poll_answer(json.dumps(table).encode())
         except DecodeError:
             return
-        rows = len(look.running) + len(look.ends) + len(look.unread)
+        rows = len(answer.running) + len(answer.ends) + len(answer.unreadable)
         self.assertEqual(rows, 2)
 
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=40))
-    @example(NESTED)
+    @example(DEEPLY_NESTED_JSON)
     def test_any_bytes(self, data: bytes):
         with self.assertRaises(DecodeError):
-            decode_look(data)
+            decode_poll_answer(data)
 
 
 async def _serve(nursery: trio.Nursery, status: int, body: bytes) -> HttpServer:
@@ -187,7 +189,7 @@
             b"\xff",
             b"[]",
             b"{}",
-            NESTED,
+            DEEPLY_NESTED_JSON,
             b'{"items":[null],"events":[1],"as_of":3,"revision":"3","lease":null}',
             json.dumps(
                 {
@@ -213,7 +215,7 @@
 
                 async def use(address: Any, call: Any = call) -> Any:
                     store = KeyValueStore(
-                        address=address, timeout_ms=2000.0, clock=build_boot_clock()
+                        address=address, timeout_ms=2000.0, clock=build_boottime_clock()
                     )
                     return await call(store)
 
@@ -226,11 +228,11 @@
     def test_unreadable_transaction_refusal(self):
         async def use(address: Any) -> Any:
             store = KeyValueStore(
-                address=address, timeout_ms=2000.0, clock=build_boot_clock()
+                address=address, timeout_ms=2000.0, clock=build_boottime_clock()
             )
             return await store.commit(Transaction())
 
-        for body in (b"", b'{"items":[1]}', b'{"items":{}}', NESTED):
+        for body in (b"", b'{"items":[1]}', b'{"items":{}}', DEEPLY_NESTED_JSON):
             with self.subTest(body=body[:20]), self.assertRaises(StoreUnavailableError):
                 self.call(body, use, status=412)
         with self.assertRaises(PreconditionError) as caught:
@@ -240,7 +242,7 @@
     def test_compacted_history(self):
         async def use(address: Any) -> Any:
             store = KeyValueStore(
-                address=address, timeout_ms=2000.0, clock=build_boot_clock()
+                address=address, timeout_ms=2000.0, clock=build_boottime_clock()
             )
             return await store.watch("k", after=1, wait_ms=1)
 
@@ -260,13 +262,13 @@
         return WorkerClient(report=report, read_timeout=lambda: 2000.0)
 
     def test_unreadable_worker_answers(self):
-        async def look(address: Any) -> Any:
+        async def poll(address: Any) -> Any:
             request = PollRequest(token=1, acknowledged=0, deadline_ms=None, wait_ms=0)
             return await self._build_worker(address).poll(request)
 
-        for body in (b"", b"null", NESTED, b'{"clock_ms":1}'):
+        for body in (b"", b"null", DEEPLY_NESTED_JSON, b'{"clock_ms":1}'):
             with self.subTest(body=body[:20]), self.assertRaises(DecodeError):
-                self.call(body, look)
+                self.call(body, poll)
 
     def test_ended_process_is_distinguished_from_timeout(self):
         # Guards against a crashed worker that is treated as unreachable.
@@ -298,7 +300,7 @@
             (b'{"reason":[]}', OrderOutcome.REFUSED),
             (b'{"reason":"new"}', OrderOutcome.REFUSED),
             (b"{}", OrderOutcome.REFUSED),
-            (NESTED, OrderOutcome.NO_ANSWER),
+            (DEEPLY_NESTED_JSON, OrderOutcome.NO_ANSWER),
             (b"[]", OrderOutcome.NO_ANSWER),
         )
         for body, outcome in table:
@@ -313,7 +315,7 @@
             return await AdviceClient(address=address).ask(request, timeout_ms=2000.0)
 
         rows = ("[1]", '["w"]', '["w",7]', '[["w"],"t"]', "null", '"wt"')
-        bodies = (b"", NESTED, b"{}", b'{"granted":"w"}')
+        bodies = (b"", DEEPLY_NESTED_JSON, b"{}", b'{"granted":"w"}')
         bodies += tuple(f'{{"granted":[["v","t"],{row}]}}'.encode() for row in rows)
         for body in bodies:
             with self.subTest(body=body[:30]), self.assertRaises(DecodeError):
--- a/trefoilhook/platform/tests/test_declarations.py
+++ b/trefoilhook/platform/tests/test_declarations.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from trefoilhook.decoding.tests.test_readers import NESTED, NO_VALUE, VALUES
+from trefoilhook.decoding.tests.test_readers import DEEPLY_NESTED_JSON, NO_VALUE, VALUES
 from trefoilhook.exceptions import DecodeError, RequestError
 from trefoilhook.platform import (
     decode_configuration,
@@ -117,7 +117,7 @@
                     read_entry(json.dumps(entry).encode())
 
     def test_refused_bytes(self):
-        table = (b"", b"\xff", b"null", b"[]", b'"ready"', NESTED, b"{}")
+        table = (b"", b"\xff", b"null", b"[]", b'"ready"', DEEPLY_NESTED_JSON, b"{}")
         for data in table:
             with self.subTest(data=data[:9]), self.assertRaises(DecodeError):
                 read_entry(data)
@@ -134,7 +134,7 @@
 
     @settings(derandomize=True, deadline=None)
     @given(change_any(ENTRY) | st.binary(max_size=40), st.text(max_size=9))
-    @example(NESTED, "w")
+    @example(DEEPLY_NESTED_JSON, "w")
     def test_any_entry(self, data: bytes, worker_id: str):
         try:
             self.assertIsInstance(
@@ -218,7 +218,7 @@
         )
         | st.binary(max_size=40)
     )
-    @example(NESTED)
+    @example(DEEPLY_NESTED_JSON)
     def test_any_configuration(self, data: bytes):
         try:
             document = decode_configuration(data)
@@ -237,7 +237,7 @@
     def test_refused_submissions(self):
         step = JOB["steps"][0]
         table = (
-            ("nested deeply", NESTED),
+            ("nested deeply", DEEPLY_NESTED_JSON),
             ("a list", []),
             ("no steps", {"spec": "x"}),
             ("spec a number", {**JOB, "spec": 1}),
@@ -270,7 +270,7 @@
         ).map(lambda step: b'{"spec":"","steps":[%s]}' % step)
         | st.binary(max_size=40)
     )
-    @example(NESTED)
+    @example(DEEPLY_NESTED_JSON)
     def test_any_submission(self, data: bytes):
         try:
             self.assertIsInstance(self.read(data), Job)
--- a/trefoilhook/platform/tests/test_store_outages.py
+++ b/trefoilhook/platform/tests/test_store_outages.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from trefoilhook.clock import build_boot_clock
+from trefoilhook.clock import build_boottime_clock
 from trefoilhook.exceptions import StoreError
 from trefoilhook.http import HttpRequest, HttpResponse, HttpServer
 from trefoilhook.logs.tests.lines import capture_lines, count_lines, find_line
@@ -55,7 +55,7 @@
                 store = KeyValueStore(
                     address=("127.0.0.1", port),
                     timeout_ms=150.0,
-                    clock=build_boot_clock(),
+                    clock=build_boottime_clock(),
                 )
                 with capture_lines() as captured:
                     await _call_all(store, len(answers))
@@ -98,7 +98,7 @@
 
         async def main() -> None:
             store = KeyValueStore(
-                address=("127.0.0.1", 1), timeout_ms=150.0, clock=build_boot_clock()
+                address=("127.0.0.1", 1), timeout_ms=150.0, clock=build_boottime_clock()
             )
             with capture_lines() as captured:
                 await _call_all(store, 5)
--- a/trefoilhook/platform/workers.py
+++ b/trefoilhook/platform/workers.py
@@ -12,12 +12,12 @@
     TransportFailure,
 )
 from trefoilhook.http import HttpResponse, JsonClient
-from trefoilhook.platform.core import read_object
-from trefoilhook.platform.looks import decode_look
+from trefoilhook.platform.core import parse_response_object
+from trefoilhook.platform.looks import decode_poll_answer
 from trefoilhook.scheduling import (
-    Look,
     OrderOutcome,
     PaceOrder,
+    PollAnswer,
     StartOrder,
     StopOrder,
     WorkerReport,
@@ -114,7 +114,7 @@
         }
         return await self._order("pace", body)
 
-    async def poll(self, request: PollRequest) -> Look | OrderOutcome:
+    async def poll(self, request: PollRequest) -> PollAnswer | OrderOutcome:
         """Read the running and ended tasks, and renew their leases.
 
         Raises
@@ -130,7 +130,7 @@
         if request.deadline_ms is not None:
             body["deadline_ms"] = int(request.deadline_ms)
         try:
-            response = await self._client.exchange(
+            response = await self._client.send_request(
                 "POST",
                 "/trefoilhook/hold",
                 timeout_ms=self._read_timeout() + request.wait_ms,
@@ -141,7 +141,7 @@
             return _read_failure(error)
         if response.status != 200:
             return _read_refusal(response)
-        return decode_look(response.body)
+        return decode_poll_answer(response.body)
 
     async def close(self) -> None:
         """Close the idle connections."""
@@ -149,7 +149,7 @@
 
     async def _order(self, name: str, body: Mapping[str, Any]) -> OrderOutcome:
         try:
-            response = await self._client.exchange(
+            response = await self._client.send_request(
                 "POST",
                 f"/trefoilhook/{name}",
                 timeout_ms=self._read_timeout(),
@@ -177,7 +177,7 @@
 
 def _read_refusal(response: HttpResponse) -> OrderOutcome:
     if response.status == 421:
-        return OrderOutcome.OTHER_LIFE
+        return OrderOutcome.OTHER_INCARNATION
     if response.status in (429, 503):
         return OrderOutcome.UNHEALTHY
     if response.status >= 500:
@@ -185,7 +185,7 @@
     if response.status != 409:
         return OrderOutcome.REFUSED
     try:
-        reason = read_object(response).get("reason", "")
+        reason = parse_response_object(response).get("reason", "")
     except AnswerLostError:
         return OrderOutcome.NO_ANSWER
     if not isinstance(reason, str):
--- a/trefoilhook/requests/__init__.py
+++ b/trefoilhook/requests/__init__.py
@@ -6,7 +6,7 @@
     compute_key_shard,
     format_key,
     format_shard_id,
-    mint_key,
+    generate_key,
     parse_key,
 )
 from trefoilhook.requests.models import (
@@ -16,7 +16,7 @@
     ExecutorTarget,
     ServiceSettings,
     TeamView,
-    TokenVerdict,
+    TokenCheckResult,
 )
 from trefoilhook.requests.settings import RequestSettings
 
@@ -29,12 +29,12 @@
     "RequestSettings",
     "ServiceSettings",
     "TeamView",
-    "TokenVerdict",
+    "TokenCheckResult",
     "compute_executor_shard",
     "compute_key_shard",
     "format_key",
     "format_shard_id",
-    "mint_key",
+    "generate_key",
     "open_executor",
     "parse_key",
 ]
--- a/trefoilhook/requests/admission.py
+++ b/trefoilhook/requests/admission.py
@@ -273,7 +273,7 @@
         executor.is_probing = True
         probe = executor.slots.begin_probe(self.clock.monotonic_ms())
         try:
-            health = await executor.link.check_health(
+            health = await executor.link.get_health(
                 timeout_ms=self.settings.probe_timeout_ms
             )
         except TransportError:
--- a/trefoilhook/requests/core.py
+++ b/trefoilhook/requests/core.py
@@ -168,7 +168,7 @@
         )
 
     @property
-    def busy(self) -> int:
+    def requests_in_progress(self) -> int:
         """Number of requests that this instance has in progress, in any role."""
         return self._busy
 
@@ -259,7 +259,7 @@
         """
         in_use = dict.fromkeys(self._upkeep.list_never_used(shard_id), 0)
         in_use |= {
-            each.target.executor_id: each.slots.in_progress + each.slots.unproved
+            each.target.executor_id: each.slots.in_progress + each.slots.unconfirmed
             for each in self._components.pool.list_executors()
             if each.shard_id == shard_id and not each.slots.is_count_unknown
         }
@@ -270,7 +270,7 @@
             in_use=in_use,
         )
 
-    def take_handover(self, message: ShardHandover) -> None:
+    def import_handover(self, message: ShardHandover) -> None:
         """Apply the handover message of a shard's previous owner."""
         self._key_owner.import_keys(message.shard_id, decode_keys(message))
         in_use = {each.executor_id: each.in_use for each in message.in_use}
@@ -278,7 +278,7 @@
             message.shard_id, epoch=message.epoch, in_use=in_use
         )
 
-    def follow_ownership(self) -> None:
+    def sync_ownership(self) -> None:
         """Add and remove executors after a change of shard ownership.
 
         Waiting for the next periodic update would be too late. Other instances route by
@@ -286,7 +286,7 @@
         """
         self._upkeep.sync()
 
-    def note_predecessor_gone(self, shard_id: str) -> None:
+    def handle_owner_terminated(self, shard_id: str) -> None:
         """Handle the confirmed termination of a shard's previous owner."""
         self._upkeep.release_reserved_slots(shard_id)
 
--- a/trefoilhook/requests/dedup.py
+++ b/trefoilhook/requests/dedup.py
@@ -16,7 +16,7 @@
 from trefoilhook.results import Outcome, ResultCode
 
 __all__ = [
-    "ActingWindow",
+    "KeyTimeWindow",
     "KeyRecord",
     "KeyState",
     "KeyTable",
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ActingWindow:
+class KeyTimeWindow:
     """Range of key times that an owner accepts.
 
     Parameters
@@ -53,20 +53,20 @@
     since_wall_ms : float
         Wall time on the owner's clock, read after its claim succeeded; minus infinity
         if there was no owner before.
-    skew_ms : float
+    max_clock_skew_ms : float
         Maximum difference between the wall clocks of two instances, in ms.
-    ahead_ms : float
+    max_ahead_ms : float
         Maximum time by which a key may be ahead of the owner's wall clock, in ms.
     """
 
     since_wall_ms: float
-    skew_ms: float
-    ahead_ms: float
+    max_clock_skew_ms: float
+    max_ahead_ms: float
 
     @property
     def floor_ms(self) -> float:
         """Key time from which no previous owner can have accepted a key."""
-        return self.since_wall_ms + self.skew_ms + self.ahead_ms
+        return self.since_wall_ms + self.max_clock_skew_ms + self.max_ahead_ms
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -77,7 +77,7 @@
     ----------
     key : bytes
         The key.
-    minted_ms : int
+    created_ms : int
         Creation time of the key, in ms since the Unix epoch.
     digest : bytes
         Digest of the first request with the key.
@@ -92,7 +92,7 @@
     """
 
     key: bytes
-    minted_ms: int
+    created_ms: int
     digest: bytes
     state: KeyState = KeyState.IN_PROGRESS
     answer: CallerAnswer | None = None
@@ -164,10 +164,10 @@
         self,
         *,
         key: bytes,
-        minted_ms: int,
+        created_ms: int,
         digest: bytes,
         wall_ms: float,
-        window: ActingWindow,
+        window: KeyTimeWindow,
     ) -> Verdict:
         """Decide how to handle a request, and add its key if it is to be run.
 
@@ -175,28 +175,28 @@
         ----------
         key : bytes
             Key of the request.
-        minted_ms : int
+        created_ms : int
             Creation time of the key, in ms since the Unix epoch.
         digest : bytes
             Digest of the request.
         wall_ms : float
             Wall time, read *before* ownership was checked. If the process is suspended
             in between, a later reading could fall into the time of another owner.
-        window : ActingWindow
+        window : KeyTimeWindow
             Range of key times that the owner accepts.
         """
         self._evict_expired(wall_ms)
         record = self._records.get(key)
         if record is not None:
             return self._check_known_key(record, digest)
-        refusal = self._check_key_time(minted_ms, wall_ms, window)
+        refusal = self._check_key_time(created_ms, wall_ms, window)
         if refusal is not None:
             return refusal
         if self._size_bytes + _RECORD_BYTES > self._max_bytes:
             self._shrink()
         if self._size_bytes + _RECORD_BYTES > self._max_bytes:
             return _refuse(ResultCode.OVERLOADED, "too many keys are in progress")
-        record = KeyRecord(key=key, minted_ms=minted_ms, digest=digest)
+        record = KeyRecord(key=key, created_ms=created_ms, digest=digest)
         self._add(record)
         return Verdict(kind=VerdictKind.RUN, record=record)
 
@@ -219,17 +219,17 @@
             record.state = KeyState.DONE if is_executed else KeyState.UNKNOWN
             self._size_bytes += record.size_bytes
             self._answers[record.key] = None
-            heapq.heappush(self._by_age, (record.minted_ms, record.key))
+            heapq.heappush(self._by_age, (record.created_ms, record.key))
         record.finished.set()
         if self._size_bytes > self._max_bytes:
             self._shrink()
 
     def list_records(self) -> tuple[KeyRecord, ...]:
         """Return the records for a handover, oldest key first."""
-        records = sorted(self._records.values(), key=lambda each: each.minted_ms)
+        records = sorted(self._records.values(), key=lambda each: each.created_ms)
         return tuple(records)
 
-    def get_known_from_ms(self, window: ActingWindow) -> float:
+    def get_known_from_ms(self, window: KeyTimeWindow) -> float:
         """Return the key time from which the table contains every key that was run.
 
         The next owner can use it as its lower bound if it also receives the records.
@@ -256,7 +256,7 @@
                 record.state = KeyState.UNKNOWN
             record.finished.set()
             self._add(record)
-            heapq.heappush(self._by_age, (record.minted_ms, record.key))
+            heapq.heappush(self._by_age, (record.created_ms, record.key))
             if record.answer is not None:
                 self._answers[record.key] = None
         if self._size_bytes > self._max_bytes:
@@ -277,17 +277,17 @@
         return Verdict(kind=VerdictKind.ANSWER, answer=answer)
 
     def _check_key_time(
-        self, minted_ms: int, wall_ms: float, window: ActingWindow
+        self, created_ms: int, wall_ms: float, window: KeyTimeWindow
     ) -> Verdict | None:
         # A previous owner may have run the key before it crashed, or may be suspended
         # between its check and its send. It accepted every such key before the claim,
-        # with a key time at most ``ahead_ms`` past its clock, so all of them are below
-        # the bound and are refused here.
-        if minted_ms < self.get_known_from_ms(window):
+        # with a key time at most ``max_ahead_ms`` past its clock, so all of them are
+        # below the bound and are refused here.
+        if created_ms < self.get_known_from_ms(window):
             return _refuse(ResultCode.KEY_TOO_OLD, "minted before this owner can tell")
         # Conversely, a key that is further ahead could be accepted by the next owner
         # as well.
-        if minted_ms >= wall_ms + window.ahead_ms:
+        if created_ms >= wall_ms + window.max_ahead_ms:
             return _refuse(ResultCode.KEY_AHEAD, "")
         return None
 
@@ -305,11 +305,11 @@
 
     def _evict_oldest(self) -> None:
         """Evict the finished record with the oldest key."""
-        minted_ms, key = heapq.heappop(self._by_age)
+        created_ms, key = heapq.heappop(self._by_age)
         record = self._records.pop(key)
         self._size_bytes -= record.size_bytes
         self._answers.pop(key, None)
-        self._evicted_until_ms = max(self._evicted_until_ms, minted_ms + 1)
+        self._evicted_until_ms = max(self._evicted_until_ms, created_ms + 1)
 
     def _shrink(self) -> None:
         """Evict the answers that finished first, then the oldest records.
--- a/trefoilhook/requests/dispatch.py
+++ b/trefoilhook/requests/dispatch.py
@@ -5,7 +5,7 @@
 import attrs
 
 from trefoilhook.exceptions import AnswerLostError, NotSentError, RequestError
-from trefoilhook.executors import ExecutorAnswer
+from trefoilhook.executors import ExecutorResponse
 from trefoilhook.requests.models import CallerAnswer
 from trefoilhook.requests.owned import Grant
 from trefoilhook.requests.pending import Components, PendingRequest
@@ -42,7 +42,9 @@
         """
         executor = self.grant.executor
         components = self.components
-        is_owner = components.ownership.owns(executor.shard_id) == executor.epoch
+        is_owner = (
+            components.ownership.get_serving_epoch(executor.shard_id) == executor.epoch
+        )
         is_in_time = components.clock.monotonic_ms() < self.pending.deadline_ms
         if not is_owner or not is_in_time or executor.slots.is_leaving:
             self.is_withdrawn = True
@@ -132,14 +134,14 @@
         components.pool.release(grant, outcome)
 
 
-def _classify_outcome(answer: ExecutorAnswer) -> AttemptOutcome:
+def _classify_outcome(answer: ExecutorResponse) -> AttemptOutcome:
     if answer.status >= _MIN_FAILURE_STATUS:
         return AttemptOutcome.FAILED
     return AttemptOutcome.ANSWERED
 
 
 def _build_answer(
-    components: Components, grant: Grant, answer: ExecutorAnswer
+    components: Components, grant: Grant, answer: ExecutorResponse
 ) -> CallerAnswer:
     is_failure = answer.status >= _MIN_FAILURE_STATUS
     return CallerAnswer(
--- a/trefoilhook/requests/handover.py
+++ b/trefoilhook/requests/handover.py
@@ -6,7 +6,7 @@
 from trefoilhook.inner.messages_pb2 import KeyRecord as KeyRecordMessage
 from trefoilhook.requests.dedup import KeyRecord, KeyState
 from trefoilhook.requests.keyowner import KeyHandover
-from trefoilhook.requests.keys import read_minted_ms
+from trefoilhook.requests.keys import read_created_ms
 from trefoilhook.requests.models import CallerAnswer
 from trefoilhook.requests.pending import decode_answer, encode_answer
 from trefoilhook.results import Outcome, ResultCode
@@ -84,7 +84,7 @@
         kept_answer = answer
     return KeyRecord(
         key=message.key,
-        minted_ms=read_minted_ms(message.key),
+        created_ms=read_created_ms(message.key),
         digest=message.request_digest,
         state=state,
         answer=kept_answer,
--- a/trefoilhook/requests/keyowner.py
+++ b/trefoilhook/requests/keyowner.py
@@ -8,15 +8,15 @@
 from trefoilhook.inner.messages_pb2 import ServiceRequest
 from trefoilhook.requests.coordination import coordinate
 from trefoilhook.requests.dedup import (
-    ActingWindow,
     KeyRecord,
     KeyTable,
+    KeyTimeWindow,
     VerdictKind,
 )
 from trefoilhook.requests.keys import (
     compute_digest,
     compute_key_shard,
-    read_minted_ms,
+    read_created_ms,
 )
 from trefoilhook.requests.models import CallerAnswer
 from trefoilhook.requests.pending import Components, PendingRequest
@@ -97,17 +97,17 @@
             Instance that received the request from the caller.
         """
         components = self.components
-        minted_ms = read_minted_ms(pending.key)
+        created_ms = read_created_ms(pending.key)
         wall_ms = components.clock.wall_ms()  # must be read before the ownership check
         count = components.settings.shard_count
         shard_id = compute_key_shard(pending.key, shard_count=count)
-        epoch = components.ownership.owns(shard_id)
+        epoch = components.ownership.get_serving_epoch(shard_id)
         if epoch is None:
             return components.refuse(ResultCode.NO_OWNER)
         table = self._get_table(shard_id, epoch)
         verdict = table.begin(
             key=pending.key,
-            minted_ms=minted_ms,
+            created_ms=created_ms,
             digest=compute_digest(
                 team=pending.team,
                 service=pending.service,
@@ -154,7 +154,7 @@
 
     def import_keys(self, shard_id: str, handover: KeyHandover) -> None:
         """Import the keys of the previous owner, before or after the claim."""
-        epoch = self.components.ownership.owns(shard_id)
+        epoch = self.components.ownership.get_serving_epoch(shard_id)
         if epoch is None:
             self._handed_over[shard_id] = handover
             return
@@ -197,12 +197,12 @@
             known_from_ms=known_from_ms, records=list(handover.records)
         )
 
-    def _get_window(self, shard_id: str) -> ActingWindow:
+    def _get_window(self, shard_id: str) -> KeyTimeWindow:
         settings = self.components.settings
-        return ActingWindow(
-            since_wall_ms=self.components.ownership.own_since_wall_ms(shard_id),
-            skew_ms=settings.clock_skew_ms,
-            ahead_ms=settings.key_ahead_ms,
+        return KeyTimeWindow(
+            since_wall_ms=self.components.ownership.serving_since_wall_ms(shard_id),
+            max_clock_skew_ms=settings.clock_skew_ms,
+            max_ahead_ms=settings.key_ahead_ms,
         )
 
     def _set_owner(self, answer: CallerAnswer | None) -> CallerAnswer:
--- a/trefoilhook/requests/keys.py
+++ b/trefoilhook/requests/keys.py
@@ -16,9 +16,9 @@
     "compute_key_shard",
     "format_key",
     "format_shard_id",
-    "mint_key",
+    "generate_key",
     "parse_key",
-    "read_minted_ms",
+    "read_created_ms",
 ]
 
 _KEY_VERSION = 7
@@ -27,7 +27,7 @@
 _EXECUTOR_CACHE_SIZE = 4_096
 
 
-def mint_key() -> bytes:
+def generate_key() -> bytes:
     """Return the 16 bytes of a new time-ordered key (UUIDv7)."""
     return uuid6.uuid7().bytes
 
@@ -53,7 +53,7 @@
     return key.bytes
 
 
-def read_minted_ms(key: bytes) -> int:
+def read_created_ms(key: bytes) -> int:
     """Return the creation time of a key, in ms since the Unix epoch.
 
     Raises
--- a/trefoilhook/requests/models.py
+++ b/trefoilhook/requests/models.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from trefoilhook.executors import ExecutorAnswer, ExecutorHealth
+from trefoilhook.executors import ExecutorHealth, ExecutorResponse
 from trefoilhook.results import ResultCode
 
 __all__ = [
@@ -20,7 +20,7 @@
     "OwnershipView",
     "ServiceSettings",
     "TeamView",
-    "TokenVerdict",
+    "TokenCheckResult",
     "build_service_name",
 ]
 
@@ -35,7 +35,7 @@
 
     FIRST = "first"
     REPEATED = "repeated"
-    NOT_SAID = "not said"
+    UNSPECIFIED = "not said"
 
 
 @attrs.frozen(kw_only=True)
@@ -64,7 +64,7 @@
     content_type: str = ""
     body: bytes = b""
     timeout_ms: float | None = None
-    attempt: Attempt = Attempt.NOT_SAID
+    attempt: Attempt = Attempt.UNSPECIFIED
 
 
 @attrs.frozen(kw_only=True)
@@ -158,7 +158,7 @@
     max_queue: int = 64
 
 
-class TokenVerdict(enum.Enum):
+class TokenCheckResult(enum.Enum):
     """Result of checking a caller's token."""
 
     ALLOWED = "allowed"
@@ -183,7 +183,7 @@
 
     find_service: Callable[[str, str], ServiceSettings | None]
     get_quota_per_s: Callable[[str], float]
-    check_token: Callable[[str, str], TokenVerdict]
+    check_token: Callable[[str, str], TokenCheckResult]
 
 
 class Owner(Protocol):
@@ -204,10 +204,10 @@
     def find_owner(self, shard_id: str) -> Owner | None:
         """Return the owner of a shard as known to this instance, or None."""
 
-    def owns(self, shard_id: str) -> int | None:
+    def get_serving_epoch(self, shard_id: str) -> int | None:
         """Return this instance's epoch if it may act for the shard now, else None."""
 
-    def own_since_wall_ms(self, shard_id: str) -> float:
+    def serving_since_wall_ms(self, shard_id: str) -> float:
         """Return the wall time of this instance's claim, read after it succeeded.
 
         Minus infinity if the shard had no owner before.
@@ -236,7 +236,7 @@
     async def call(self, instance_id: str, message: Any, *, timeout_ms: float) -> Any:
         """Send a message and wait for the reply."""
 
-    def tell(self, instance_id: str, message: Any) -> bool:
+    def send_one_way(self, instance_id: str, message: Any) -> bool:
         """Send a message without a reply."""
 
 
@@ -251,10 +251,10 @@
         timeout_ms: float,
         request_id: str,
         may_send: Callable[[], bool],
-    ) -> ExecutorAnswer:
+    ) -> ExecutorResponse:
         """Run one request."""
 
-    async def check_health(self, *, timeout_ms: float) -> ExecutorHealth:
+    async def get_health(self, *, timeout_ms: float) -> ExecutorHealth:
         """Query the number of requests that the executor runs."""
 
     async def close(self) -> None:
--- a/trefoilhook/requests/pending.py
+++ b/trefoilhook/requests/pending.py
@@ -12,8 +12,8 @@
 from trefoilhook.requests.buckets import TeamQuotas
 from trefoilhook.requests.keys import (
     compute_executor_shard,
-    mint_key,
-    read_minted_ms,
+    generate_key,
+    read_created_ms,
 )
 from trefoilhook.requests.models import (
     CallerAnswer,
@@ -242,12 +242,12 @@
     if request.timeout_ms is not None:
         timeout_ms = min(timeout_ms, request.timeout_ms)
     if request.key:
-        read_minted_ms(request.key)
+        read_created_ms(request.key)
     return PendingRequest(
         team=request.team,
         service=request.service,
         key=request.key,
-        request_id=(request.key or mint_key()).hex(),
+        request_id=(request.key or generate_key()).hex(),
         is_idempotent=settings.is_idempotent,
         content_type=request.content_type,
         body=request.body,
@@ -268,7 +268,7 @@
         team=request.team,
         service=request.service,
         key=request.key,
-        request_id=(request.key or mint_key()).hex(),
+        request_id=(request.key or generate_key()).hex(),
         is_idempotent=settings.is_idempotent and request.is_idempotent,
         content_type=request.content_type,
         body=request.body,
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -35,7 +35,7 @@
     started : int
         Number of requests that this instance had started so far.
     releasable : int
-        Number of unproved slots that the probe may release: those of requests whose
+        Number of unconfirmed slots that the probe may release: those of requests whose
         bytes can no longer arrive at the executor.
     """
 
@@ -69,17 +69,17 @@
         Whether the executor must not receive new requests.
     in_progress : int
         Number of requests that this instance has in progress on the executor.
-    unproved : int
-        Number of unproved slots; see the notes.
+    unconfirmed : int
+        Number of unconfirmed slots; see the notes.
 
     Notes
     -----
     A slot is in use by a request that this instance has in progress, by one whose
     answer was lost and that may still run, or by a request of a previous owner. The
-    last two kinds are *unproved*. The executor reports only a total, so its count can
-    release unproved slots only while this instance has no request in progress there.
-    New requests to an executor with unproved slots are therefore paused from time to
-    time, until it is idle and has been probed.
+    last two kinds are *unconfirmed*. The executor reports only a total, so its count
+    can release unconfirmed slots only while this instance has no request in progress
+    there. New requests to an executor with unconfirmed slots are therefore paused from
+    time to time, until it is idle and has been probed.
     """
 
     slots: int
@@ -90,7 +90,7 @@
     reserved_until_ms: float = -math.inf
     is_leaving: bool = False
     in_progress: int = 0
-    unproved: int = 0
+    unconfirmed: int = 0
     _lost_at_ms: list[float] = attrs.field(factory=list, init=False)
     _started: int = attrs.field(default=0, init=False)
     _pause_at_ms: float = attrs.field(default=0.0, init=False)
@@ -106,7 +106,7 @@
     def count_in_use(self, now_ms: float) -> int:
         """Return the number of slots that may be in use, including a reserved one."""
         reserved = 1 if now_ms < self.reserved_until_ms else 0
-        return self.in_progress + self.unproved + reserved
+        return self.in_progress + self.unconfirmed + reserved
 
     def count_free(self, now_ms: float) -> int:
         """Return the number of requests that may be sent now."""
@@ -126,11 +126,11 @@
         if self.is_leaving:
             return 0
         limit = self.circuit.get_limit(now_ms=now_ms, slots=self.slots)
-        return min(limit, max(1, self.slots - self.unproved))
+        return min(limit, max(1, self.slots - self.unconfirmed))
 
     def is_paused(self, now_ms: float) -> bool:
-        """Return whether new requests are paused to probe the unproved slots."""
-        return self.unproved > 0 and now_ms >= self._pause_at_ms
+        """Return whether new requests are paused to probe the unconfirmed slots."""
+        return self.unconfirmed > 0 and now_ms >= self._pause_at_ms
 
     def acquire(self, now_ms: float) -> None:
         """Acquire a slot for a request.
@@ -175,7 +175,7 @@
         return Probe(
             is_idle=self.in_progress == 0,
             started=self._started,
-            releasable=max(0, self.unproved - fresh),
+            releasable=max(0, self.unconfirmed - fresh),
         )
 
     def end_probe(self, probe: Probe, *, in_use: int, now_ms: float) -> None:
@@ -194,14 +194,14 @@
             return
         if self.is_count_unknown:
             self.is_count_unknown = False
-            self.unproved = 0
+            self.unconfirmed = 0
             self._lost_at_ms.clear()
             self._add_unproved(min(in_use, self.slots), now_ms)
             return
         released = max(0, probe.releasable - in_use)
-        self.unproved = max(0, self.unproved - released)
+        self.unconfirmed = max(0, self.unconfirmed - released)
         del self._lost_at_ms[: min(released, len(self._lost_at_ms))]
-        is_mostly_unproved = 2 * self.unproved >= self.slots
+        is_mostly_unproved = 2 * self.unconfirmed >= self.slots
         if released or is_mostly_unproved:
             self._pause_interval_ms = _INITIAL_PAUSE_INTERVAL_MS
         else:
@@ -227,7 +227,7 @@
         self._add_unproved(min(in_use, self.slots), now_ms)
 
     def _add_unproved(self, count: int, now_ms: float) -> None:
-        if count and not self.unproved:
+        if count and not self.unconfirmed:
             self._pause_interval_ms = _INITIAL_PAUSE_INTERVAL_MS
             self._pause_at_ms = now_ms + self._pause_interval_ms
-        self.unproved += count
+        self.unconfirmed += count
--- a/trefoilhook/requests/tests/fakes.py
+++ b/trefoilhook/requests/tests/fakes.py
@@ -11,7 +11,7 @@
 
 from trefoilhook.clock import build_system_clock
 from trefoilhook.exceptions import AnswerLostError, NotSentError
-from trefoilhook.executors import ExecutorAnswer, ExecutorHealth
+from trefoilhook.executors import ExecutorHealth, ExecutorResponse
 from trefoilhook.inner.messages_pb2 import ExecutorLoads
 from trefoilhook.requests import (
     CallerRequest,
@@ -20,7 +20,7 @@
     RequestSettings,
     ServiceSettings,
     TeamView,
-    TokenVerdict,
+    TokenCheckResult,
     compute_executor_shard,
     compute_key_shard,
 )
@@ -31,7 +31,7 @@
     trio.run(scenario, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def mint_at(wall_ms: float, generator: random.Random | None = None) -> bytes:
+def generate_key_at(wall_ms: float, generator: random.Random | None = None) -> bytes:
     """Return a new UUIDv7 with the given creation time."""
     value = (generator or random.Random()).getrandbits(80)
     return uuid6.UUID(int=(int(wall_ms) << 80) | value, version=7).bytes
@@ -51,18 +51,18 @@
 
     instance_id: str
     owners: dict[str, FakeOwner]
-    rights: dict[str, int] = attrs.field(factory=dict)
+    serving_epochs: dict[str, int] = attrs.field(factory=dict)
     since_wall_ms: dict[str, float] = attrs.field(factory=dict)
     before_check: Callable[[], None] = lambda: None
 
     def find_owner(self, shard_id):
         return self.owners.get(shard_id)
 
-    def owns(self, shard_id):
+    def get_serving_epoch(self, shard_id):
         self.before_check()
-        return self.rights.get(shard_id)
+        return self.serving_epochs.get(shard_id)
 
-    def own_since_wall_ms(self, shard_id):
+    def serving_since_wall_ms(self, shard_id):
         return self.since_wall_ms.get(shard_id, -math.inf)
 
 
@@ -110,7 +110,7 @@
             raise AnswerLostError("link cut")
         return reply
 
-    def tell(self, instance_id, message):
+    def send_one_way(self, instance_id, message):
         self.messages_sent += 1
         if not isinstance(message, ExecutorLoads) or instance_id in self.unreachable:
             return False
@@ -162,11 +162,11 @@
             raise AnswerLostError("timed out") from error
         finally:
             self.running -= 1
-        return ExecutorAnswer(
+        return ExecutorResponse(
             status=self.status, content_type="text/plain", body=b"whole " + body
         )
 
-    async def check_health(self, *, timeout_ms):
+    async def get_health(self, *, timeout_ms):
         await trio.sleep(0.001)
         return ExecutorHealth(slots=self.slots, in_use=self.running + self.orphans)
 
@@ -227,7 +227,7 @@
         ownership = FakeOwnership(instance_id=name, owners=self.owners)
         for shard_id, owner in self.owners.items():
             if owner.instance_id == name:
-                ownership.rights[shard_id] = owner.epoch
+                ownership.serving_epochs[shard_id] = owner.epoch
         inner = FakeInner(instance_id=name, services=self.services)
         sign = (-1, 0, 1)[int(name[1:]) % 3]
         offset_ms = sign * self.wall_offset_ms
@@ -248,7 +248,7 @@
             teams=TeamView(
                 find_service=lambda team, service: self.service,
                 get_quota_per_s=lambda team: self.quota_per_s,
-                check_token=lambda team, token: TokenVerdict.ALLOWED,
+                check_token=lambda team, token: TokenCheckResult.ALLOWED,
             ),
             list_executors=lambda: self.targets,
             list_peers=lambda: [each for each in names if each != name],
@@ -265,14 +265,14 @@
     def move_shard(self, shard_id: str, name: str) -> None:
         """Move a shard to another instance after the old owner lost its ownership."""
         old = self.owners[shard_id]
-        self.ownerships[old.instance_id].rights.pop(shard_id, None)
+        self.ownerships[old.instance_id].serving_epochs.pop(shard_id, None)
         self.claim_shard(shard_id, name)
 
     def claim_shard(self, shard_id: str, name: str) -> None:
         """Claim a shard for an instance without notifying the old owner."""
         epoch = self.owners[shard_id].epoch + 1
         self.owners[shard_id] = FakeOwner(instance_id=name, epoch=epoch)
-        self.ownerships[name].rights[shard_id] = epoch
+        self.ownerships[name].serving_epochs[shard_id] = epoch
         self.ownerships[name].since_wall_ms[shard_id] = self.clocks[name].wall_ms()
 
     def find_key_shard(self, key: bytes) -> str:
@@ -283,10 +283,10 @@
             executor_id, shard_count=self.settings.shard_count
         )
 
-    def mint(self, owner: str = "") -> bytes:
+    def generate_key(self, owner: str = "") -> bytes:
         """Return a new key, optionally one that a given instance owns."""
         while True:
-            key = mint_at(self.clock.wall_ms(), self.generator)
+            key = generate_key_at(self.clock.wall_ms(), self.generator)
             shard_id = self.find_key_shard(key)
             if not owner or self.owners[shard_id].instance_id == owner:
                 return key
--- a/trefoilhook/requests/tests/test_dedup.py
+++ b/trefoilhook/requests/tests/test_dedup.py
@@ -7,16 +7,16 @@
 import hypothesis
 from hypothesis import strategies
 
-from trefoilhook.requests.dedup import ActingWindow, KeyTable, VerdictKind
+from trefoilhook.requests.dedup import KeyTable, KeyTimeWindow, VerdictKind
 from trefoilhook.requests.models import CallerAnswer
-from trefoilhook.requests.tests.fakes import mint_at
+from trefoilhook.requests.tests.fakes import generate_key_at
 from trefoilhook.results import ResultCode
 
 _NOW_MS = 1_750_000_000_000
 _SKEW_MS = 500.0
 _AHEAD_MS = 300.0
-_WINDOW = ActingWindow(
-    since_wall_ms=_NOW_MS - 60_000, skew_ms=_SKEW_MS, ahead_ms=_AHEAD_MS
+_WINDOW = KeyTimeWindow(
+    since_wall_ms=_NOW_MS - 60_000, max_clock_skew_ms=_SKEW_MS, max_ahead_ms=_AHEAD_MS
 )
 _OK = CallerAnswer(code=ResultCode.OK, status=200, body=b"whole")
 
@@ -26,11 +26,11 @@
     return KeyTable(max_age_ms=max_age_ms, max_bytes=max_bytes)
 
 
-def begin(table, minted_ms=_NOW_MS, *, key=None, window=_WINDOW, **changes):
+def begin(table, created_ms=_NOW_MS, *, key=None, window=_WINDOW, **changes):
     """Pass a request to a key table."""
     fields = {
-        "key": key or mint_at(minted_ms),
-        "minted_ms": minted_ms,
+        "key": key or generate_key_at(created_ms),
+        "created_ms": created_ms,
         "digest": b"d",
         "wall_ms": _NOW_MS,
         "window": window,
@@ -61,7 +61,7 @@
         for ending, expected in table:
             with self.subTest(ending=ending):
                 keys = build_table()
-                key = mint_at(_NOW_MS)
+                key = generate_key_at(_NOW_MS)
                 record = begin(keys, key=key).record
                 if ending is not None:
                     keys.finish(record, ending)
@@ -77,7 +77,7 @@
         # would disclose it to the wrong caller.
         for ending in (None, _OK, CallerAnswer(code=ResultCode.ANSWER_LOST)):
             keys = build_table()
-            key = mint_at(_NOW_MS)
+            key = generate_key_at(_NOW_MS)
             record = begin(keys, key=key).record
             if ending is not None:
                 keys.finish(record, ending)
@@ -98,17 +98,17 @@
             (_NOW_MS + _AHEAD_MS, ResultCode.KEY_AHEAD),
             (_NOW_MS + 86_400_000, ResultCode.KEY_AHEAD),
         )
-        for minted_ms, expected in table:
-            with self.subTest(minted_ms=minted_ms - _NOW_MS):
-                verdict = begin(build_table(), int(minted_ms))
+        for created_ms, expected in table:
+            with self.subTest(created_ms=created_ms - _NOW_MS):
+                verdict = begin(build_table(), int(created_ms))
                 self.assertEqual(get_code(verdict), expected)
 
     def test_key_ahead_that_may_have_run_is_refused_as_too_old(self):
         # An owner with a fast clock accepts a key and crashes. To the next owner, with
         # a slow clock, the key is in the future. It must not answer "not run".
         window = attrs.evolve(_WINDOW, since_wall_ms=float(_NOW_MS))
-        minted_ms = int(_NOW_MS + _AHEAD_MS + 200)
-        verdict = begin(build_table(), minted_ms, window=window)
+        created_ms = int(_NOW_MS + _AHEAD_MS + 200)
+        verdict = begin(build_table(), created_ms, window=window)
         self.assertEqual(get_code(verdict), ResultCode.KEY_TOO_OLD)
 
     def test_first_claim_accepts_old_keys(self):
@@ -134,14 +134,14 @@
         # crashes afterwards. Another instance claims the shard at once, the caller
         # retries there, and the old owner resumes and sends. At least one of the owners
         # must refuse the key, whatever the clocks and the key time.
-        minted_ms = _NOW_MS + accepted_ms + ahead_ms
+        created_ms = _NOW_MS + accepted_ms + ahead_ms
         new = attrs.evolve(_WINDOW, since_wall_ms=_NOW_MS + new_error)
         at_old = begin(
-            build_table(), minted_ms, wall_ms=_NOW_MS + accepted_ms + old_error
+            build_table(), created_ms, wall_ms=_NOW_MS + accepted_ms + old_error
         )
         at_new = begin(
             build_table(),
-            minted_ms,
+            created_ms,
             wall_ms=_NOW_MS + retry_ms + new_error,
             window=new,
         )
@@ -161,7 +161,7 @@
         )
         for name, keys, count, wall_ms in tables:
             with self.subTest(name):
-                first = mint_at(_NOW_MS)
+                first = generate_key_at(_NOW_MS)
                 keys.finish(begin(keys, key=first).record, _OK)
                 for number in range(1, count):
                     record = begin(keys, _NOW_MS + number).record
@@ -174,7 +174,7 @@
         # Keys are evicted by age, then the wall clock is set back. The keys appear
         # recent again and must still be refused.
         keys = build_table(max_age_ms=10_000.0)
-        key = mint_at(_NOW_MS)
+        key = generate_key_at(_NOW_MS)
         keys.finish(begin(keys, key=key).record, _OK)
         begin(keys, _NOW_MS + 30_000, wall_ms=_NOW_MS + 30_000)
         verdict = begin(keys, key=key, wall_ms=_NOW_MS)
@@ -182,7 +182,7 @@
 
     def test_answers_are_evicted_before_keys(self):
         keys = build_table(max_bytes=20_000)
-        names = [mint_at(_NOW_MS + number) for number in range(4)]
+        names = [generate_key_at(_NOW_MS + number) for number in range(4)]
         large = attrs.evolve(_OK, body=b"x" * 6_000)
         for number, key in enumerate(names):
             keys.finish(begin(keys, _NOW_MS + number, key=key).record, large)
@@ -199,7 +199,7 @@
 
     def test_repeat_of_old_key_in_progress_waits_for_answer(self):
         keys = build_table(max_age_ms=10_000.0)
-        key = mint_at(_NOW_MS)
+        key = generate_key_at(_NOW_MS)
         record = begin(keys, key=key).record
         verdict = begin(keys, key=key, wall_ms=_NOW_MS + 60_000)
         self.assertEqual(verdict.kind, VerdictKind.WAIT)
--- a/trefoilhook/requests/tests/test_invariants.py
+++ b/trefoilhook/requests/tests/test_invariants.py
@@ -10,7 +10,7 @@
 from trefoilhook.requests.tests.fakes import (
     Cluster,
     build_request,
-    mint_at,
+    generate_key_at,
     run_virtual,
 )
 from trefoilhook.results import Outcome
@@ -42,11 +42,11 @@
             shard_id = self.generator.choice(list(cluster.owners))
             owner = cluster.owners[shard_id]
             old, new = owner.instance_id, self.generator.choice(names)
-            cluster.ownerships[old].rights.pop(shard_id, None)
+            cluster.ownerships[old].serving_epochs.pop(shard_id, None)
             if self.generator.random() < 0.5:
                 service = cluster.services[old]
                 handover = service.export_handover(shard_id, owner.epoch)
-                cluster.services[new].take_handover(handover)
+                cluster.services[new].import_handover(handover)
             await trio.sleep(self.generator.choice((0.0, 0.05, 0.3)))
             cluster.claim_shard(shard_id, new)
             executor = self.generator.choice(list(cluster.executors.values()))
@@ -60,7 +60,7 @@
         await trio.sleep(self.generator.uniform(0.0, 8.0))
         body = f"order {number}".encode()
         wall_ms = self.cluster.clock.wall_ms() + self.generator.uniform(-900.0, 900.0)
-        key = mint_at(wall_ms, self.generator)
+        key = generate_key_at(wall_ms, self.generator)
         request = build_request(key, body=body, timeout_ms=1_000.0)
         for _ in range(4):
             service = self.generator.choice(list(self.cluster.services.values()))
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -49,7 +49,7 @@
                     end = trio.current_time() + 2
                     while trio.current_time() < end:
                         if is_busy:
-                            request = build_request(cluster.mint())
+                            request = build_request(cluster.generate_key())
                             await cluster.services[name].handle_caller(request)
                             await trio.sleep(0.04)
                         else:
@@ -96,7 +96,10 @@
             new = "i1" if old == "i0" else "i0"
             cluster.move_shard(shard_id, new)
             message = ServiceRequest(
-                team="sky", service="seats", key=cluster.mint(), executor_id="exec-0"
+                team="sky",
+                service="seats",
+                key=cluster.generate_key(),
+                executor_id="exec-0",
             )
             call = FakeCall(sender_id=old, message=message, timeout_ms=40_000.0)
             answer = await cluster.services[new].handle_inner(call)
--- a/trefoilhook/requests/tests/test_path.py
+++ b/trefoilhook/requests/tests/test_path.py
@@ -30,7 +30,9 @@
 
         async def scenario(nursery):
             for service in cluster.services.values():
-                answer = await service.handle_caller(build_request(cluster.mint()))
+                answer = await service.handle_caller(
+                    build_request(cluster.generate_key())
+                )
                 self.assertEqual(answer.code, ResultCode.OK)
                 self.assertEqual(answer.body, b"whole two")
 
@@ -44,7 +46,7 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint())
+            request = build_request(cluster.generate_key())
 
             async def send(service):
                 answers.append(await service.handle_caller(request))
@@ -67,7 +69,7 @@
 
         async def scenario(nursery):
             cluster.inners["i0"].lost_answers = 1
-            request = build_request(cluster.mint(owner="i1"))
+            request = build_request(cluster.generate_key(owner="i1"))
             answers.append(await cluster.services["i0"].handle_caller(request))
 
         run_scenario(cluster, scenario)
@@ -81,7 +83,7 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint())
+            request = build_request(cluster.generate_key())
             shard_id = cluster.find_key_shard(request.key)
             old = cluster.owners[shard_id].instance_id
             await cluster.services[old].handle_caller(request)
@@ -98,14 +100,14 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint())
+            request = build_request(cluster.generate_key())
             shard_id = cluster.find_key_shard(request.key)
             old = cluster.owners[shard_id].instance_id
             await cluster.services[old].handle_caller(request)
             new = next(name for name in cluster.services if name != old)
             cluster.move_shard(shard_id, new)
             handover = cluster.services[old].export_handover(shard_id, 1)
-            cluster.services[new].take_handover(handover)
+            cluster.services[new].import_handover(handover)
             answers.append(await cluster.services[new].handle_caller(request))
 
         run_scenario(cluster, scenario)
@@ -125,13 +127,13 @@
             executor.stall_before_send = trio.Event()
 
             async def ask():
-                request = build_request(cluster.mint())
+                request = build_request(cluster.generate_key())
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
             nursery.start_soon(ask)
             await executor.stalled.wait()
             shard_id = cluster.find_executor_shard("exec-0")
-            del cluster.ownerships["i0"].rights[shard_id]
+            del cluster.ownerships["i0"].serving_epochs[shard_id]
             executor.stall_before_send.set()
             await trio.sleep(6)
 
@@ -155,7 +157,7 @@
                     if cluster.service.is_idempotent:
                         for name in list(cluster.executors)[1:]:
                             cluster.executors[name].lose_answers = 0
-                    request = build_request(cluster.mint())
+                    request = build_request(cluster.generate_key())
                     for _ in range(2):
                         service = cluster.services["i0"]
                         answers.append(await service.handle_caller(request))
@@ -175,7 +177,7 @@
         # If told "not run", it would repeat the request with a new key although the
         # first attempt was run.
         table = (
-            (Attempt.NOT_SAID, ResultCode.ATTEMPT_NOT_RUN),
+            (Attempt.UNSPECIFIED, ResultCode.ATTEMPT_NOT_RUN),
             (Attempt.REPEATED, ResultCode.ATTEMPT_NOT_RUN),
             (Attempt.FIRST, ResultCode.NO_OWNER),
         )
@@ -183,7 +185,7 @@
 
         async def scenario(nursery):
             for attempt, code in table:
-                request = build_request(cluster.mint(), attempt=attempt)
+                request = build_request(cluster.generate_key(), attempt=attempt)
                 cluster.owners.pop(cluster.find_key_shard(request.key), None)
                 answer = await cluster.services["i0"].handle_caller(request)
                 self.assertEqual(answer.code, code)
@@ -192,7 +194,7 @@
 
     def test_key_created_just_before_takeover(self):
         table = (
-            (Attempt.NOT_SAID, ResultCode.OUTCOME_UNKNOWN),
+            (Attempt.UNSPECIFIED, ResultCode.OUTCOME_UNKNOWN),
             (Attempt.FIRST, ResultCode.KEY_TOO_OLD),
         )
         for attempt, code in table:
@@ -200,7 +202,7 @@
             answers = []
 
             async def scenario(nursery, cluster=cluster, answers=answers, a=attempt):
-                request = build_request(cluster.mint(), attempt=a)
+                request = build_request(cluster.generate_key(), attempt=a)
                 cluster.move_shard(cluster.find_key_shard(request.key), "i2")
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
@@ -217,7 +219,7 @@
         async def scenario(nursery):
             for executor in cluster.executors.values():
                 executor.run_ms = 800.0
-            request = build_request(cluster.mint(), timeout_ms=300.0)
+            request = build_request(cluster.generate_key(), timeout_ms=300.0)
             for _ in range(3):
                 service = cluster.services["i0"]
                 answers.append(await service.handle_caller(request))
@@ -240,7 +242,7 @@
 
             async def ask(service):
                 begun = trio.current_time()
-                request = build_request(cluster.mint())
+                request = build_request(cluster.generate_key())
                 answers.append(await service.handle_caller(request))
                 late.append(trio.current_time() - begun > 0.401)
 
@@ -266,7 +268,7 @@
         async def scenario(nursery):
             await trio.sleep(2)
             for _ in range(120):
-                request = build_request(cluster.mint())
+                request = build_request(cluster.generate_key())
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
         settings = RequestSettings(shard_count=8)
@@ -286,7 +288,9 @@
             await trio.sleep(0.2)
             for service in cluster.services.values():
                 for _ in range(4):
-                    answer = await service.handle_caller(build_request(cluster.mint()))
+                    answer = await service.handle_caller(
+                        build_request(cluster.generate_key())
+                    )
                     self.assertEqual(answer.executor_id, "exec-1")
 
         run_scenario(cluster, scenario)
--- a/trefoilhook/requests/tests/test_policy.py
+++ b/trefoilhook/requests/tests/test_policy.py
@@ -15,9 +15,9 @@
 from trefoilhook.requests.keys import (
     compute_digest,
     compute_key_shard,
-    mint_key,
+    generate_key,
     parse_key,
-    read_minted_ms,
+    read_created_ms,
 )
 from trefoilhook.requests.models import CallerAnswer
 from trefoilhook.requests.retry import HedgePolicy, RetryPolicy
@@ -28,7 +28,7 @@
     Route,
     choose_route,
 )
-from trefoilhook.requests.tests.fakes import mint_at
+from trefoilhook.requests.tests.fakes import generate_key_at
 from trefoilhook.results import ResultCode
 
 
@@ -189,21 +189,21 @@
     """Idempotency keys and request digests."""
 
     def test_parse(self):
-        key = mint_key()
+        key = generate_key()
         text = key.hex()
         self.assertEqual(parse_key(text), key)
-        self.assertEqual(read_minted_ms(mint_at(1_234_567)), 1_234_567)
+        self.assertEqual(read_created_ms(generate_key_at(1_234_567)), 1_234_567)
         for bad in ("", "x", "6f0c0c9e-6a8f-4b5f-9d53-0d5a2f1c7f11"):
             with self.assertRaises(RequestError):
                 parse_key(bad)
         for bad in (b"", b"x" * 16, key[:-1]):
             with self.assertRaises(RequestError):
-                read_minted_ms(bad)
+                read_created_ms(bad)
 
     def test_keys_spread_evenly(self):
         counts: dict[str, int] = {}
         for _ in range(6_400):
-            shard_id = compute_key_shard(mint_key(), shard_count=64)
+            shard_id = compute_key_shard(generate_key(), shard_count=64)
             counts[shard_id] = counts.get(shard_id, 0) + 1
         self.assertEqual(len(counts), 64)
         self.assertLess(max(counts.values()), 160)
@@ -224,23 +224,29 @@
     def test_key_records_survive_encoding(self):
         answer = CallerAnswer(code=ResultCode.OK, status=200, body=b"whole")
         records = [
-            KeyRecord(key=mint_at(10), minted_ms=10, digest=b"1"),
+            KeyRecord(key=generate_key_at(10), created_ms=10, digest=b"1"),
             KeyRecord(
-                key=mint_at(20),
-                minted_ms=20,
+                key=generate_key_at(20),
+                created_ms=20,
                 digest=b"2",
                 state=KeyState.DONE,
                 answer=answer,
             ),
             KeyRecord(
-                key=mint_at(30), minted_ms=30, digest=b"3", state=KeyState.UNKNOWN
+                key=generate_key_at(30),
+                created_ms=30,
+                digest=b"3",
+                state=KeyState.UNKNOWN,
             ),
             KeyRecord(
-                key=mint_at(40), minted_ms=40, digest=b"4", state=KeyState.DROPPED
+                key=generate_key_at(40),
+                created_ms=40,
+                digest=b"4",
+                state=KeyState.DROPPED,
             ),
             KeyRecord(
-                key=mint_at(5),
-                minted_ms=5,
+                key=generate_key_at(5),
+                created_ms=5,
                 digest=b"5",
                 state=KeyState.DONE,
                 answer=attrs.evolve(answer, body=b"x" * 2_100_000),
@@ -251,7 +257,7 @@
             shard_id="req-000", epoch=4, handover=handover, in_use={"e": 3}
         )
         back = decode_keys(type(message).FromString(message.SerializeToString()))
-        states = {each.minted_ms: each.state for each in back.records}
+        states = {each.created_ms: each.state for each in back.records}
         self.assertEqual(
             states,
             {
@@ -262,7 +268,7 @@
                 40: KeyState.DROPPED,
             },
         )
-        done = next(each for each in back.records if each.minted_ms == 20)
+        done = next(each for each in back.records if each.created_ms == 20)
         self.assertEqual((done.answer.body, done.digest), (b"whole", b"2"))
         self.assertEqual(message.in_use[0].in_use, 3)
 
--- a/trefoilhook/requests/tests/test_slots.py
+++ b/trefoilhook/requests/tests/test_slots.py
@@ -32,7 +32,7 @@
 
 
 class SlotsTest(unittest.TestCase):
-    """Slots in use, unproved slots and reserved slots."""
+    """Slots in use, unconfirmed slots and reserved slots."""
 
     def test_slots_are_never_exceeded(self):
         slots = build_slots()
@@ -65,14 +65,14 @@
         slots.release(AttemptOutcome.LOST, now_ms=0.0)
         self.assertFalse(slots.needs_probe(300.0))
         slots.release(AttemptOutcome.ANSWERED, now_ms=300.0)
-        for in_use, unproved in ((1, 1), (0, 0)):
+        for in_use, unconfirmed in ((1, 1), (0, 0)):
             now_ms = slots._pause_at_ms
             self.assertEqual(slots.count_free(now_ms), 0)
             self.assertTrue(slots.needs_probe(now_ms))
             probe = slots.begin_probe(now_ms)
             slots.end_probe(probe, in_use=in_use, now_ms=now_ms)
-            self.assertEqual(slots.unproved, unproved)
-            self.assertEqual(slots.count_free(now_ms), 8 - unproved)
+            self.assertEqual(slots.unconfirmed, unconfirmed)
+            self.assertEqual(slots.count_free(now_ms), 8 - unconfirmed)
 
     def test_probe_while_bytes_may_still_arrive_releases_nothing(self):
         # A connection breaks, and a probe shortly afterwards reports no running
@@ -82,7 +82,7 @@
         slots.release(AttemptOutcome.LOST, now_ms=0.0)
         probe = slots.begin_probe(100.0)
         slots.end_probe(probe, in_use=0, now_ms=101.0)
-        self.assertEqual(slots.unproved, 1)
+        self.assertEqual(slots.unconfirmed, 1)
 
     def test_probe_during_own_requests_releases_nothing(self):
         # The executor reports only a total. If it were applied while this owner sends
@@ -93,12 +93,12 @@
         slots.acquire(1.0)
         probe = slots.begin_probe(300.0)
         slots.end_probe(probe, in_use=0, now_ms=301.0)
-        self.assertEqual(slots.unproved, 1)
+        self.assertEqual(slots.unconfirmed, 1)
         slots.release(AttemptOutcome.ANSWERED, now_ms=302.0)
         probe = slots.begin_probe(302.0)
         slots._started += 1
         slots.end_probe(probe, in_use=0, now_ms=303.0)
-        self.assertEqual(slots.unproved, 1)
+        self.assertEqual(slots.unconfirmed, 1)
 
     def test_takeover_counts_requests_of_previous_owner(self):
         # An owner is suspended with five requests running and one checked but not sent.
--- a/trefoilhook/requests/tests/test_takeover.py
+++ b/trefoilhook/requests/tests/test_takeover.py
@@ -10,7 +10,7 @@
 from trefoilhook.requests.tests.fakes import (
     Cluster,
     build_request,
-    mint_at,
+    generate_key_at,
     run_virtual,
 )
 from trefoilhook.results import Outcome, ResultCode
@@ -39,7 +39,7 @@
         owner = cluster.owners[shard_id].instance_id
 
         async def ask():
-            request = build_request(cluster.mint(owner=owner))
+            request = build_request(cluster.generate_key(owner=owner))
             answers.append(await cluster.services[owner].handle_caller(request))
 
         for _ in range(count):
@@ -108,7 +108,7 @@
             shard_id = cluster.find_executor_shard("exec-0")
             old, new = self.take_over(cluster)
             handover = cluster.services[old].export_handover(shard_id, 1)
-            cluster.services[new].take_handover(handover)
+            cluster.services[new].import_handover(handover)
             await trio.sleep(0.15)
             executors["exec-0"].run_ms = 1_000.0
             self.send_many(cluster, nursery, 20, answers)
@@ -153,13 +153,13 @@
             executors["exec-0"].run_ms = 5_000.0
             executors["exec-0"].orphans = 3
             cluster.move_shard(key_shard, third)
-            cluster.services[third].take_handover(handover)
+            cluster.services[third].import_handover(handover)
             await trio.sleep(0.15)
             pool = cluster.services[third].pool
             slots = pool.get("exec-0").slots
             self.assertTrue(slots.is_count_unknown)
             await trio.sleep(0.3)
-            self.assertEqual(slots.unproved, 3)
+            self.assertEqual(slots.unconfirmed, 3)
 
         run_scenario(cluster, scenario)
         self.assertEqual(answers, [])
@@ -173,7 +173,7 @@
         codes = []
 
         async def scenario(nursery):
-            key = cluster.mint(owner="i0")
+            key = cluster.generate_key(owner="i0")
             shard_id = cluster.find_key_shard(key)
             owner_i0 = cluster.services["i0"]._key_owner
             owner_i0._get_table(shard_id, 1)
@@ -182,9 +182,9 @@
             for name, expected in (("i1", "direct"), ("i2", "late")):
                 cluster.move_shard(shard_id, name)
                 cluster.services[name]._key_owner.import_keys(shard_id, handover)
-                fresh = cluster.mint()
+                fresh = cluster.generate_key()
                 while cluster.find_key_shard(fresh) != shard_id:
-                    fresh = cluster.mint()
+                    fresh = cluster.generate_key()
                 answer = await cluster.services[name].handle_caller(
                     build_request(fresh)
                 )
@@ -204,7 +204,7 @@
 
         async def scenario(nursery):
             await trio.sleep(0.05)  # between two runs of the maintenance
-            key = cluster.mint(owner="i0")
+            key = cluster.generate_key(owner="i0")
             shard_id = cluster.find_key_shard(key)
             owner = cluster.services["i0"]._key_owner
             table = owner._get_table(shard_id, 1)
@@ -232,7 +232,7 @@
         async def scenario(nursery):
             await trio.sleep(0.05)  # between two runs of the maintenance
             ownership = cluster.ownerships["i0"]
-            key = mint_at(cluster.clock.wall_ms() + 5_000.0)
+            key = generate_key_at(cluster.clock.wall_ms() + 5_000.0)
 
             def suspend():
                 cluster.wall_jump_ms = 10_000.0
@@ -250,7 +250,7 @@
         answers = []
 
         async def scenario(nursery):
-            key = cluster.mint(owner="i0")
+            key = cluster.generate_key(owner="i0")
             shard_id = cluster.find_key_shard(key)
             owner = cluster.services["i0"]._key_owner
             table = owner._get_table(shard_id, 1)
@@ -268,11 +268,11 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint(owner="i0"))
+            request = build_request(cluster.generate_key(owner="i0"))
             shard_id = cluster.find_key_shard(request.key)
             await cluster.services["i0"].handle_caller(request)
             handover = cluster.services["i0"].export_handover(shard_id, 1)
-            cluster.services["i1"].take_handover(handover)
+            cluster.services["i1"].import_handover(handover)
             cluster.move_shard(shard_id, "i1")
             answers.append(await cluster.services["i0"].handle_caller(request))
 
@@ -287,15 +287,15 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint(owner="i0"))
+            request = build_request(cluster.generate_key(owner="i0"))
             shard_id = cluster.find_key_shard(request.key)
             service = cluster.services["i0"]
             answers.append(await service.handle_caller(request))
-            rights = cluster.ownerships["i0"].rights
-            epoch = rights.pop(shard_id)
+            serving_epochs = cluster.ownerships["i0"].serving_epochs
+            epoch = serving_epochs.pop(shard_id)
             await trio.sleep(1)
             answers.append(await service.handle_caller(request))
-            rights[shard_id] = epoch
+            serving_epochs[shard_id] = epoch
             answers.append(await service.handle_caller(request))
 
         run_scenario(cluster, scenario)
@@ -311,7 +311,7 @@
         answers = []
 
         async def scenario(nursery):
-            request = build_request(cluster.mint(owner="i1"))
+            request = build_request(cluster.generate_key(owner="i1"))
             cluster.inners["i0"].unreachable = {"i1"}
             answers.append(await cluster.services["i0"].handle_caller(request))
 
@@ -331,7 +331,7 @@
         async def scenario(nursery):
             service = cluster.services["i0"]
             cluster.inners["i0"].silent = {"i1"}
-            request = build_request(cluster.mint(owner="i1"), timeout_ms=400.0)
+            request = build_request(cluster.generate_key(owner="i1"), timeout_ms=400.0)
             begun = trio.current_time()
             with trio.fail_after(10):
                 answer = await service.handle_caller(request)
@@ -352,7 +352,9 @@
             cluster.executors["exec-0"].run_ms = 20_000.0
 
             async def ask(owner, timeout_ms):
-                request = build_request(cluster.mint(owner), timeout_ms=timeout_ms)
+                request = build_request(
+                    cluster.generate_key(owner), timeout_ms=timeout_ms
+                )
                 service = cluster.services["i0"]
                 answers.append(await service.handle_caller(request))
 
@@ -378,7 +380,7 @@
                     executor = cluster.executors["exec-0"]
                     executor.stall_before_send = trio.Event()
                     service = cluster.services["i0"]
-                    request = build_request(cluster.mint(), timeout_ms=1_000.0)
+                    request = build_request(cluster.generate_key(), timeout_ms=1_000.0)
                     nursery.start_soon(service.handle_caller, request)
                     await executor.stalled.wait()
                     if fault == "deadline":
@@ -403,7 +405,9 @@
             for executor in cluster.executors.values():
                 executor.refuse_connections = True
             cluster.inners["i0"].lost_answers = 1
-            request = build_request(cluster.mint(owner="i1"), attempt=Attempt.FIRST)
+            request = build_request(
+                cluster.generate_key(owner="i1"), attempt=Attempt.FIRST
+            )
             answers.append(await cluster.services["i0"].handle_caller(request))
 
         run_scenario(cluster, scenario)
@@ -418,7 +422,7 @@
         async def scenario(nursery):
             cluster.executors["exec-0"].refuse_connections = True
             for _ in range(40):
-                request = build_request(cluster.mint())
+                request = build_request(cluster.generate_key())
                 answers.append(await cluster.services["i0"].handle_caller(request))
 
         run_scenario(cluster, scenario)
@@ -456,13 +460,13 @@
             service = cluster.services["i0"]
 
             async def ask():
-                request = build_request(cluster.mint())
+                request = build_request(cluster.generate_key())
                 answers.append(await service.handle_caller(request))
 
             nursery.start_soon(ask)
             await trio.sleep(0.01)
             await service.drain(grace_ms=5_000.0)
-            self.assertEqual(service.busy, 0)
+            self.assertEqual(service.requests_in_progress, 0)
             self.assertEqual(len(answers), 1)
             await ask()
 
--- a/trefoilhook/requests/upkeep.py
+++ b/trefoilhook/requests/upkeep.py
@@ -113,7 +113,9 @@
         if components.pool.get(executor_id) is not None:
             return
         if (
-            components.ownership.owns(components.get_executor_shard(executor_id))
+            components.ownership.get_serving_epoch(
+                components.get_executor_shard(executor_id)
+            )
             is not None
         ):
             self.sync()
@@ -128,7 +130,7 @@
         has no predecessor and sends nothing to executors that it has not added.
         """
         components = self.components
-        if components.ownership.own_since_wall_ms(shard_id) != -math.inf:
+        if components.ownership.serving_since_wall_ms(shard_id) != -math.inf:
             return []
         return [
             each.executor_id
@@ -194,7 +196,7 @@
             is_fresh = sent is not None and sent.sent_at_ms > resend_before_ms
             if sent is not None and is_fresh and sent.is_same(message, started):
                 continue
-            if self.components.inner.tell(peer_id, message):
+            if self.components.inner.send_one_way(peer_id, message):
                 self._sent_summaries[peer_id] = _SentSummary(
                     message=message, started=started, sent_at_ms=now_ms
                 )
@@ -245,7 +247,7 @@
     def _sync_executor(self, target: ExecutorTarget) -> None:
         components = self.components
         shard_id = components.get_executor_shard(target.executor_id)
-        epoch = components.ownership.owns(shard_id)
+        epoch = components.ownership.get_serving_epoch(shard_id)
         executor = components.pool.get(target.executor_id)
         if executor is not None and executor.epoch == epoch:
             components.pool.update(target)
@@ -259,7 +261,9 @@
             target,
             shard_id=shard_id,
             epoch=epoch,
-            is_first_claim=math.isinf(components.ownership.own_since_wall_ms(shard_id)),
+            is_first_claim=math.isinf(
+                components.ownership.serving_since_wall_ms(shard_id)
+            ),
             handed_over_in_use=self._find_handed_over(
                 target.executor_id, shard_id, epoch
             ),
@@ -299,7 +303,7 @@
             return
         self._owned_share_at_ms = now_ms
         count = self.components.settings.shard_count
-        owns = self.components.ownership.owns
+        owns = self.components.ownership.get_serving_epoch
         owned = sum(
             owns(format_shard_id(number)) is not None for number in range(count)
         )
--- a/trefoilhook/runtime/__main__.py
+++ b/trefoilhook/runtime/__main__.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from trefoilhook.clock import Clock, build_boot_clock
+from trefoilhook.clock import Clock, build_boottime_clock
 from trefoilhook.exceptions import SettingsError
 from trefoilhook.logs import Event, configure_line_logs, log_event
 from trefoilhook.platform import SETTINGS_VARIABLE, parse_settings
@@ -107,7 +107,7 @@
         print(f"cannot read the settings: {error!r}", file=sys.stderr)
         return _EXIT_SETTINGS
     configure_line_logs(instance=settings.name)
-    clock = build_boot_clock()
+    clock = build_boottime_clock()
     process = Process(
         settings=settings, clock=clock, metrics_port=arguments.metrics_port
     )
--- a/trefoilhook/runtime/advice.py
+++ b/trefoilhook/runtime/advice.py
@@ -7,7 +7,7 @@
 from trefoilhook.logs import Event, log_event
 from trefoilhook.platform import AdviceClient
 from trefoilhook.runtime.rejections import Rejections
-from trefoilhook.scheduling import Scheduler, choose_advised
+from trefoilhook.scheduling import Scheduler, choose_advice_request
 
 __all__ = ["run_advice_requests"]
 
@@ -49,7 +49,7 @@
         Called after each answer.
     """
     while True:
-        chosen = choose_advised(scheduler, clock.monotonic_ms())
+        chosen = choose_advice_request(scheduler, clock.monotonic_ms())
         if chosen is None:
             await clock.sleep_ms(_IDLE_PAUSE_MS)
             continue
@@ -75,5 +75,5 @@
             continue
         # The validity starts at an unknown time after the request was sent.
         until_ms = asked_ms + advice.valid_ms
-        scheduler.tickets.take(request, grants, until_ms=until_ms)
+        scheduler.tickets.record_answer(request, grants, until_ms=until_ms)
         notify()
--- a/trefoilhook/runtime/jobfeed.py
+++ b/trefoilhook/runtime/jobfeed.py
@@ -81,7 +81,7 @@
 
     def _take_change(self, change: Change) -> None:
         if change.item is None:
-            self._scheduler.held_back.discard(keys.read_job_id(change.key))
+            self._scheduler.unreadable_jobs.discard(keys.read_job_id(change.key))
             return
         self._take_job(change.item)
         self._notify()
@@ -109,7 +109,7 @@
                 self._hold_back(job_id, progress, error)
                 return
         self._rejections.accept(Event.ENTRY_INVALID, item.key)
-        if job_id in self._scheduler.held_back:
+        if job_id in self._scheduler.unreadable_jobs:
             return
         if job_id in self._scheduler.jobs:
             if record.phase is JobPhase.CANCELLED:
@@ -118,7 +118,7 @@
         self._scheduler.add_job(
             record,
             revision=item.revision,
-            certain=item.created > self._ownership.owner_revision,
+            is_new=item.created > self._ownership.owner_revision,
             wall_ms=self._clock.wall_ms(),
             progress=done,
             progress_revision=progress.revision if progress is not None else 0,
@@ -129,4 +129,4 @@
             Event.ENTRY_INVALID, item.key, str(error), revision=item.revision
         )
         if job_id not in self._scheduler.jobs:
-            self._scheduler.held_back.add(job_id)
+            self._scheduler.unreadable_jobs.add(job_id)
--- a/trefoilhook/runtime/losses.py
+++ b/trefoilhook/runtime/losses.py
@@ -8,32 +8,39 @@
 from collections.abc import Iterable, Mapping
 
 from trefoilhook.logs import Event, log_event
-from trefoilhook.scheduling import Lapse, Look, Suspect, TaskId, Worker, WorkerLoss
+from trefoilhook.scheduling import (
+    LeaseExpiry,
+    PollAnswer,
+    Suspect,
+    TaskId,
+    Worker,
+    WorkerLoss,
+)
 
-__all__ = ["log_lapse", "log_loss", "log_restart", "log_unlisted"]
+__all__ = ["log_lease_expiry", "log_loss", "log_restart", "log_unlisted"]
 
 _MAX_LOGGED_SUSPECTS = 6
 """Maximum number of suspects in a log line, most likely first, which keeps it under 700
 bytes."""
 
 
-def log_lapse(lapse: Lapse) -> None:
+def log_lease_expiry(expiry: LeaseExpiry) -> None:
     """Log that all leases of an unresponsive worker expired, and its abandoned runs."""
     log_event(
         Event.WORKER_LOST,
-        worker=lapse.worker_id,
+        worker=expiry.worker_id,
         why="leases lapsed",
-        listed=lapse.listed,
-        silent_ms=round(lapse.silent_ms),
-        given_up=len(lapse.given_up),
-        awaited=lapse.awaited,
+        listed=expiry.listed,
+        silent_ms=round(expiry.silent_ms),
+        given_up=len(expiry.given_up),
+        awaited=expiry.awaited,
     )
     _log_given_up(
-        lapse.given_up,
-        worker_id=lapse.worker_id,
+        expiry.given_up,
+        worker_id=expiry.worker_id,
         why="leases lapsed",
-        silent_ms=lapse.silent_ms,
-        listed=lapse.listed,
+        silent_ms=expiry.silent_ms,
+        listed=expiry.listed,
     )
 
 
@@ -59,10 +66,11 @@
         worker.runs,
         worker_id=worker_id,
         why="restarted",
-        silent_ms=now_ms - worker.clock_read_ms if worker.fenced else 0.0,
+        silent_ms=now_ms - worker.clock_read_ms if worker.has_answered_token else 0.0,
         listed=worker.listed,
         ran_ms={
-            key: worker.measure_time(run, now_ms) for key, run in worker.runs.items()
+            key: worker.measure_run_time(run, now_ms)
+            for key, run in worker.runs.items()
         },
     )
 
@@ -104,7 +112,7 @@
 
 
 def log_unlisted(
-    worker: Worker, held: Iterable[tuple[TaskId, int]], poll_result: Look
+    worker: Worker, held: Iterable[tuple[TaskId, int]], poll_result: PollAnswer
 ) -> None:
     """Log the runs that a poll neither listed as running nor as ended.
 
--- a/trefoilhook/runtime/maintenance.py
+++ b/trefoilhook/runtime/maintenance.py
@@ -93,7 +93,7 @@
         """Periodically remove ended jobs from the scheduler's memory."""
         while True:
             await self._clock.sleep_ms(_ENDED_REMOVAL_PERIOD_MS)
-            self._scheduler.forget_ended()
+            self._scheduler.remove_ended_jobs()
 
     async def log_backlogs(self) -> None:
         """Periodically log the tasks that wait for a worker.
@@ -125,7 +125,7 @@
             for _ in range(_SAMPLES_PER_SHORTFALL_LINE):
                 await self._clock.sleep_ms(_SHORTFALL_SAMPLE_PERIOD_MS)
                 counter.sample(self._scheduler)
-            for shortfall in counter.take(self._scheduler):
+            for shortfall in counter.collect(self._scheduler):
                 log_event(Event.SERVICE_SHORT, **attrs.asdict(shortfall))
 
     async def log_evacuations(self) -> None:
--- a/trefoilhook/runtime/orders.py
+++ b/trefoilhook/runtime/orders.py
@@ -13,9 +13,9 @@
     Scheduler,
     StartOrder,
     StopOrder,
-    begin_start,
-    take_start_outcome,
-    take_stop_outcome,
+    apply_start_outcome,
+    apply_stop_outcome,
+    confirm_start,
 )
 
 __all__ = ["execute_order"]
@@ -48,7 +48,7 @@
         Counts orders by kind and outcome.
     """
     outcome = OrderOutcome.WITHDRAWN
-    is_due = not isinstance(order, StartOrder) or begin_start(
+    is_due = not isinstance(order, StartOrder) or confirm_start(
         scheduler, order, clock.monotonic_ms()
     )
     if is_due:
@@ -58,10 +58,10 @@
         # The scheduler repeats the order as long as the pace has to change.
         return outcome
     worker = scheduler.workers.get(order.worker_id)
-    if outcome is OrderOutcome.OTHER_LIFE and worker is not None:
+    if outcome is OrderOutcome.OTHER_INCARNATION and worker is not None:
         log_restart(worker, clock.monotonic_ms())
     run = worker.runs.get((order.task, order.attempt)) if worker is not None else None
-    take = take_stop_outcome if isinstance(order, StopOrder) else take_start_outcome
+    take = apply_stop_outcome if isinstance(order, StopOrder) else apply_start_outcome
     take(
         scheduler,
         order.worker_id,
--- a/trefoilhook/runtime/ownership.py
+++ b/trefoilhook/runtime/ownership.py
@@ -16,8 +16,8 @@
 
 from trefoilhook.clock import Clock
 from trefoilhook.decoding import (
-    MOST_INTEGER,
-    parse_table,
+    MAX_INTEGER,
+    parse_object,
     read_integer,
     read_number,
 )
@@ -95,7 +95,9 @@
 def _read_fitness(epoch: Item) -> float:
     """Return the fitness of the fittest owner so far, or 0 if it is unknown."""
     try:
-        return read_number(parse_table(epoch.value), "fitness", most=1.0, default=0.0)
+        return read_number(
+            parse_object(epoch.value), "fitness", maximum=1.0, default=0.0
+        )
     except DecodeError:
         # Logged by `_read_epoch`. Without a known fitness, this instance doesn't wait.
         return 0.0
@@ -272,8 +274,10 @@
         if item is None:
             return 0
         try:
-            table = parse_table(item.value)
-            number = read_integer(table, "epoch", most=min(item.revision, MOST_INTEGER))
+            table = parse_object(item.value)
+            number = read_integer(
+                table, "epoch", maximum=min(item.revision, MAX_INTEGER)
+            )
         except DecodeError as error:
             self._rejections.report(
                 Event.ENTRY_INVALID, item.key, str(error), revision=item.revision
--- a/trefoilhook/runtime/polling.py
+++ b/trefoilhook/runtime/polling.py
@@ -6,7 +6,7 @@
 
 from trefoilhook.clock import Clock
 from trefoilhook.exceptions import DecodeError
-from trefoilhook.logs import DependencyLog, Event, log_event
+from trefoilhook.logs import Event, OutageLog, log_event
 from trefoilhook.platform import PollRequest, WorkerClient
 from trefoilhook.runtime.commits import Committer
 from trefoilhook.runtime.losses import log_restart, log_unlisted
@@ -14,16 +14,16 @@
 from trefoilhook.runtime.ownership import Ownership
 from trefoilhook.runtime.rejections import Rejections
 from trefoilhook.scheduling import (
-    Look,
     OrderOutcome,
+    PollAnswer,
     Run,
     Scheduler,
     Worker,
     acknowledge,
+    apply_poll_answer,
     extend_lease,
-    lose_worker,
-    shares_with_services,
-    take_look,
+    handle_worker_loss,
+    has_fillers_beside_services,
 )
 
 __all__ = ["WorkerPoller"]
@@ -100,22 +100,22 @@
     async def run(self, worker: Worker, client: WorkerClient) -> None:
         """Poll a worker repeatedly until it is removed."""
         worker_id = worker.report.worker_id
-        outages = DependencyLog(
+        outages = OutageLog(
             clock=self._clock,
-            lost=Event.WORKER_LOST,
-            regained=Event.WORKER_BACK,
+            started_event=Event.WORKER_LOST,
+            ended_event=Event.WORKER_BACK,
             subject={"worker": worker_id},
         )
         while self._scheduler.workers.get(worker_id) is worker:
             sent_ms = self._clock.monotonic_ms()
             result = await self._poll(worker, client, sent_ms)
             self._metrics.count("looks")
-            if isinstance(result, Look):
+            if isinstance(result, PollAnswer):
                 outages.record_answer(sent_ms=sent_ms)
                 self._log_ends(worker, result)
-                is_first = not worker.fenced
+                is_first = not worker.has_answered_token
                 held = list(worker.runs)
-                take_look(
+                apply_poll_answer(
                     self._scheduler,
                     worker_id,
                     result,
@@ -131,18 +131,18 @@
             if result is OrderOutcome.FENCED:
                 self._on_ownership_lost()
                 return
-            if result is OrderOutcome.OTHER_LIFE:
+            if result is OrderOutcome.OTHER_INCARNATION:
                 log_restart(worker, self._clock.monotonic_ms())
-                lose_worker(self._scheduler, worker, self._clock.monotonic_ms())
+                handle_worker_loss(self._scheduler, worker, self._clock.monotonic_ms())
                 self._notify()
                 break
             outages.record_failure("look", result, sent_ms=sent_ms)
-            worker.note_silence(result, self._clock.monotonic_ms())
+            worker.record_failed_call(result, self._clock.monotonic_ms())
             await self._clock.sleep_ms(_POLL_RETRY_PAUSE_MS)
 
     async def _poll(
         self, worker: Worker, client: WorkerClient, sent_ms: float
-    ) -> Look | OrderOutcome:
+    ) -> PollAnswer | OrderOutcome:
         """Poll once; an unreadable answer counts as no answer."""
         worker_id = worker.report.worker_id
         try:
@@ -150,15 +150,15 @@
         except DecodeError as error:
             self._rejections.report(Event.ANSWER_INVALID, worker_id, str(error))
             return OrderOutcome.NO_ANSWER
-        if not isinstance(result, Look):
+        if not isinstance(result, PollAnswer):
             return result
-        if not result.unread:
+        if not result.unreadable:
             self._rejections.accept(Event.ANSWER_INVALID, worker_id)
-        for row in result.unread:
+        for row in result.unreadable:
             self._rejections.report(Event.ANSWER_INVALID, worker_id, row.reason)
         return result
 
-    def _log_ends(self, worker: Worker, poll_result: Look) -> None:
+    def _log_ends(self, worker: Worker, poll_result: PollAnswer) -> None:
         for end in poll_result.ends:
             if worker.is_new_end(end.number):
                 self._metrics.count("ends", end.kind.value)
@@ -179,7 +179,7 @@
         if run is None or task is None:
             return {}
         now_ms = self._clock.monotonic_ms()
-        slowing_ms = round(run.measure_slowing(now_ms))
+        slowing_ms = round(run.measure_throttling_loss(now_ms))
         slowed = {"slowing_ms": slowing_ms} if slowing_ms > 0 else {}
         return {
             "ran_ms": round(now_ms - run.started_ms),
@@ -195,13 +195,13 @@
         of them is unreadable and therefore never acknowledged.
         """
         with trio.move_on_after(_COMMIT_WAIT_MS / 1000.0):
-            while worker.unacknowledged or worker.unread_from is not None:
+            while worker.unacknowledged or worker.first_unreadable_end is not None:
                 acknowledge(worker)
-                if worker.unacknowledged or worker.unread_from is not None:
+                if worker.unacknowledged or worker.first_unreadable_end is not None:
                     await self._committer.committed.wait()
 
     def _build_poll_request(self, worker: Worker, now_ms: float) -> PollRequest:
-        if not worker.fenced:
+        if not worker.has_answered_token:
             return PollRequest(
                 token=self._ownership.epoch, acknowledged=0, deadline_ms=None, wait_ms=0
             )
@@ -217,7 +217,7 @@
         wait_ms = _POLL_WAIT_MS
         if worker.is_reserved:
             wait_ms = _ISOLATED_POLL_WAIT_MS
-        elif shares_with_services(self._scheduler, worker):
+        elif has_fillers_beside_services(self._scheduler, worker):
             wait_ms = _SHARED_POLL_WAIT_MS
         return PollRequest(
             token=self._ownership.epoch,
--- a/trefoilhook/runtime/roster.py
+++ b/trefoilhook/runtime/roster.py
@@ -12,7 +12,7 @@
 import trio
 
 from trefoilhook.clock import Clock
-from trefoilhook.decoding import check_text, parse_json
+from trefoilhook.decoding import check_string, parse_json
 from trefoilhook.exceptions import DecodeError, StoreError
 from trefoilhook.platform import (
     Item,
@@ -40,7 +40,7 @@
     rows = parse_json(data)
     if not isinstance(rows, list):
         raise DecodeError("not a list")
-    return tuple(check_text(row, "worker") for row in rows)
+    return tuple(check_string(row, "worker") for row in rows)
 
 
 class Roster:
@@ -110,7 +110,9 @@
         """Add workers as they answer and, once settled, remove those that are gone."""
         while True:
             workers = self._scheduler.workers
-            wanted = tuple(sorted(i for i, worker in workers.items() if worker.fenced))
+            wanted = tuple(
+                sorted(i for i, worker in workers.items() if worker.has_answered_token)
+            )
             if set(wanted) - set(self.workers) or (
                 self._settled and wanted != self.workers
             ):
@@ -150,6 +152,6 @@
         for worker_id in roster:
             worker = self._scheduler.workers.get(worker_id)
             if worker is not None:
-                worker.rostered = True
+                worker.is_in_roster = True
         self._notify()
         return True
--- a/trefoilhook/runtime/shard.py
+++ b/trefoilhook/runtime/shard.py
@@ -22,7 +22,7 @@
 from trefoilhook.runtime.jobfeed import JobFeed
 from trefoilhook.runtime.lag import LoopLag
 from trefoilhook.runtime.loading import ShardContents, load_shard
-from trefoilhook.runtime.losses import log_lapse, log_loss
+from trefoilhook.runtime.losses import log_lease_expiry, log_loss
 from trefoilhook.runtime.maintenance import Maintenance
 from trefoilhook.runtime.metrics import ProcessMetrics
 from trefoilhook.runtime.orders import execute_order
@@ -44,9 +44,9 @@
     WorkerReport,
     decode_interference,
     is_settled,
-    list_unheard,
+    list_unreported,
     plan_orders,
-    release_lapsed,
+    release_expired,
 )
 
 __all__ = ["ShardOwner", "ShardSettings"]
@@ -331,7 +331,7 @@
         client = WorkerClient(report=report, read_timeout=self._read_timeout)
         self._clients[report.worker_id] = client
         worker = self._scheduler.workers[report.worker_id]
-        worker.rostered = report.worker_id in self._roster.workers
+        worker.is_in_roster = report.worker_id in self._roster.workers
         nursery.start_soon(self._run_poller, worker, client)
 
     async def _run_poller(self, worker: Worker, client: WorkerClient) -> None:
@@ -376,15 +376,15 @@
             # have started the tasks that are still queued here.
             return
         scheduler = self._scheduler
-        if scheduler.deposed:
+        if scheduler.is_superseded:
             self._on_ownership_lost()
             return
         configuration = self._read_configuration()
         if configuration.version != scheduler.configuration.version:
             scheduler.set_configuration(configuration)
             worker_feed.retry_unknown_services()
-        for lapse in release_lapsed(scheduler, now_ms):
-            log_lapse(lapse)
+        for expiry in release_expired(scheduler, now_ms):
+            log_lease_expiry(expiry)
         if self._settled and len(scheduler.workers) < len(self._roster.workers):
             # A worker was removed because its leases expired, which changes no entry in
             # the store.
@@ -398,7 +398,7 @@
                 Event.SHARD_SETTLED,
                 epoch=self._ownership.epoch,
                 after_ms=round(now_ms - self._ownership.claimed_ms),
-                unheard=list_unheard(scheduler, self._previous_roster)[
+                unheard=list_unreported(scheduler, self._previous_roster)[
                     :_MAX_LOGGED_WORKERS
                 ],
             )
--- a/trefoilhook/runtime/tests/cluster.py
+++ b/trefoilhook/runtime/tests/cluster.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from trefoilhook.clock import Clock, build_boot_clock
+from trefoilhook.clock import Clock, build_boottime_clock
 from trefoilhook.exceptions import TransportError
 from trefoilhook.http import HttpClient, HttpRequest, HttpResponse
 from trefoilhook.platform import Bounds, InstanceSize, ProcessSettings
@@ -76,12 +76,12 @@
     def __init__(self, nursery: trio.Nursery, *, task_ms: float) -> None:
         self._nursery = nursery
         self._task_ms = task_ms
-        self.clock = build_boot_clock()
+        self.clock = build_boottime_clock()
         self.store = PlatformStore(clock=self.clock)
         self.workers: dict[str, PlatformWorker] = {}
         self.instances: list[Instance] = []
         self.advice: PlatformAdvice | None = None
-        self.crashes: dict[str, float] = {}
+        self.crash_delays_ms: dict[str, float] = {}
         self.crashed: list[str] = []
         self.restart_ms = _RESTART_MS
         self._scopes: dict[str, trio.CancelScope] = {}
@@ -111,7 +111,8 @@
     ) -> PlatformWorker:
         """Start a worker, with an entry in the store if ``listed``.
 
-        Tasks of jobs in ``crashes`` end its process, which restarts at its address.
+        Tasks of jobs in ``crash_delays_ms`` end its process, which restarts at its
+        address.
         """
         worker = PlatformWorker(
             worker_id=worker_id,
@@ -119,7 +120,7 @@
             task_ms=self._task_ms,
             checks_token=checks_token,
             port=port,
-            crashes=self.crashes,
+            crash_delays_ms=self.crash_delays_ms,
             on_crash=lambda: self.crash_worker(worker_id),
         )
         self.workers[worker_id] = worker
--- a/trefoilhook/runtime/tests/test_advice.py
+++ b/trefoilhook/runtime/tests/test_advice.py
@@ -20,7 +20,7 @@
             await cluster.wait_for_state(instance, _JOB, "completed")
             self.assertEqual(len(cluster.workers["w1"].records), 3)
             self.assertEqual(len(cluster.list_runs()), 3)
-            steps = [step for step, _ in cluster.advice.asked]
+            steps = [step for step, _ in cluster.advice.requests]
             self.assertEqual(steps, [f"{_JOB}.0.0", f"{_JOB}.0.1"])
 
         run_cluster(scenario, instances=0, workers=3)
@@ -33,7 +33,7 @@
             cluster.advice.is_busy = True
             instance = await cluster.start_instance()
             await cluster.send(instance, "POST", PREFIX + _JOB, build_body())
-            await cluster.wait_until(lambda: len(cluster.advice.asked) > 1)
+            await cluster.wait_until(lambda: len(cluster.advice.requests) > 1)
             await trio.sleep(0.1)
             self.assertEqual(cluster.list_runs(), [])
             cluster.advice.is_busy = False
--- a/trefoilhook/runtime/tests/test_crashes.py
+++ b/trefoilhook/runtime/tests/test_crashes.py
@@ -21,7 +21,7 @@
         # Guards against a task that crashes one worker after another indefinitely.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
-            cluster.crashes[CRASHING_JOB] = 20.0
+            cluster.crash_delays_ms[CRASHING_JOB] = 20.0
             await cluster.send(instance, "POST", PREFIX + CRASHING_JOB, build_body(1))
             await cluster.send(instance, "POST", PREFIX + OTHER_JOB, build_body(3))
             with trio.move_on_after(12.0):
@@ -39,7 +39,7 @@
         # before the restart of the worker proves the crash.
         async def scenario(cluster: Cluster) -> None:
             cluster.restart_ms = 1500.0
-            cluster.crashes[CRASHING_JOB] = 20.0
+            cluster.crash_delays_ms[CRASHING_JOB] = 20.0
             owner = await cluster.wait_for_owner()
             await cluster.send(owner, "POST", PREFIX + CRASHING_JOB, build_body(1))
             for crashes in (1, 2):
@@ -59,7 +59,7 @@
         async def scenario(cluster: Cluster) -> None:
             with capture_lines() as captured:
                 instance = await cluster.wait_for_owner()
-                cluster.crashes[CRASHING_JOB] = 20.0
+                cluster.crash_delays_ms[CRASHING_JOB] = 20.0
                 await cluster.send(
                     instance, "POST", PREFIX + CRASHING_JOB, build_body(1)
                 )
--- a/trefoilhook/runtime/tests/test_evacuations.py
+++ b/trefoilhook/runtime/tests/test_evacuations.py
@@ -221,7 +221,7 @@
             cluster.store.fault = StoreFault.BUSY
             await trio.sleep(0.3)
             cluster.store.remove(EVACUATION_PREFIX + "z")
-            cluster.store.forget_history()
+            cluster.store.compact_history()
             cluster.store.fault = StoreFault.NONE
             await self.wait_for_evacuations(cluster, count=0)
 
--- a/trefoilhook/runtime/tests/test_foreign.py
+++ b/trefoilhook/runtime/tests/test_foreign.py
@@ -13,7 +13,10 @@
     build_configuration,
     run_cluster,
 )
-from trefoilhook.standins.platform_foreign import NESTED, build_foreign_entries
+from trefoilhook.standins.platform_foreign import (
+    DEEPLY_NESTED_JSON,
+    build_foreign_entries,
+)
 from trefoilhook.standins.platform_worker import PlatformWorker, WorkerFault
 
 JOB = "00000000000000a1"
@@ -129,7 +132,7 @@
             await self.submit(cluster, JOB, 1)
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 1)
             (lost,) = [w for w in cluster.workers.values() if w.records]
-            cluster.store.write_bytes(f"servers/{lost.worker_id}", NESTED)
+            cluster.store.write_bytes(f"servers/{lost.worker_id}", DEEPLY_NESTED_JSON)
             await trio.sleep(0.3)
             self.assertEqual(len(cluster.list_runs()), 1)
             lost.fault = WorkerFault.SILENT
@@ -147,7 +150,7 @@
             await self.submit(cluster, JOB, 1)
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 1)
             (lost,) = [w for w in cluster.workers.values() if w.records]
-            cluster.store.write_bytes(f"servers/{lost.worker_id}", NESTED)
+            cluster.store.write_bytes(f"servers/{lost.worker_id}", DEEPLY_NESTED_JSON)
             await trio.sleep(0.2)
             owner.scope.cancel()
             await owner.ended.wait()
@@ -182,7 +185,14 @@
         # Guards against a shard that can't be claimed. A foreign writer overwrites the
         # epoch, the roster and the interference estimates, and then the owner dies.
         shard = keys.SHARD
-        table = (b"", b"\xff", NESTED, b"[1]", b'{"epoch": "1"}', b'{"epoch": 1e30}')
+        table = (
+            b"",
+            b"\xff",
+            DEEPLY_NESTED_JSON,
+            b"[1]",
+            b'{"epoch": "1"}',
+            b'{"epoch": 1e30}',
+        )
 
         async def check(cluster: Cluster, data: bytes, number: int) -> None:
             owner = await cluster.wait_for_owner()
@@ -219,7 +229,7 @@
                 await self.submit(cluster, job, 1, 1)
             await cluster.wait_until(lambda: len(cluster.list_runs()) == 6)
             shard = keys.SHARD
-            cluster.store.write_bytes(keys.job_key(shard, jobs[0]), NESTED)
+            cluster.store.write_bytes(keys.job_key(shard, jobs[0]), DEEPLY_NESTED_JSON)
             cluster.store.write_bytes(keys.progress_key(shard, jobs[1]), b"[]")
             owner.scope.cancel()
             await owner.ended.wait()
@@ -264,7 +274,7 @@
             with capture_lines() as lines:
                 cluster.store.write("op/config", configuration)
                 await cluster.wait_for(is_new)
-                cluster.store.write_bytes("op/config", NESTED)
+                cluster.store.write_bytes("op/config", DEEPLY_NESTED_JSON)
                 await trio.sleep(0.2)
             self.assertTrue(await is_new())
             answer = await cluster.send(instance, "GET", "/bad/")
@@ -286,7 +296,11 @@
         async def scenario(cluster: Cluster) -> None:
             await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
-            worker.odd_running = [[], ["no name", 1, "", 0], [f"{JOB}.0.0.0", "1"]]
+            worker.malformed_running = [
+                [],
+                ["no name", 1, "", 0],
+                [f"{JOB}.0.0.0", "1"],
+            ]
             with capture_lines() as lines:
                 await self.submit(cluster, JOB, 3)
                 await cluster.wait_for_state(cluster.instances[0], JOB, "completed")
@@ -306,7 +320,7 @@
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
-            worker.words = {"done": "accomplished"}
+            worker.outcome_overrides = {"done": "accomplished"}
             await self.submit(cluster, JOB, 1)
             await cluster.wait_until(lambda: bool(cluster.list_runs()))
             await trio.sleep(0.5)
@@ -316,7 +330,7 @@
             self.assertEqual(await cluster.read_state(instance, JOB), "running")
             (run,) = cluster.list_runs()
             self.assertEqual((run.how, run.acknowledged), ("done", False))
-            worker.words = {}
+            worker.outcome_overrides = {}
             await cluster.wait_for_state(instance, JOB, "completed")
             await cluster.wait_until(lambda: run.acknowledged)
             self.assertEqual(len(cluster.list_runs()), 1)
@@ -329,7 +343,7 @@
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
-            worker.words = {"done": "accomplished"}
+            worker.outcome_overrides = {"done": "accomplished"}
             await self.submit(cluster, JOB, 1)
             await cluster.wait_until(
                 lambda: [run.how for run in cluster.list_runs()] == ["done"]
@@ -339,7 +353,7 @@
             later = await cluster.wait_for_owner()
             await trio.sleep(1.0)
             self.assertEqual(await cluster.read_state(later, JOB), "running")
-            worker.words = {}
+            worker.outcome_overrides = {}
             await cluster.wait_for_state(later, JOB, "completed")
             self.assertEqual(len(cluster.list_runs()), 1)
 
@@ -349,12 +363,12 @@
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
             worker = cluster.workers["w0"]
-            worker.odd_ends = [[None, "?", 1, "done", ""]]
+            worker.malformed_ends = [[None, "?", 1, "done", ""]]
             await self.submit(cluster, JOB, 2, 2)
             await cluster.wait_for_state(instance, JOB, "completed")
             await trio.sleep(0.5)
             self.assertFalse(any(run.acknowledged for run in cluster.list_runs()))
-            worker.odd_ends = []
+            worker.malformed_ends = []
             await cluster.wait_until(
                 lambda: all(run.acknowledged for run in cluster.list_runs())
             )
--- a/trefoilhook/runtime/tests/test_lag.py
+++ b/trefoilhook/runtime/tests/test_lag.py
@@ -8,13 +8,13 @@
 
 import trio
 
-from trefoilhook.clock import Clock, build_boot_clock
+from trefoilhook.clock import Clock, build_boottime_clock
 from trefoilhook.http import JsonClient
 from trefoilhook.platform import PollRequest, WorkerClient
 from trefoilhook.runtime import shard
 from trefoilhook.runtime.lag import LoopLag
 from trefoilhook.runtime.tests.cluster import PREFIX, Cluster, build_body, run_cluster
-from trefoilhook.scheduling import Look, WorkerReport, plan_orders
+from trefoilhook.scheduling import PollAnswer, WorkerReport, plan_orders
 from trefoilhook.scheduling.models import Demand
 from trefoilhook.standins.platform_worker import PlatformWorker
 
@@ -56,10 +56,10 @@
         # unextended timeout, although the worker answers within milliseconds.
         worker = _WorkerThread()
         self.addCleanup(worker.stop)
-        self.assertNotIsInstance(trio.run(_poll, worker, LoopLag()), Look)
+        self.assertNotIsInstance(trio.run(_poll, worker, LoopLag()), PollAnswer)
         lag = LoopLag()
-        lag.note(BUSY_S * 1000.0, build_boot_clock().monotonic_ms())
-        self.assertIsInstance(trio.run(_poll, worker, lag), Look)
+        lag.note(BUSY_S * 1000.0, build_boottime_clock().monotonic_ms())
+        self.assertIsInstance(trio.run(_poll, worker, lag), PollAnswer)
 
     def test_owner_records_its_own_lag(self):
         # Guards against a lag that is not recorded because the timer that measures it
@@ -95,7 +95,7 @@
         # Guards against a lag that is measured but not added to the timeouts of calls.
         timeouts = []
 
-        async def exchange(client, method, path, *, timeout_ms, **fields):
+        async def send_request(client, method, path, *, timeout_ms, **fields):
             body = fields.get("body") or {}
             timeouts.append((path, timeout_ms - body.get("wait_ms", 0)))
             return await original(client, method, path, timeout_ms=timeout_ms, **fields)
@@ -103,11 +103,11 @@
         async def scenario(cluster: Cluster) -> None:
             owner = await cluster.wait_for_owner()
             lag_ms = mock.patch.object(LoopLag, "read", lambda *_: 100.0)
-            with lag_ms, mock.patch.object(JsonClient, "exchange", exchange):
+            with lag_ms, mock.patch.object(JsonClient, "send_request", send_request):
                 await cluster.send(owner, "POST", PREFIX + JOB, build_body())
                 await cluster.wait_for_state(owner, JOB, "completed")
 
-        original = JsonClient.exchange
+        original = JsonClient.send_request
         run_cluster(scenario, instances=1)
         logged = {path: ms for path, ms in timeouts if "kv-" not in path}
         self.assertEqual(set(logged.values()), {1200.0})
@@ -170,7 +170,7 @@
 
     def __init__(self) -> None:
         self.worker = PlatformWorker(
-            worker_id="w", clock=build_boot_clock(), task_ms=100.0
+            worker_id="w", clock=build_boottime_clock(), task_ms=100.0
         )
         self._is_up = threading.Event()
         self._thread = threading.Thread(target=trio.run, args=(self._run,))
@@ -191,7 +191,7 @@
 
 
 async def _poll(thread: _WorkerThread, lag: LoopLag) -> object:
-    clock = build_boot_clock()
+    clock = build_boottime_clock()
     client = WorkerClient(
         report=_describe(thread.worker),
         read_timeout=lambda: lag.extend(TIMEOUT_MS, clock.monotonic_ms()),
--- a/trefoilhook/runtime/tests/test_logs.py
+++ b/trefoilhook/runtime/tests/test_logs.py
@@ -7,15 +7,15 @@
 
 from trefoilhook.logs.tests.lines import capture_lines, count_lines, find_line
 from trefoilhook.runtime import keys
-from trefoilhook.runtime.losses import log_lapse, log_restart, log_unlisted
+from trefoilhook.runtime.losses import log_lease_expiry, log_restart, log_unlisted
 from trefoilhook.runtime.tests.cluster import PREFIX, Cluster, build_body, run_cluster
 from trefoilhook.scheduling import (
+    AttemptEnd,
     Demand,
-    End,
     EndKind,
-    Lapse,
-    Look,
+    LeaseExpiry,
     OrderOutcome,
+    PollAnswer,
     TaskId,
     Worker,
     WorkerReport,
@@ -264,7 +264,7 @@
             failure_domain="z",
             capacity=Demand(cpu=1000),
         )
-        worker = Worker(report=report, fenced=True, clock_read_ms=400.0)
+        worker = Worker(report=report, has_answered_token=True, clock_read_ms=400.0)
         task = TaskId("j", 0, 0, 1)
         worker.hold(
             Run(
@@ -280,8 +280,8 @@
     def test_abandoned_run_table(self):
         # Guards against a log that gives the same reason for a second run of a task,
         # whether the worker was unresponsive, restarted or did not list the task.
-        look = Look(clock_ms=0.0, running=(), ends=())
-        lapse = Lapse(
+        answer = PollAnswer(clock_ms=0.0, running=(), ends=())
+        expiry = LeaseExpiry(
             worker_id="w",
             listed=True,
             silent_ms=5160.4,
@@ -291,10 +291,10 @@
 
         def lose(worker: Worker) -> None:
             worker.runs.clear()
-            log_unlisted(worker, [(TaskId("j", 0, 0, 1), 7)], look)
+            log_unlisted(worker, [(TaskId("j", 0, 0, 1), 7)], answer)
 
         table = (
-            ("leases lapsed", 5160, lambda worker: log_lapse(lapse)),
+            ("leases lapsed", 5160, lambda worker: log_lease_expiry(expiry)),
             ("restarted", 600, lambda worker: log_restart(worker, 1000.0)),
             ("not listed", 0, lose),
         )
@@ -317,8 +317,8 @@
         # Guards against a log that does not distinguish a crash, a network partition
         # and a planned stop.
         worker, _ = self._build_worker()
-        worker.note_silence(OrderOutcome.CONNECTION_LOST, 410.0)
-        worker.note_silence(OrderOutcome.CONNECTION_REFUSED, 610.0)
+        worker.record_failed_call(OrderOutcome.CONNECTION_LOST, 410.0)
+        worker.record_failed_call(OrderOutcome.CONNECTION_REFUSED, 610.0)
         with capture_lines() as lines:
             log_restart(worker, 1000.0)
         lost = find_line(lines, "WORKER_LOST")
@@ -335,9 +335,13 @@
         worker, task = self._build_worker()
         held = list(worker.runs)
         worker.runs.clear()
-        end = End(number=1, task=task, attempt=7, kind=EndKind.DONE, checkpoint="")
+        end = AttemptEnd(
+            number=1, task=task, attempt=7, kind=EndKind.DONE, checkpoint=""
+        )
         with capture_lines() as lines:
-            log_unlisted(worker, held, Look(clock_ms=0.0, running=(), ends=(end,)))
+            log_unlisted(
+                worker, held, PollAnswer(clock_ms=0.0, running=(), ends=(end,))
+            )
         self.assertEqual(lines, [])
 
     def test_unlisted_runs_are_logged(self):
--- a/trefoilhook/runtime/tests/test_process.py
+++ b/trefoilhook/runtime/tests/test_process.py
@@ -268,9 +268,9 @@
         # meantime must not be missed.
         async def scenario(cluster: Cluster) -> None:
             instance = await cluster.wait_for_owner()
-            cluster.store.forget_history()
+            cluster.store.compact_history()
             await cluster.send(instance, "POST", PREFIX + JOB, build_body())
-            cluster.store.forget_history()
+            cluster.store.compact_history()
             await cluster.wait_for_state(instance, JOB, "completed")
 
         run_cluster(scenario)
--- a/trefoilhook/runtime/tests/test_unfenced.py
+++ b/trefoilhook/runtime/tests/test_unfenced.py
@@ -27,7 +27,7 @@
 async def _call(worker: PlatformWorker, name: str, **body) -> HttpResponse:
     client = JsonClient(address=("127.0.0.1", worker.server.port), max_connections=1)
     try:
-        return await client.exchange(
+        return await client.send_request(
             "POST",
             f"/trefoilhook/{name}",
             timeout_ms=2000.0,
--- a/trefoilhook/runtime/workerfeed.py
+++ b/trefoilhook/runtime/workerfeed.py
@@ -91,7 +91,7 @@
             listed.add(item.key.removeprefix(WORKER_PREFIX))
             self._take_worker(item)
         for worker_id in set(self._scheduler.workers) - listed:
-            self._scheduler.unlist_worker(worker_id)
+            self._scheduler.mark_unlisted(worker_id)
         self._note_read()
         self._notify()
 
@@ -103,7 +103,7 @@
             self._rejections.accept(Event.REPORT_INVALID, change.key)
             self._unknown_service_items.pop(change.key, None)
             if worker_id in self._scheduler.workers:
-                self._scheduler.unlist_worker(worker_id)
+                self._scheduler.mark_unlisted(worker_id)
                 log_event(Event.WORKER_LOST, worker=worker_id, why="unlisted")
         self._notify()
 
@@ -118,7 +118,7 @@
             self._rejections.report(
                 Event.REPORT_INVALID, item.key, str(error), revision=item.revision
             )
-            self._scheduler.bar_worker(item.key.removeprefix(WORKER_PREFIX))
+            self._scheduler.exclude_worker(item.key.removeprefix(WORKER_PREFIX))
             return
         self._rejections.accept(Event.REPORT_INVALID, item.key)
         is_new = report.worker_id not in self._scheduler.workers
--- a/trefoilhook/scheduling/__init__.py
+++ b/trefoilhook/scheduling/__init__.py
@@ -1,6 +1,6 @@
 """Scheduling of multi-step jobs on shared workers, without input or output."""
 
-from trefoilhook.scheduling.advice_requests import choose_advised
+from trefoilhook.scheduling.advice_requests import choose_advice_request
 from trefoilhook.scheduling.backlog import Backlog, measure_backlogs
 from trefoilhook.scheduling.changes import (
     JobChange,
@@ -9,7 +9,7 @@
     confirm_change,
 )
 from trefoilhook.scheduling.core import Scheduler, SchedulerLimits
-from trefoilhook.scheduling.crashes import lose_worker
+from trefoilhook.scheduling.crashes import handle_worker_loss
 from trefoilhook.scheduling.evacuation_progress import (
     EvacuatedDomain,
     measure_evacuated,
@@ -22,22 +22,22 @@
     encode_interference,
 )
 from trefoilhook.scheduling.job_state import JobState, TaskState
-from trefoilhook.scheduling.lease_expiry import release_lapsed
+from trefoilhook.scheduling.lease_expiry import release_expired
 from trefoilhook.scheduling.messages import (
-    End,
+    AttemptEnd,
     EndKind,
-    Lapse,
-    Look,
+    LeaseExpiry,
     LossCause,
     Order,
     OrderOutcome,
     PaceOrder,
+    PollAnswer,
     Running,
     StartOrder,
     StopOrder,
     StopReason,
     Suspect,
-    UnreadRow,
+    UnreadableRow,
     WorkerLoss,
 )
 from trefoilhook.scheduling.models import (
@@ -51,14 +51,17 @@
     WorkerReport,
     parse_task_id,
 )
-from trefoilhook.scheduling.outcomes import take_start_outcome, take_stop_outcome
+from trefoilhook.scheduling.outcomes import apply_start_outcome, apply_stop_outcome
 from trefoilhook.scheduling.planning import (
-    begin_start,
+    confirm_start,
     is_settled,
-    list_unheard,
+    list_unreported,
     plan_orders,
 )
-from trefoilhook.scheduling.polling import shares_with_services, take_look
+from trefoilhook.scheduling.polling import (
+    apply_poll_answer,
+    has_fillers_beside_services,
+)
 from trefoilhook.scheduling.records import (
     JobPhase,
     JobRecord,
@@ -79,7 +82,7 @@
     "Backlog",
     "Configuration",
     "Demand",
-    "End",
+    "AttemptEnd",
     "EndKind",
     "EvacuatedDomain",
     "Evacuation",
@@ -90,9 +93,9 @@
     "JobChange",
     "JobPhase",
     "JobRecord",
-    "Lapse",
+    "LeaseExpiry",
     "JobState",
-    "Look",
+    "PollAnswer",
     "LossCause",
     "Order",
     "OrderOutcome",
@@ -110,15 +113,15 @@
     "StopOrder",
     "StopReason",
     "Suspect",
-    "UnreadRow",
+    "UnreadableRow",
     "TaskId",
     "TaskState",
     "Worker",
     "WorkerLoss",
     "WorkerReport",
     "acknowledge",
-    "begin_start",
-    "choose_advised",
+    "confirm_start",
+    "choose_advice_request",
     "collect_changes",
     "confirm_change",
     "decode_interference",
@@ -129,15 +132,15 @@
     "encode_progress",
     "extend_lease",
     "is_settled",
-    "list_unheard",
-    "lose_worker",
+    "list_unreported",
+    "handle_worker_loss",
     "measure_backlogs",
     "measure_evacuated",
     "parse_task_id",
     "plan_orders",
-    "release_lapsed",
-    "shares_with_services",
-    "take_look",
-    "take_start_outcome",
-    "take_stop_outcome",
+    "release_expired",
+    "has_fillers_beside_services",
+    "apply_poll_answer",
+    "apply_start_outcome",
+    "apply_stop_outcome",
 ]
--- a/trefoilhook/scheduling/advice_requests.py
+++ b/trefoilhook/scheduling/advice_requests.py
@@ -7,14 +7,14 @@
 from trefoilhook.scheduling.placing import list_open_workers, rate_worker
 from trefoilhook.scheduling.tickets import AdviceRequest, StepName, name_step
 
-__all__ = ["choose_advised"]
+__all__ = ["choose_advice_request"]
 
 _MAX_WORKERS_PER_REQUEST = 30
 """Maximum number of workers per request: a job's objective allows for one request of
 this size, and each worker takes time of the service."""
 
 
-def choose_advised(
+def choose_advice_request(
     scheduler: Scheduler, now_ms: float
 ) -> tuple[AdviceRequest, Advice] | None:
     """Choose a step, and workers with capacity for it, for the next request."""
--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -80,7 +80,7 @@
         group = _get_placement_group(state)
         if state.job.queue is None or not (
             settled
-            or state.job.certain
+            or state.job.is_new
             or _is_previous_run_expired(scheduler, state, now_ms)
         ):
             waiting.add(group[0])
@@ -129,10 +129,10 @@
             )
             continue
         if not assignment_round.isolation.may_start(tasks[0], assignment_round.now_ms):
-            waits.record(step, WaitReason.ISOLATION, assignment_round.now_ms)
+            waits.record(step, WaitReason.ISOLATED, assignment_round.now_ms)
             continue
         if infeasible_fillers >= _MAX_INFEASIBLE_FILLER_STEPS and tasks[0].step.filler:
-            waits.record(step, WaitReason.ROUND_LIMIT, assignment_round.now_ms)
+            waits.record(step, WaitReason.BEHIND_OTHERS, assignment_round.now_ms)
             continue
         if tasks[0].step.gang:
             infeasible = _assign_gang(assignment_round, tasks[0])
--- a/trefoilhook/scheduling/changes.py
+++ b/trefoilhook/scheduling/changes.py
@@ -68,7 +68,10 @@
     """Return the number up to which a worker may discard its ends."""
     while worker.unacknowledged:
         number, is_saved = worker.unacknowledged[0]
-        is_held = worker.unread_from is not None and number >= worker.unread_from
+        is_held = (
+            worker.first_unreadable_end is not None
+            and number >= worker.first_unreadable_end
+        )
         if is_held or not is_saved():
             break
         worker.acknowledged = number
--- a/trefoilhook/scheduling/core.py
+++ b/trefoilhook/scheduling/core.py
@@ -77,7 +77,7 @@
         By id.
     waiting : set of TaskState
         Tasks of open jobs whose step is due and that have no attempt.
-    deposed : bool
+    is_superseded : bool
         Whether a worker has answered a later owner.
     interference : Interference
         Learned interference between fillers and service tasks.
@@ -87,7 +87,7 @@
         Time of the next round that places fillers, in ms.
     idle_since_ms : dict of str to float
         Time since when jobs with waiting fillers have had no run, in ms.
-    held_back : set of str
+    unreadable_jobs : set of str
         Jobs with unreadable records: none of their tasks is started, stopped or
         acknowledged.
     dirty : set of JobState
@@ -115,8 +115,8 @@
         self.jobs: dict[str, JobState] = {}
         self.workers: dict[str, Worker] = {}
         self.waiting: set[TaskState] = set()
-        self.deposed = False
-        self.held_back: set[str] = set()
+        self.is_superseded = False
+        self.unreadable_jobs: set[str] = set()
         self.dirty: set[JobState] = set()
         self.interference = Interference()
         self.tickets = TicketCache()
@@ -140,7 +140,7 @@
         record: JobRecord,
         *,
         revision: int,
-        certain: bool,
+        is_new: bool,
         wall_ms: float,
         progress: Progress | None = None,
         progress_revision: int = 0,
@@ -153,7 +153,7 @@
             job=job,
             revision=revision,
             phase=record.phase,
-            certain=certain,
+            is_new=is_new,
             progress=progress or Progress(),
             progress_revision=progress_revision,
             started=progress is not None,
@@ -196,7 +196,7 @@
         if queue is not None:
             state.queue = queue
 
-    def forget_ended(self) -> None:
+    def remove_ended_jobs(self) -> None:
         """Remove the jobs that had already ended at the previous call.
 
         Only jobs with no unsaved change and no attempt left are removed. Jobs are kept
@@ -266,9 +266,9 @@
         worker.report = report
         worker.usable = True
         worker.listed = True
-        worker.is_news = True
+        worker.has_changed = True
 
-    def bar_worker(self, worker_id: str) -> None:
+    def exclude_worker(self, worker_id: str) -> None:
         """Exclude a worker whose entry is unusable from new tasks.
 
         The entry proves nothing about the runs there. They keep their capacity, and the
@@ -278,7 +278,7 @@
         if worker is not None:
             worker.usable = False
 
-    def unlist_worker(self, worker_id: str) -> None:
+    def mark_unlisted(self, worker_id: str) -> None:
         """Record that a worker left the store; it may still run its tasks."""
         worker = self.workers.get(worker_id)
         if worker is not None:
--- a/trefoilhook/scheduling/crashes.py
+++ b/trefoilhook/scheduling/crashes.py
@@ -28,7 +28,7 @@
     "attribute_loss",
     "attribute_to_units",
     "find_cause",
-    "lose_worker",
+    "handle_worker_loss",
     "partition_runs",
 ]
 
@@ -67,7 +67,7 @@
     ran_ms: float
 
 
-def lose_worker(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
+def handle_worker_loss(scheduler: Scheduler, worker: Worker, now_ms: float) -> None:
     """Evaluate the loss of a worker whose incarnation has ended, and remove it."""
     attribute_loss(scheduler, worker, now_ms)
     scheduler.drop_worker(worker.report.worker_id)
@@ -132,7 +132,7 @@
     for run in runs:
         state = scheduler.jobs.get(run.task.job_id)
         task = state.find_task(run.task) if state is not None else None
-        ran_ms = worker.measure_time(run, now_ms)
+        ran_ms = worker.measure_run_time(run, now_ms)
         if state is None or task is None or not state.is_open or task.done:
             others.append(Exposure(odds=PRIOR_ODDS, ran_ms=ran_ms))
             continue
--- a/trefoilhook/scheduling/fleet.py
+++ b/trefoilhook/scheduling/fleet.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from trefoilhook.scheduling.messages import Look, OrderOutcome, StopReason
+from trefoilhook.scheduling.messages import OrderOutcome, PollAnswer, StopReason
 from trefoilhook.scheduling.models import Demand, TaskId, WorkerReport
 from trefoilhook.scheduling.slack import LaggedShares, SlackTrack
 from trefoilhook.scheduling.waits import WaitReason
@@ -147,11 +147,11 @@
 
     def set_pace(self, pace: int, now_ms: float) -> None:
         """Record that a new pace is ordered, in percent."""
-        self.slowing_ms = self.measure_slowing(now_ms)
+        self.slowing_ms = self.measure_throttling_loss(now_ms)
         self.pace_since_ms = now_ms
         self.pace = pace
 
-    def measure_slowing(self, now_ms: float) -> float:
+    def measure_throttling_loss(self, now_ms: float) -> float:
         """Return the time lost through throttling so far, in ms."""
         lost = 1.0 - self.pace / 100.0
         return self.slowing_ms + lost * max(0.0, now_ms - self.pace_since_ms)
@@ -214,13 +214,13 @@
         Its latest entry in the store.
     listed : bool
         Whether its entry is in the store.
-    fenced : bool
+    has_answered_token : bool
         Whether it has answered under the owner's fencing token, so that it executes no
         more orders of earlier owners.
     has_reported_all : bool
         Whether it has reported all runs and ends to this owner. A full page of ends may
         omit a completed one.
-    rostered : bool
+    is_in_roster : bool
         Whether the roster in the store contains it. Tasks are started only on workers
         in the roster, so that the next owner knows which workers to poll.
     runs : dict
@@ -241,7 +241,7 @@
         started.
     ends_taken : set of int
         Numbers of the ends that were applied and are not acknowledged.
-    unread_from : int or None
+    first_unreadable_end : int or None
         Lowest number of an unreadable end; no end from this number on is acknowledged.
     unacknowledged : deque of (int, callable)
         Applied ends by number, with a function that returns whether the effect is
@@ -254,7 +254,7 @@
         Whether its leases have expired and tasks wait for it to report how they ended.
     faulty_jobs : set of str
         Jobs with attempts that failed there since the last successful attempt.
-    is_news : bool
+    has_changed : bool
         Whether it has been polled or its entry has changed since the last plan.
     over_limit_since_ms : float or None
         Time since when a service task there has exceeded its latency limit, in ms.
@@ -273,9 +273,9 @@
 
     report: WorkerReport
     listed: bool = True
-    fenced: bool = False
+    has_answered_token: bool = False
     has_reported_all: bool = False
-    rostered: bool = False
+    is_in_roster: bool = False
     runs: dict[tuple[TaskId, int], Run] = attrs.Factory(dict)
     pending_runs: dict[Run, None] = attrs.Factory(dict)
     cpu: int = 0
@@ -287,7 +287,7 @@
     lease_until_ms: float = 0.0
     usable: bool = True
     ends_taken: set[int] = attrs.Factory(set)
-    unread_from: int | None = None
+    first_unreadable_end: int | None = None
     unacknowledged: collections.deque[tuple[int, Callable[[], bool]]] = attrs.Factory(
         collections.deque
     )
@@ -295,7 +295,7 @@
     silence: Silence | None = None
     has_awaited_runs: bool = False
     faulty_jobs: set[str] = attrs.Factory(set)
-    is_news: bool = True
+    has_changed: bool = True
     over_limit_since_ms: float | None = None
     avoid_until_ms: float = 0.0
     lagged_shares: LaggedShares = attrs.Factory(LaggedShares)
@@ -324,7 +324,7 @@
         least = self.clock_ms + SLOWEST_CLOCK * (now_ms - self.clock_read_ms)
         return least > self.lease_until_ms + _EXPIRY_MARGIN_MS
 
-    def note_silence(self, outcome: OrderOutcome, now_ms: float) -> None:
+    def record_failed_call(self, outcome: OrderOutcome, now_ms: float) -> None:
         """Record that a call was not answered."""
         is_inconclusive = (
             self.silence is not None
@@ -336,15 +336,15 @@
         if outcome is OrderOutcome.CONNECTION_REFUSED:
             self.silence.was_refused = True
 
-    def measure_time(self, run: Run, now_ms: float) -> float:
+    def measure_run_time(self, run: Run, now_ms: float) -> float:
         """Return how long a run lasted until the worker stopped answering, in ms."""
         until_ms = now_ms if self.silence is None else self.silence.began_ms
         return max(0.0, until_ms - run.started_ms)
 
-    def read_clock(self, look: Look, now_ms: float) -> None:
+    def read_clock(self, answer: PollAnswer, now_ms: float) -> None:
         """Update the estimate of the worker's clock."""
-        if look.clock_ms >= self.clock_ms:
-            self.clock_ms = look.clock_ms
+        if answer.clock_ms >= self.clock_ms:
+            self.clock_ms = answer.clock_ms
             self.clock_read_ms = now_ms
 
     def is_new_end(self, number: int) -> bool:
--- a/trefoilhook/scheduling/interference.py
+++ b/trefoilhook/scheduling/interference.py
@@ -37,10 +37,10 @@
 
 from trefoilhook.decoding import (
     check_number,
-    check_table,
-    parse_table,
+    check_object,
+    parse_object,
     read_number,
-    read_table,
+    read_object,
 )
 from trefoilhook.exceptions import DecodeError
 
@@ -295,28 +295,28 @@
 
 
 def _decode_weights(value: Any) -> dict[str, float]:
-    cells = check_table(value, "weights").items()
+    cells = check_object(value, "weights").items()
     return {
         image: check_number(
-            x, "weight", least=-_MAX_DECODED_VALUE, most=_MAX_DECODED_VALUE
+            x, "weight", minimum=-_MAX_DECODED_VALUE, maximum=_MAX_DECODED_VALUE
         )
         for image, x in cells
     }
 
 
 def _decode_row(value: Any) -> _VictimModel:
-    table = check_table(value, "row")
+    table = check_object(value, "row")
     means = _decode_weights(table.get("means"))
-    rows = read_table(table, "covariance").items()
+    rows = read_object(table, "covariance").items()
     covariance = {image: _decode_weights(cells) for image, cells in rows}
     key_sets = [covariance.keys(), *(cells.keys() for cells in covariance.values())]
     if any(images != means.keys() for images in key_sets):
         raise DecodeError("covariance: images differ from those of the means")
     return _VictimModel(
         base=read_number(
-            table, "base", least=-_MAX_DECODED_VALUE, most=_MAX_DECODED_VALUE
+            table, "base", minimum=-_MAX_DECODED_VALUE, maximum=_MAX_DECODED_VALUE
         ),
-        swing=read_number(table, "swing", most=_MAX_DECODED_VALUE),
+        swing=read_number(table, "swing", maximum=_MAX_DECODED_VALUE),
         means=means,
         covariance=covariance,
     )
@@ -330,5 +330,5 @@
     DecodeError
         If the data is not a valid model.
     """
-    rows = {victim: _decode_row(row) for victim, row in parse_table(data).items()}
+    rows = {victim: _decode_row(row) for victim, row in parse_object(data).items()}
     return Interference(rows=rows)
--- a/trefoilhook/scheduling/job_state.py
+++ b/trefoilhook/scheduling/job_state.py
@@ -96,7 +96,7 @@
         Revision of the progress in the store; 0 if there is none.
     phase : JobPhase
         Phase of the job.
-    certain : bool
+    is_new : bool
         Whether no earlier owner can have started a task of it.
     queue : Queue or None
         Its queue in the latest configuration that contains it.
@@ -127,7 +127,7 @@
     progress: Progress = attrs.Factory(Progress)
     progress_revision: int = 0
     phase: JobPhase = JobPhase.OPEN
-    certain: bool = True
+    is_new: bool = True
     queue: Queue | None = None
     version: int = 0
     saved_version: int = 0
--- a/trefoilhook/scheduling/lease_expiry.py
+++ b/trefoilhook/scheduling/lease_expiry.py
@@ -3,35 +3,35 @@
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.crashes import attribute_loss
 from trefoilhook.scheduling.fleet import Run, Worker
-from trefoilhook.scheduling.messages import EndKind, Lapse
+from trefoilhook.scheduling.messages import EndKind, LeaseExpiry
 from trefoilhook.scheduling.models import TaskId
 
-__all__ = ["release_lapsed", "withdraw_start"]
+__all__ = ["release_expired", "withdraw_start"]
 
 
-def release_lapsed(scheduler: Scheduler, now_ms: float) -> list[Lapse]:
+def release_expired(scheduler: Scheduler, now_ms: float) -> list[LeaseExpiry]:
     """Release the runs on silent workers whose leases have all expired.
 
     Returns
     -------
-    list of Lapse
+    list of LeaseExpiry
         Outcome for the runs on each worker with a change.
     """
-    lapses: list[Lapse] = []
+    expiries: list[LeaseExpiry] = []
     for worker in list(scheduler.workers.values()):
-        if (worker.silence is None and worker.listed) or not worker.fenced:
+        if (worker.silence is None and worker.listed) or not worker.has_answered_token:
             continue
         if not worker.has_expired_leases(now_ms):
             continue
         if not worker.listed:
             attribute_loss(scheduler, worker, now_ms)
-        lapse = _release_expired(scheduler, worker, now_ms)
-        if lapse.given_up or (lapse.awaited and not worker.has_awaited_runs):
-            lapses.append(lapse)
-        worker.has_awaited_runs = bool(lapse.awaited)
+        expiry = _release_expired(scheduler, worker, now_ms)
+        if expiry.given_up or (expiry.awaited and not worker.has_awaited_runs):
+            expiries.append(expiry)
+        worker.has_awaited_runs = bool(expiry.awaited)
         if not worker.listed:
             scheduler.drop_worker(worker.report.worker_id)
-    return lapses
+    return expiries
 
 
 def withdraw_start(scheduler: Scheduler, worker: Worker, run: Run) -> None:
@@ -48,7 +48,9 @@
             scheduler.stop_attempts(member)
 
 
-def _release_expired(scheduler: Scheduler, worker: Worker, now_ms: float) -> Lapse:
+def _release_expired(
+    scheduler: Scheduler, worker: Worker, now_ms: float
+) -> LeaseExpiry:
     """Release the runs on a worker with expired leases unless they may be completed.
 
     Guards against restarting a completed task: the worker lists its end, but the
@@ -65,7 +67,7 @@
             continue
         scheduler.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
         given_up.append((run.task, run.attempt))
-    return Lapse(
+    return LeaseExpiry(
         worker_id=worker.report.worker_id,
         listed=worker.listed,
         silent_ms=now_ms - worker.clock_read_ms,
--- a/trefoilhook/scheduling/messages.py
+++ b/trefoilhook/scheduling/messages.py
@@ -9,10 +9,10 @@
 __all__ = [
     "UNANSWERED",
     "UNSENT",
-    "End",
+    "AttemptEnd",
     "EndKind",
-    "Lapse",
-    "Look",
+    "LeaseExpiry",
+    "PollAnswer",
     "LossCause",
     "Order",
     "OrderOutcome",
@@ -22,7 +22,7 @@
     "StopOrder",
     "StopReason",
     "Suspect",
-    "UnreadRow",
+    "UnreadableRow",
     "WorkerLoss",
 ]
 
@@ -59,7 +59,7 @@
     TOO_LATE = "too late"
     NO_ROOM = "no room"
     NO_TICKET = "no ticket"
-    OTHER_LIFE = "other life"
+    OTHER_INCARNATION = "other life"
     UNHEALTHY = "unhealthy"
     REFUSED = "refused"
 
@@ -127,7 +127,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class End:
+class AttemptEnd:
     """End of an attempt; ``number`` increases within one worker incarnation."""
 
     number: int
@@ -138,7 +138,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class UnreadRow:
+class UnreadableRow:
     """An unreadable row of a worker's lists, with its readable parts.
 
     Parameters
@@ -160,17 +160,17 @@
 
 
 @attrs.frozen(kw_only=True)
-class Look:
+class PollAnswer:
     """Answer of a worker to a poll; ``clock_ms`` is its monotonic clock, in ms."""
 
     clock_ms: float
     running: tuple[Running, ...]
-    ends: tuple[End, ...]
-    unread: tuple[UnreadRow, ...] = ()
+    ends: tuple[AttemptEnd, ...]
+    unreadable: tuple[UnreadableRow, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
-class Lapse:
+class LeaseExpiry:
     """Outcome for the runs on a silent worker whose leases have all expired.
 
     Parameters
--- a/trefoilhook/scheduling/outcomes.py
+++ b/trefoilhook/scheduling/outcomes.py
@@ -1,7 +1,7 @@
 """Applies the outcomes of orders to the state of a shard."""
 
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crashes import lose_worker
+from trefoilhook.scheduling.crashes import handle_worker_loss
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.lease_expiry import withdraw_start
 from trefoilhook.scheduling.messages import (
@@ -14,7 +14,7 @@
 from trefoilhook.scheduling.models import TaskId
 from trefoilhook.scheduling.tickets import name_step
 
-__all__ = ["take_start_outcome", "take_stop_outcome"]
+__all__ = ["apply_start_outcome", "apply_stop_outcome"]
 
 _RETRY_DELAY_MS = 80.0
 """Delay before an unanswered order is repeated. The round trip on the platform takes 2
@@ -24,7 +24,7 @@
 """Time for which a worker that reported itself unhealthy gets no new task."""
 
 
-def take_start_outcome(
+def apply_start_outcome(
     scheduler: Scheduler,
     worker_id: str,
     task: TaskId,
@@ -46,7 +46,7 @@
             run.phase = RunPhase.RUNNING
             run.progressed_ms = now_ms
             # A throttled task runs at full speed until its pace is ordered.
-            worker.is_news = worker.is_news or run.is_throttled
+            worker.has_changed = worker.has_changed or run.is_throttled
         return
     if outcome in UNANSWERED:
         run.ambiguous = True
@@ -86,7 +86,7 @@
     scheduler.finish_run(worker, run, EndKind.LAPSED, "")
 
 
-def take_stop_outcome(
+def apply_stop_outcome(
     scheduler: Scheduler,
     worker_id: str,
     task: TaskId,
@@ -114,18 +114,18 @@
     now_ms: float,
 ) -> tuple[Worker, Run] | None:
     if outcome is OrderOutcome.FENCED:
-        scheduler.deposed = True
+        scheduler.is_superseded = True
         return None
     worker = scheduler.workers.get(worker_id)
     run = worker.runs.get((task, attempt)) if worker is not None else None
     if run is not None:
         run.in_flight = False
-    if worker is not None and outcome is OrderOutcome.OTHER_LIFE:
-        lose_worker(scheduler, worker, now_ms)
+    if worker is not None and outcome is OrderOutcome.OTHER_INCARNATION:
+        handle_worker_loss(scheduler, worker, now_ms)
         return None
     if worker is None or run is None:
         return None
     run.order_due_ms = now_ms + _RETRY_DELAY_MS
     if outcome in UNANSWERED | UNSENT:
-        worker.note_silence(outcome, now_ms)
+        worker.record_failed_call(outcome, now_ms)
     return worker, run
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -71,8 +71,8 @@
     """Return whether a worker takes new tasks."""
     return (
         worker.listed
-        and worker.fenced
-        and worker.rostered
+        and worker.has_answered_token
+        and worker.is_in_roster
         and worker.usable
         and not has_too_many_held_ends(worker)
         and worker.silence is None
--- a/trefoilhook/scheduling/planning.py
+++ b/trefoilhook/scheduling/planning.py
@@ -19,7 +19,7 @@
 from trefoilhook.scheduling.tickets import name_step
 from trefoilhook.scheduling.watchdog import stop_stalled_and_draining
 
-__all__ = ["begin_start", "is_settled", "plan_orders"]
+__all__ = ["confirm_start", "is_settled", "plan_orders"]
 
 _NO_DEMAND = Demand()
 
@@ -47,14 +47,14 @@
     no longer in the store. While the entry exists, the worker is alive and may hold the
     end of a completed task, which would run twice if it were started again elsewhere.
     """
-    unheard = list_unheard(scheduler, roster)
+    unreported = list_unreported(scheduler, roster)
     if now_ms < scheduler.limits.settled_at_ms:
-        return not unheard
-    known = (scheduler.workers.get(worker_id) for worker_id in unheard)
+        return not unreported
+    known = (scheduler.workers.get(worker_id) for worker_id in unreported)
     return not any(worker is not None and worker.is_known_alive for worker in known)
 
 
-def list_unheard(scheduler: Scheduler, worker_ids: Iterable[str]) -> list[str]:
+def list_unreported(scheduler: Scheduler, worker_ids: Iterable[str]) -> list[str]:
     """Return the workers that have not yet reported all runs and ends to this owner."""
     workers = ((name, scheduler.workers.get(name)) for name in worker_ids)
     return [
@@ -81,7 +81,7 @@
     scheduler.open_due_steps(wall_ms)
     scheduler.suspects.crash_rate.update(len(scheduler.workers), now_ms)
     for worker in scheduler.workers.values():
-        if worker.is_news:
+        if worker.has_changed:
             stop_stalled_and_draining(scheduler, worker, now_ms)
         record_exposure(scheduler, worker, now_ms)
     if scheduler.suspects.recorded and (
@@ -99,8 +99,8 @@
             order = _get_due_order(scheduler, worker, run, now_ms)
             if order is not None:
                 orders.append(order)
-        if worker.is_news:
-            worker.is_news = False
+        if worker.has_changed:
+            worker.has_changed = False
             orders.extend(plan_paces(scheduler, worker, now_ms))
     return orders
 
@@ -125,7 +125,7 @@
     )
 
 
-def begin_start(scheduler: Scheduler, order: StartOrder, now_ms: float) -> bool:
+def confirm_start(scheduler: Scheduler, order: StartOrder, now_ms: float) -> bool:
     """Return whether a queued start order is still valid, and record that it is sent.
 
     While an order is queued, its worker may shrink, be excluded or be evacuated, and
@@ -150,7 +150,10 @@
 ) -> Order | None:
     if run.phase is RunPhase.RUNNING or run.in_flight:
         return None
-    if run.order_due_ms > now_ms + _ORDER_DUE_TOLERANCE_MS or not worker.fenced:
+    if (
+        run.order_due_ms > now_ms + _ORDER_DUE_TOLERANCE_MS
+        or not worker.has_answered_token
+    ):
         return None
     if run.phase is RunPhase.STARTING and not _has_fresh_state(scheduler, now_ms):
         return None
--- a/trefoilhook/scheduling/polling.py
+++ b/trefoilhook/scheduling/polling.py
@@ -5,15 +5,15 @@
 from trefoilhook.scheduling.crowds import learn_interference
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.job_state import Attempt
-from trefoilhook.scheduling.messages import End, EndKind, Look, Running
+from trefoilhook.scheduling.messages import AttemptEnd, EndKind, PollAnswer, Running
 from trefoilhook.scheduling.models import Demand, Step, TaskId
 from trefoilhook.scheduling.unread import (
     find_hidden_attempts,
     identifies_all_attempts,
-    record_unread,
+    record_unreadable,
 )
 
-__all__ = ["shares_with_services", "take_look"]
+__all__ = ["has_fillers_beside_services", "apply_poll_answer"]
 
 _ENDS_PAGE_SIZE = 500
 """Maximum number of ends in an answer; if it is reached, a missing end may follow
@@ -39,27 +39,32 @@
 speed."""
 
 
-def take_look(
-    scheduler: Scheduler, worker_id: str, look: Look, *, sent_ms: float, now_ms: float
+def apply_poll_answer(
+    scheduler: Scheduler,
+    worker_id: str,
+    answer: PollAnswer,
+    *,
+    sent_ms: float,
+    now_ms: float,
 ) -> None:
     """Apply the answer of a worker to a poll."""
     worker = scheduler.workers.get(worker_id)
     if worker is None:
         return
-    _record_answer(scheduler, worker, look, now_ms)
-    for end in look.ends:
+    _record_answer(scheduler, worker, answer, now_ms)
+    for end in answer.ends:
         _apply_end(scheduler, worker, end, now_ms)
-    for running in look.running:
+    for running in answer.running:
         _apply_running(scheduler, worker, running, now_ms)
-    for row in look.unread:
+    for row in answer.unreadable:
         if row.attempt is not None:
-            _hold_unread(scheduler, worker, row.attempt, now_ms)
+            _hold_unreadable(scheduler, worker, row.attempt, now_ms)
     learn_interference(worker, scheduler.jobs, scheduler.interference, now_ms)
-    listed = {(running.task, running.attempt) for running in look.running}
-    listed |= find_hidden_attempts(worker, look, listed, now_ms)
-    if len(look.ends) + len(look.unread) >= _ENDS_PAGE_SIZE:
+    listed = {(running.task, running.attempt) for running in answer.running}
+    listed |= find_hidden_attempts(worker, answer, listed, now_ms)
+    if len(answer.ends) + len(answer.unreadable) >= _ENDS_PAGE_SIZE:
         return
-    worker.has_reported_all = worker.has_reported_all or identifies_all_attempts(look)
+    worker.has_reported_all = worker.has_reported_all or identifies_all_attempts(answer)
     for key, run in list(worker.runs.items()):
         # The worker answered an order for this run before this poll was sent: if it is
         # neither running nor ended now, it will never run there.
@@ -68,26 +73,28 @@
 
 
 def _record_answer(
-    scheduler: Scheduler, worker: Worker, look: Look, now_ms: float
+    scheduler: Scheduler, worker: Worker, answer: PollAnswer, now_ms: float
 ) -> None:
     """Record that a worker answers, independently of the content."""
-    worker.read_clock(look, now_ms)
-    if not worker.fenced:
+    worker.read_clock(answer, now_ms)
+    if not worker.has_answered_token:
         scheduler.suspects.retract_losses(worker.report.worker_id)
         # An earlier owner may have just renewed the leases here. Without assuming a
         # full lease, the runs would count as lapsed and be started again immediately.
-        earlier_ms = look.clock_ms + scheduler.limits.task_lease_ms
+        earlier_ms = answer.clock_ms + scheduler.limits.task_lease_ms
         worker.lease_until_ms = max(worker.lease_until_ms, earlier_ms)
-    worker.fenced = True
+    worker.has_answered_token = True
     if worker.silence is not None:
         retract_exposure(scheduler, worker)
         worker.silence = None
     worker.has_awaited_runs = False
-    worker.is_news = True
-    record_unread(worker, look)
+    worker.has_changed = True
+    record_unreadable(worker, answer)
 
 
-def _apply_end(scheduler: Scheduler, worker: Worker, end: End, now_ms: float) -> None:
+def _apply_end(
+    scheduler: Scheduler, worker: Worker, end: AttemptEnd, now_ms: float
+) -> None:
     if not worker.is_new_end(end.number):
         return
     state = scheduler.jobs.get(end.task.job_id)
@@ -105,14 +112,14 @@
 
     def is_saved() -> bool:
         if state is None:
-            return end.task.job_id not in scheduler.held_back
+            return end.task.job_id not in scheduler.unreadable_jobs
         return state.saved_version >= version and state.phase_saved
 
     worker.record_end(end.number, is_saved)
 
 
 def _update_faults(
-    scheduler: Scheduler, worker: Worker, end: End, now_ms: float
+    scheduler: Scheduler, worker: Worker, end: AttemptEnd, now_ms: float
 ) -> None:
     if end.kind is EndKind.DONE:
         worker.faulty_jobs.clear()
@@ -147,7 +154,7 @@
     run.checkpoint = running.checkpoint or run.checkpoint
 
 
-def _hold_unread(
+def _hold_unreadable(
     scheduler: Scheduler, worker: Worker, key: tuple[TaskId, int], now_ms: float
 ) -> None:
     """Hold an attempt with an unreadable end as if it ran, while its job is open.
@@ -205,7 +212,7 @@
         pace=_UNKNOWN_PACE,
     )
     worker.hold(run)
-    if running.task.job_id in scheduler.held_back:
+    if running.task.job_id in scheduler.unreadable_jobs:
         return run
     if state is None or task is None:
         run.phase = RunPhase.STOPPING
@@ -220,7 +227,7 @@
     return run
 
 
-def shares_with_services(scheduler: Scheduler, worker: Worker) -> bool:
+def has_fillers_beside_services(scheduler: Scheduler, worker: Worker) -> bool:
     """Return whether a worker runs both fillers and tasks with a latency limit."""
     fillers = serving = False
     for run in worker.runs.values():
--- a/trefoilhook/scheduling/records.py
+++ b/trefoilhook/scheduling/records.py
@@ -11,17 +11,17 @@
 from trefoilhook.decoding import (
     check_integer,
     check_number,
-    check_table,
-    check_text,
-    parse_table,
+    check_object,
+    check_string,
+    parse_object,
+    read_boolean,
     read_choice,
-    read_flag,
     read_integer,
     read_list,
     read_number,
-    read_table,
-    read_text,
-    read_texts,
+    read_object,
+    read_string,
+    read_strings,
 )
 from trefoilhook.exceptions import DecodeError
 from trefoilhook.scheduling.models import Demand, Job, Step
@@ -115,7 +115,7 @@
 
 
 def _decode_step(value: Any, number: int) -> Step:
-    table = check_table(value, "step")
+    table = check_object(value, "step")
     demand = read_list(table, "demand")
     if len(demand) != 3:
         raise DecodeError("demand: expected three integers")
@@ -124,24 +124,24 @@
     if "max_absent" in table:
         max_absent = read_integer(table, "max_absent")
     return Step(
-        count=read_integer(table, "count", least=1, most=_MAX_TASKS),
+        count=read_integer(table, "count", minimum=1, maximum=_MAX_TASKS),
         demand=Demand(cpu=cpu, memory_mb=memory_mb, gpus=gpus),
         estimate_ms=read_number(table, "estimate_ms", default=0.0),
         after=tuple(
-            check_integer(earlier, "after", most=number - 1)
+            check_integer(earlier, "after", maximum=number - 1)
             for earlier in read_list(table, "after", default=[])
         ),
-        checkpointing=read_flag(table, "checkpointing", default=False),
-        gang=read_flag(table, "gang", default=False),
-        same_rack=read_flag(table, "same_rack", default=False),
-        required_label=read_text(table, "required_label", default=""),
-        data_rack=read_text(table, "data_rack", default=""),
+        checkpointing=read_boolean(table, "checkpointing", default=False),
+        gang=read_boolean(table, "gang", default=False),
+        same_rack=read_boolean(table, "same_rack", default=False),
+        required_label=read_string(table, "required_label", default=""),
+        data_rack=read_string(table, "data_rack", default=""),
         max_per_worker=read_integer(table, "max_per_worker", default=0),
-        speculative=read_flag(table, "speculative", default=False),
-        long_running=read_flag(table, "long_running", default=False),
-        image=read_text(table, "image", default=""),
+        speculative=read_boolean(table, "speculative", default=False),
+        long_running=read_boolean(table, "long_running", default=False),
+        image=read_string(table, "image", default=""),
         latency_limit_ms=read_number(table, "latency_limit_ms", default=0.0),
-        filler=read_flag(table, "filler", default=False),
+        filler=read_boolean(table, "filler", default=False),
         max_absent=max_absent,
     )
 
@@ -149,12 +149,12 @@
 def _decode_job(table: Mapping[str, Any]) -> Job:
     rows = read_list(table, "steps")
     return Job(
-        job_id=read_text(table, "job_id", filled=True),
-        queue=read_text(table, "queue"),
+        job_id=read_string(table, "job_id", non_empty=True),
+        queue=read_string(table, "queue"),
         accepted_ms=read_number(table, "accepted_ms"),
-        spec=read_text(table, "spec"),
+        spec=read_string(table, "spec"),
         steps=tuple(_decode_step(row, number) for number, row in enumerate(rows)),
-        repeats=read_integer(table, "repeats", most=_MAX_REPEATS, default=0),
+        repeats=read_integer(table, "repeats", maximum=_MAX_REPEATS, default=0),
         first_due_ms=read_number(table, "first_due_ms", default=0.0),
         interval_ms=read_number(table, "interval_ms", default=0.0),
     )
@@ -168,9 +168,9 @@
     DecodeError
         If the data is not a valid record.
     """
-    table = parse_table(data)
+    table = parse_object(data)
     return JobRecord(
-        job=_decode_job(read_table(table, "job")),
+        job=_decode_job(read_object(table, "job")),
         phase=read_choice(table, "phase", _PHASES),
     )
 
@@ -232,15 +232,15 @@
 
 
 def _decode_suspicion(value: Any) -> Suspicion:
-    table = check_table(value, "suspicion")
+    table = check_object(value, "suspicion")
     return Suspicion(
         notes={
             _split(attempt, 1)[0]: _decode_note(row)
-            for attempt, row in read_table(table, "notes").items()
+            for attempt, row in read_object(table, "notes").items()
         },
-        survived=read_number(table, "survived", most=1.0),
+        survived=read_number(table, "survived", maximum=1.0),
         attempt=read_integer(table, "attempt", default=0),
-        workers=list(read_texts(table, "workers")) if "workers" in table else [],
+        workers=list(read_strings(table, "workers")) if "workers" in table else [],
         ran_ms=read_number(table, "ran_ms") if "ran_ms" in table else None,
     )
 
@@ -251,7 +251,7 @@
     if not isinstance(value[2], bool):
         raise DecodeError("note: expected a boolean in the third field")
     return CrashNote(
-        worker_id=check_text(value[0], "worker"),
+        worker_id=check_string(value[0], "worker"),
         ratio=check_number(value[1], "ratio"),
         proved=value[2],
     )
@@ -265,19 +265,19 @@
     DecodeError
         If the data is not valid progress.
     """
-    table = parse_table(data)
+    table = parse_object(data)
     progress = Progress()
-    for key, row in read_table(table, "done").items():
+    for key, row in read_object(table, "done").items():
         occurrence, step = _split(key, 2)
         progress.done[occurrence, step] = _decode_numbers(row)
-    for key, row in read_table(table, "failed").items():
+    for key, row in read_object(table, "failed").items():
         occurrence, step, index = _split(key, 3)
         progress.failed[occurrence, step, index] = _decode_numbers(row)
-    for key, text in read_table(table, "checkpoints").items():
+    for key, text in read_object(table, "checkpoints").items():
         occurrence, step, index = _split(key, 3)
-        progress.checkpoints[occurrence, step, index] = check_text(text, "checkpoint")
+        progress.checkpoints[occurrence, step, index] = check_string(text, "checkpoint")
     if "suspicions" in table:
-        for key, value in read_table(table, "suspicions").items():
+        for key, value in read_object(table, "suspicions").items():
             occurrence, step, index = _split(key, 3)
             progress.suspicions[occurrence, step, index] = _decode_suspicion(value)
     return progress
--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -265,7 +265,7 @@
     )
     worker.hold(run)
     # Fillers of the worker may have to be throttled by this plan.
-    worker.is_news = True
+    worker.has_changed = True
     if state.waiting_since_ms is not None:
         run.waited_ms = assignment_round.now_ms - state.waiting_since_ms
         run.wait_reason = assignment_round.scheduler.waits.get_main_reason(
--- a/trefoilhook/scheduling/shortfall.py
+++ b/trefoilhook/scheduling/shortfall.py
@@ -71,7 +71,7 @@
                 for task in _list_tasks(state):
                     _add_sample(scheduler, sums, task)
 
-    def take(self, scheduler: Scheduler) -> Iterator[Shortfall]:
+    def collect(self, scheduler: Scheduler) -> Iterator[Shortfall]:
         """Yield the mean shortfall of each open job, and reset the samples."""
         for job_id, sums in self._sums.items():
             state = scheduler.jobs.get(job_id)
--- a/trefoilhook/scheduling/tests/cases.py
+++ b/trefoilhook/scheduling/tests/cases.py
@@ -3,16 +3,16 @@
 import attrs
 
 from trefoilhook.scheduling import (
+    AttemptEnd,
     Configuration,
     Demand,
-    End,
     EndKind,
     Evacuations,
     Job,
     JobRecord,
-    Look,
     Order,
     OrderOutcome,
+    PollAnswer,
     Queue,
     Running,
     Scheduler,
@@ -21,12 +21,12 @@
     Step,
     StopOrder,
     WorkerReport,
+    apply_poll_answer,
+    apply_start_outcome,
+    apply_stop_outcome,
     collect_changes,
     confirm_change,
     plan_orders,
-    take_look,
-    take_start_outcome,
-    take_stop_outcome,
 )
 
 TASK_LEASE_MS = 5000.0
@@ -68,9 +68,9 @@
     ends: list = attrs.Factory(list)
     starts: list = attrs.Factory(list)
 
-    def look(self, now_ms: float) -> Look:
+    def answer_poll(self, now_ms: float) -> PollAnswer:
         """Return the answer to a poll."""
-        return Look(
+        return PollAnswer(
             clock_ms=now_ms + CLOCK_OFFSET_MS,
             running=tuple(self.running.values()),
             ends=tuple(self.ends),
@@ -94,7 +94,7 @@
         self.running.pop((task, attempt), None)
         number = len(self.ends) + 1
         self.ends.append(
-            End(
+            AttemptEnd(
                 number=number,
                 task=task,
                 attempt=attempt,
@@ -151,40 +151,40 @@
             **fields,
         )
         self.scheduler.update_worker(report)
-        self.scheduler.workers[worker_id].rostered = True
-        self.look(worker_id)
+        self.scheduler.workers[worker_id].is_in_roster = True
+        self.poll(worker_id)
 
-    def look(self, worker_id: str) -> None:
+    def poll(self, worker_id: str) -> None:
         """Poll one worker."""
-        take_look(
+        apply_poll_answer(
             self.scheduler,
             worker_id,
-            self.workers[worker_id].look(self.now_ms),
+            self.workers[worker_id].answer_poll(self.now_ms),
             sent_ms=self.now_ms,
             now_ms=self.now_ms,
         )
 
-    def look_all(self) -> None:
+    def poll_all(self) -> None:
         """Poll all known workers."""
         for worker_id in list(self.scheduler.workers):
-            self.look(worker_id)
+            self.poll(worker_id)
 
     def silence(
         self, worker_id: str, outcome: OrderOutcome = OrderOutcome.NO_ANSWER
     ) -> None:
         """Simulate a failed call to a worker."""
-        self.scheduler.workers[worker_id].note_silence(outcome, self.now_ms)
+        self.scheduler.workers[worker_id].record_failed_call(outcome, self.now_ms)
 
-    def pass_time(self, duration_ms: float) -> None:
+    def advance_time(self, duration_ms: float) -> None:
         """Advance the clock."""
         self.now_ms += duration_ms
 
-    def submit(self, job: Job, *, certain: bool = True, **fields) -> None:
+    def submit(self, job: Job, *, is_new: bool = True, **fields) -> None:
         """Submit a job."""
         self.scheduler.add_job(
             JobRecord(job=job),
             revision=1,
-            certain=certain,
+            is_new=is_new,
             wall_ms=self.now_ms,
             **fields,
         )
@@ -212,15 +212,15 @@
                 if (order.task, order.attempt) in worker.running:
                     worker.end(order.task, order.attempt, EndKind.STOPPED, "c1")
                 self.answer(order, OrderOutcome.DONE)
-        self.pass_time(100.0)
-        self.look_all()
+        self.advance_time(100.0)
+        self.poll_all()
         return orders
 
     def answer(self, order: Order, outcome: OrderOutcome) -> None:
         """Report the outcome of an order to the scheduler."""
-        take = take_stop_outcome
+        take = apply_stop_outcome
         if isinstance(order, StartOrder):
-            take = take_start_outcome
+            take = apply_start_outcome
         take(
             self.scheduler,
             order.worker_id,
@@ -239,8 +239,8 @@
         """End a started attempt and poll its worker."""
         worker = self.workers[order.worker_id]
         worker.end(order.task, order.attempt, kind, checkpoint)
-        self.pass_time(10.0)
-        self.look(order.worker_id)
+        self.advance_time(10.0)
+        self.poll(order.worker_id)
 
     def count_running(self, job_id: str = "j") -> int:
         """Return the number of running tasks of a job."""
--- a/trefoilhook/scheduling/tests/crash_cases.py
+++ b/trefoilhook/scheduling/tests/crash_cases.py
@@ -11,7 +11,7 @@
     StartOrder,
     StopOrder,
     TaskId,
-    lose_worker,
+    handle_worker_loss,
 )
 from trefoilhook.scheduling.suspicion import Suspicion
 from trefoilhook.scheduling.tests.cases import Shard
@@ -109,13 +109,13 @@
         for order in self.plan():
             self._execute(order)
         self.save()
-        self.pass_time(TICK_MS)
+        self.advance_time(TICK_MS)
         self._advance()
         for crash in self.crashes:
             self._process_crash(crash)
         for worker_id in list(self.scheduler.workers):
             if not self.is_crashed(worker_id):
-                self.look(worker_id)
+                self.poll(worker_id)
 
     def _execute(self, order) -> None:
         if self.is_crashed(order.worker_id):
@@ -165,7 +165,7 @@
                 self.silence(crash.worker_id, OrderOutcome.CONNECTION_REFUSED)
         if since_ms < _RESTART_DELAY_MS or worker is None:
             return
-        lose_worker(self.scheduler, worker, self.now_ms)
+        handle_worker_loss(self.scheduler, worker, self.now_ms)
         self.incarnations += 1
         self.add_worker(f"{crash.worker_id}-{self.incarnations}")
 
@@ -181,12 +181,14 @@
 def crash(shard: Shard, worker_id: str, *, refused: bool = True) -> None:
     """Simulate the crash of a worker and its replacement at the same address."""
     shard.silence(worker_id, LOST)
-    shard.pass_time(200.0)
+    shard.advance_time(200.0)
     if refused:
         shard.silence(worker_id, REFUSED)
-    shard.pass_time(1000.0)
+    shard.advance_time(1000.0)
     shard.scheduler.entries.note_read(shard.now_ms)
-    lose_worker(shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms)
+    handle_worker_loss(
+        shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms
+    )
 
 
 def read_loss(shard: Shard):
--- a/trefoilhook/scheduling/tests/test_advice.py
+++ b/trefoilhook/scheduling/tests/test_advice.py
@@ -9,7 +9,7 @@
     AdviceRequest,
     Grant,
     OrderOutcome,
-    choose_advised,
+    choose_advice_request,
 )
 from trefoilhook.scheduling.tests.cases import (
     CONFIGURATION,
@@ -35,13 +35,13 @@
         self.shard.submit(build_job(attrs.evolve(SMALL, count=2)))
 
     def _choose_request(self) -> AdviceRequest | None:
-        chosen = choose_advised(self.shard.scheduler, self.shard.now_ms)
+        chosen = choose_advice_request(self.shard.scheduler, self.shard.now_ms)
         return chosen[0] if chosen is not None else None
 
     def _grant(self, request: AdviceRequest, *workers: str) -> None:
         grants = tuple(Grant(worker_id=w, ticket=f"t-{w}") for w in workers)
         until_ms = self.shard.now_ms + _ADVICE.valid_ms
-        self.shard.scheduler.tickets.take(request, grants, until_ms=until_ms)
+        self.shard.scheduler.tickets.record_answer(request, grants, until_ms=until_ms)
 
     def test_nothing_starts_before_the_answer(self):
         self.assertEqual(list_starts(self.shard.plan()), [])
@@ -72,8 +72,8 @@
         # all workers were full at the time of the answer.
         self.shard.plan()
         self._grant(self._choose_request(), "w1")
-        self.shard.pass_time(_ADVICE.valid_ms)
-        self.shard.look_all()
+        self.shard.advance_time(_ADVICE.valid_ms)
+        self.shard.poll_all()
         self.assertEqual(list_starts(self.shard.plan()), [])
         self.assertEqual(self._choose_request().workers, ("w1",))
 
@@ -82,8 +82,8 @@
         self._grant(self._choose_request(), "w1")
         order, _ = list_starts(self.shard.plan())
         self.shard.answer(order, OrderOutcome.NO_TICKET)
-        self.shard.pass_time(100.0)
-        self.shard.look_all()
+        self.shard.advance_time(100.0)
+        self.shard.poll_all()
         self.assertEqual(list_starts(self.shard.plan()), [])
         self.assertEqual(self._choose_request().workers, ("w1",))
 
--- a/trefoilhook/scheduling/tests/test_capacity.py
+++ b/trefoilhook/scheduling/tests/test_capacity.py
@@ -11,7 +11,7 @@
     Step,
     StopOrder,
     StopReason,
-    begin_start,
+    confirm_start,
 )
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
 
@@ -55,7 +55,7 @@
                 (order,) = shard.plan()
                 shard.answer(order, OrderOutcome.NO_ANSWER)
                 set_capacity(shard, "w0", **changes)
-                shard.pass_time(150.0)
+                shard.advance_time(150.0)
                 (again,) = shard.plan()
                 self.assertIsInstance(again, StopOrder)
 
@@ -64,7 +64,7 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         set_capacity(shard, "w0", cpu=500)
-        self.assertFalse(begin_start(shard.scheduler, order, shard.now_ms))
+        self.assertFalse(confirm_start(shard.scheduler, order, shard.now_ms))
         shard.answer(order, OrderOutcome.WITHDRAWN)
         shard.add_worker("w1")
         self.assertEqual(shard.start_one().worker_id, "w1")
@@ -79,13 +79,13 @@
         set_capacity(shard, "w0", cpu=2500)
         sent = 0
         for order in orders:
-            if begin_start(shard.scheduler, order, shard.now_ms):
+            if confirm_start(shard.scheduler, order, shard.now_ms):
                 sent += 1
             else:
                 shard.answer(order, OrderOutcome.WITHDRAWN)
         self.assertEqual(sent, 2)
         shard.scheduler.cancel_job("j", revision=2)
-        due = [begin_start(shard.scheduler, order, shard.now_ms) for order in orders]
+        due = [confirm_start(shard.scheduler, order, shard.now_ms) for order in orders]
         self.assertEqual(due, [False] * 4)
 
     def test_only_excess_starts_are_withdrawn(self):
@@ -112,7 +112,7 @@
         first.step()
         second = Shard(workers=0, epoch=2)
         second.workers = first.workers
-        second.submit(first.scheduler.jobs["j"].job, certain=False)
+        second.submit(first.scheduler.jobs["j"].job, is_new=False)
         second.add_worker("w0", cpu=2000)
         second.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(second.step()), [])
@@ -179,8 +179,8 @@
         shard.reads_entries = False
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
-        shard.pass_time(5000.0)
-        shard.look_all()
+        shard.advance_time(5000.0)
+        shard.poll_all()
         self.assertEqual(list_starts(shard.plan()), [])
         shard.scheduler.entries.note_read(shard.now_ms)
         (order,) = shard.plan()
--- a/trefoilhook/scheduling/tests/test_contention.py
+++ b/trefoilhook/scheduling/tests/test_contention.py
@@ -95,7 +95,7 @@
     def test_next_urgent_task_throttles_further_immediately(self):
         self._submit_urgent(5500)
         first = [o for o in self.shard.step() if isinstance(o, PaceOrder)]
-        self.shard.pass_time(100.0)
+        self.shard.advance_time(100.0)
         step = Step(count=1, demand=Demand(cpu=2500), estimate_ms=640.0)
         self.shard.submit(build_job(step, job_id="more"))
         second = [o for o in self.shard.plan() if isinstance(o, PaceOrder)]
@@ -123,8 +123,8 @@
         step = Step(count=2, demand=Demand(cpu=7500), estimate_ms=640.0)
         shard.submit(build_job(step, job_id="urgent"))
         self.assertEqual(len(list_starts(shard.step())), 2)
-        shard.pass_time(500.0)
-        shard.look_all()
+        shard.advance_time(500.0)
+        shard.poll_all()
         shard.submit(build_job(attrs.evolve(step, count=1), job_id="more"))
         self.assertEqual(shard.plan(), [])
 
--- a/trefoilhook/scheduling/tests/test_crash_loops.py
+++ b/trefoilhook/scheduling/tests/test_crash_loops.py
@@ -8,7 +8,7 @@
     Demand,
     JobPhase,
     TaskId,
-    lose_worker,
+    handle_worker_loss,
 )
 from trefoilhook.scheduling.tests.cases import (
     SMALL,
@@ -178,8 +178,8 @@
         shard.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(shard.plan()), [])
         for _ in range(32):
-            shard.pass_time(100.0)
-            shard.look("w8")
+            shard.advance_time(100.0)
+            shard.poll("w8")
         self.assertEqual(len(list_starts(shard.plan())), 1)
 
     def test_concurrent_isolated_runs_per_job_are_limited(self):
@@ -211,7 +211,7 @@
         shard.submit(build_job(service, job_id="s"))
         service_order = shard.start_one()
         batch = attrs.evolve(SMALL, count=3, demand=Demand(cpu=2000, memory_mb=100))
-        shard.scheduler.bar_worker(service_order.worker_id)
+        shard.scheduler.exclude_worker(service_order.worker_id)
         shard.submit(build_job(batch, job_id="b"))
         self.assertEqual(len(list_starts(shard.step())), 3)
         other = "w1" if service_order.worker_id == "w0" else "w0"
@@ -240,8 +240,8 @@
         shard.submit(build_job(job_id="k"))
         self.assertEqual(list_starts(shard.plan()), [])
         for _ in range(32):
-            shard.pass_time(100.0)
-            shard.look("w0")
+            shard.advance_time(100.0)
+            shard.poll("w0")
         self.assertEqual(len(list_starts(shard.plan())), 1)
 
     def test_start_waits_for_its_record(self):
@@ -276,8 +276,8 @@
             shard.scheduler.entries.note_read(shard.now_ms)
             worker_id = self.wait_for_start(shard)
             shard.silence(worker_id)
-            shard.pass_time(1500.0)
-            lose_worker(
+            shard.advance_time(1500.0)
+            handle_worker_loss(
                 shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms
             )
             shard.add_worker(f"n{number}")
--- a/trefoilhook/scheduling/tests/test_crash_takeovers.py
+++ b/trefoilhook/scheduling/tests/test_crash_takeovers.py
@@ -11,7 +11,7 @@
     WorkerReport,
     decode_progress,
     encode_progress,
-    lose_worker,
+    handle_worker_loss,
 )
 from trefoilhook.scheduling.records import Progress
 from trefoilhook.scheduling.suspicion import (
@@ -44,7 +44,7 @@
         second = Shard(workers=0, epoch=first.scheduler.epoch + 1, settled=False)
         second.now_ms = first.now_ms + 3000.0
         second.workers = first.workers
-        second.submit(state.job, certain=False, progress=stored, progress_revision=9)
+        second.submit(state.job, is_new=False, progress=stored, progress_revision=9)
         for worker_id in workers:
             second.add_worker(worker_id)
         second.settled = True
@@ -74,7 +74,7 @@
         # answers.
         first, worker_id = self.start_first()
         first.silence(worker_id, LOST)
-        first.pass_time(200.0)
+        first.advance_time(200.0)
         first.silence(worker_id, REFUSED)
         first.scheduler.entries.note_read(first.now_ms)
         first.plan()
@@ -102,7 +102,7 @@
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.plan()
         self.assertIsNotNone(find_suspicion(shard))
-        shard.look(worker_id)
+        shard.poll(worker_id)
         self.assertIsNone(find_suspicion(shard))
 
     def test_recorded_start_on_removed_worker_is_unproved_loss(self):
@@ -127,7 +127,7 @@
         second.now_ms = first.now_ms
         second.submit(
             state.job,
-            certain=False,
+            is_new=False,
             progress=decode_progress(encode_progress(state.progress)),
             progress_revision=9,
         )
@@ -141,7 +141,7 @@
             draining=True,
         )
         second.scheduler.update_worker(report)
-        lose_worker(
+        handle_worker_loss(
             second.scheduler,
             second.scheduler.workers[order.worker_id],
             second.now_ms,
@@ -160,7 +160,7 @@
         order = first.start_one()
         first.workers["w0"].update(order.task, order.attempt, percent=100.0)
         second = self.take_over(first, workers=("w0",))
-        second.look("w0")
+        second.poll("w0")
         crash(second, "w0")
         suspicion = find_suspicion(second)
         self.assertTrue(suspicion is None or suspicion.odds < STRONG_ODDS)
@@ -171,8 +171,8 @@
         shard.submit(build_job(attrs.evolve(SMALL, count=4), job_id="b"))
         shard.step()
         for _ in range(20):
-            shard.pass_time(100.0)
-            shard.look("w0")
+            shard.advance_time(100.0)
+            shard.poll("w0")
         shard.submit(build_job(job_id="c"))
         shard.step()
         suspicion = shard.scheduler.suspects.get_or_add(
@@ -202,7 +202,7 @@
         crash(shard, "w0")
         for key in list(shard.workers["w1"].running):
             shard.workers["w1"].end(*key, EndKind.PEER_ENDED)
-        shard.look("w1")
+        shard.poll("w1")
         shard.add_worker("w2", cpu=1000)
         shard.plan()
         shard.save()
--- a/trefoilhook/scheduling/tests/test_crashes.py
+++ b/trefoilhook/scheduling/tests/test_crashes.py
@@ -11,9 +11,9 @@
     LossCause,
     OrderOutcome,
     Step,
-    begin_start,
-    lose_worker,
-    release_lapsed,
+    confirm_start,
+    handle_worker_loss,
+    release_expired,
 )
 from trefoilhook.scheduling.suspicion import (
     PRIOR_ODDS,
@@ -109,7 +109,9 @@
 
     def lose(self, shard: Shard, worker_id: str) -> None:
         """Simulate another incarnation at a worker's address."""
-        lose_worker(shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms)
+        handle_worker_loss(
+            shard.scheduler, shard.scheduler.workers[worker_id], shard.now_ms
+        )
 
     def check(self, shard: Shard, cause: LossCause) -> None:
         """Check the cause of the loss, and that only crashes are counted."""
@@ -129,7 +131,7 @@
         # only found all local connections in use.
         shard, worker_id = self.start()
         shard.silence(worker_id, OrderOutcome.CONNECTIONS_BUSY)
-        shard.pass_time(50.0)
+        shard.advance_time(50.0)
         crash(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
@@ -144,7 +146,7 @@
         # Guards against counting a partition as a crash when the worker restarts.
         shard, worker_id = self.start()
         shard.silence(worker_id)
-        shard.pass_time(1500.0)
+        shard.advance_time(1500.0)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
         self.check(shard, LossCause.PARTITIONED)
@@ -152,7 +154,7 @@
     def test_restart_during_long_partition_is_no_evidence(self):
         shard, worker_id = self.start()
         shard.silence(worker_id)
-        shard.pass_time(2.0 * TASK_LEASE_MS)
+        shard.advance_time(2.0 * TASK_LEASE_MS)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
         self.check(shard, LossCause.LEASES_EXPIRED)
@@ -165,14 +167,14 @@
         shard.scheduler.workers[worker_id].lease_until_ms += 10_000.0
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
-        shard.pass_time(6000.0)
+        shard.advance_time(6000.0)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
         self.check(shard, LossCause.STILL_LISTED)
 
     def test_crash_after_lease_expiry_is_not_attributed(self):
         shard, worker_id = self.start()
-        shard.pass_time(2.0 * TASK_LEASE_MS)
+        shard.advance_time(2.0 * TASK_LEASE_MS)
         shard.silence(worker_id, LOST)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
@@ -193,10 +195,10 @@
     def test_possible_shutdown_during_store_outage_is_no_crash(self):
         # The store is unavailable, so that an announced shutdown may be unknown.
         shard, worker_id = self.start()
-        shard.pass_time(3000.0)
-        shard.look(worker_id)
+        shard.advance_time(3000.0)
+        shard.poll(worker_id)
         shard.silence(worker_id, LOST)
-        shard.pass_time(200.0)
+        shard.advance_time(200.0)
         self.lose(shard, worker_id)
         self.check(shard, LossCause.LIST_STALE)
 
@@ -205,8 +207,8 @@
         # answered only once a second.
         shard, worker_id = self.start()
         shard.scheduler.entries.note_read(shard.now_ms)
-        shard.pass_time(1100.0)
-        shard.look(worker_id)
+        shard.advance_time(1100.0)
+        shard.poll(worker_id)
         self.lose(shard, worker_id)
         self.check(shard, LossCause.CRASHED)
 
@@ -214,11 +216,11 @@
         """Let a worker's entry and its leases expire."""
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
-        shard.scheduler.unlist_worker(worker_id)
+        shard.scheduler.mark_unlisted(worker_id)
         for _ in range(20):
-            shard.pass_time(TASK_LEASE_MS / 10.0)
+            shard.advance_time(TASK_LEASE_MS / 10.0)
             shard.scheduler.entries.note_read(shard.now_ms)
-        release_lapsed(shard.scheduler, shard.now_ms)
+        release_expired(shard.scheduler, shard.now_ms)
 
     def test_ended_process_without_restart_is_crash(self):
         shard, worker_id = self.start()
@@ -230,11 +232,11 @@
         shard, worker_id = self.start()
         shard.silence(worker_id, LOST)
         shard.silence(worker_id, REFUSED)
-        shard.scheduler.unlist_worker(worker_id)
-        shard.pass_time(2.0 * TASK_LEASE_MS)
+        shard.scheduler.mark_unlisted(worker_id)
+        shard.advance_time(2.0 * TASK_LEASE_MS)
         shard.scheduler.entries.note_failure()
         shard.scheduler.entries.note_read(shard.now_ms)
-        release_lapsed(shard.scheduler, shard.now_ms)
+        release_expired(shard.scheduler, shard.now_ms)
         self.check(shard, LossCause.LIST_STALE)
 
     def test_returning_worker_retracts_crash(self):
@@ -271,7 +273,7 @@
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job(attrs.evolve(SMALL, count=2)))
         first, _ = shard.plan()
-        self.assertTrue(begin_start(shard.scheduler, first, shard.now_ms))
+        self.assertTrue(confirm_start(shard.scheduler, first, shard.now_ms))
         self.lose(shard, first.worker_id)
         (suspect,) = read_loss(shard).suspects
         self.assertEqual(suspect.task, first.task)
@@ -281,10 +283,10 @@
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
         (order,) = shard.plan()
-        shard.pass_time(900.0)
-        begin_start(shard.scheduler, order, shard.now_ms)
+        shard.advance_time(900.0)
+        confirm_start(shard.scheduler, order, shard.now_ms)
         shard.answer(order, OrderOutcome.DONE)
-        shard.pass_time(10.0)
+        shard.advance_time(10.0)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, order.worker_id)
         (suspect,) = read_loss(shard).suspects
@@ -296,7 +298,7 @@
         shard.scheduler.entries.note_read(shard.now_ms)
         shard.submit(build_job())
         (order,) = shard.plan()
-        shard.answer(order, OrderOutcome.OTHER_LIFE)
+        shard.answer(order, OrderOutcome.OTHER_INCARNATION)
         self.assertEqual(shard.scheduler.suspects.losses, [])
 
     def test_unanswered_start_is_a_suspect(self):
@@ -315,7 +317,7 @@
         worker = shard.scheduler.workers[worker_id]
         worker.clock_ms = shard.now_ms + CLOCK_OFFSET_MS
         worker.clock_read_ms = shard.now_ms
-        shard.pass_time(TASK_LEASE_MS + 200.0)
+        shard.advance_time(TASK_LEASE_MS + 200.0)
         shard.silence(worker_id, LOST)
         shard.scheduler.entries.note_read(shard.now_ms)
         self.lose(shard, worker_id)
--- a/trefoilhook/scheduling/tests/test_evacuations.py
+++ b/trefoilhook/scheduling/tests/test_evacuations.py
@@ -14,8 +14,8 @@
     Step,
     StopOrder,
     StopReason,
-    begin_start,
-    choose_advised,
+    choose_advice_request,
+    confirm_start,
     measure_backlogs,
     measure_evacuated,
 )
@@ -122,7 +122,7 @@
     def test_restarted_worker_uses_its_current_domain(self):
         shard = build_shard(EAST)
         evacuate(shard, EAST)
-        shard.scheduler.unlist_worker("w0")
+        shard.scheduler.mark_unlisted("w0")
         shard.add_worker("w0-again", failure_domain=EAST)
         shard.submit(build_job())
         self.assertEqual(step_and_list_workers(shard), [])
@@ -142,8 +142,8 @@
         evacuate(shard, first[0].worker_id.replace("w0", EAST).replace("w1", WEST))
         for order in first:
             shard.end(order, EndKind.DONE)
-        shard.pass_time(200.0)
-        shard.look_all()
+        shard.advance_time(200.0)
+        shard.poll_all()
         workers = step_and_list_workers(shard)
         self.assertEqual(len(workers), 4)
         self.assertNotIn(first[0].worker_id, workers)
@@ -170,7 +170,7 @@
         evacuate(shard, EAST)
         shard.submit(build_job())
         shard.step()
-        request, _ = choose_advised(shard.scheduler, shard.now_ms)
+        request, _ = choose_advice_request(shard.scheduler, shard.now_ms)
         self.assertEqual(request.workers, ("w1",))
 
 
@@ -231,7 +231,7 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         evacuate(shard, EAST)
-        self.assertFalse(begin_start(shard.scheduler, order, shard.now_ms))
+        self.assertFalse(confirm_start(shard.scheduler, order, shard.now_ms))
         shard.answer(order, OrderOutcome.WITHDRAWN)
         shard.add_worker("w1", failure_domain=WEST)
         self.assertEqual(step_and_list_workers(shard), ["w1"])
@@ -242,7 +242,7 @@
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
         evacuate(shard, EAST)
-        shard.pass_time(150.0)
+        shard.advance_time(150.0)
         (stop,) = shard.plan()
         self.assertIsInstance(stop, StopOrder)
 
@@ -256,7 +256,7 @@
         shard.workers["w1"].run(orders["w1"])
         shard.answer(orders["w1"], OrderOutcome.DONE)
         evacuate(shard, EAST)
-        self.assertFalse(begin_start(shard.scheduler, orders["w0"], shard.now_ms))
+        self.assertFalse(confirm_start(shard.scheduler, orders["w0"], shard.now_ms))
         shard.answer(orders["w0"], OrderOutcome.WITHDRAWN)
         shard.add_worker("w2", failure_domain=WEST)
         (stop,) = shard.step()
@@ -314,7 +314,7 @@
         shard.submit(build_job(attrs.evolve(SMALL, count=3), job_id="k"))
         shard.step()
         evacuate(shard, EAST)
-        shard.pass_time(1500.0)
+        shard.advance_time(1500.0)
         (remaining,) = measure_evacuated(shard.scheduler, shard.now_ms)
         self.assertEqual(remaining.failure_domain, EAST)
         self.assertEqual((remaining.since_ms, remaining.workers), (1500, 2))
@@ -341,8 +341,8 @@
         evacuations.note_read(shard.now_ms - 3400.0)
         (order,) = shard.plan()
         self.assertIsInstance(order, StartOrder)
-        shard.pass_time(200.0)
-        self.assertFalse(begin_start(shard.scheduler, order, shard.now_ms))
+        shard.advance_time(200.0)
+        self.assertFalse(confirm_start(shard.scheduler, order, shard.now_ms))
 
     def test_unanswered_start_is_not_repeated_after_stale_read(self):
         evacuations = Evacuations(max_age_ms=3500.0)
@@ -351,8 +351,8 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.pass_time(3600.0)
-        shard.look_all()
+        shard.advance_time(3600.0)
+        shard.poll_all()
         self.assertEqual(list_starts(shard.plan()), [])
 
     def test_starts_without_read_if_platform_has_no_evacuations(self):
--- a/trefoilhook/scheduling/tests/test_foreign_records.py
+++ b/trefoilhook/scheduling/tests/test_foreign_records.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from trefoilhook.decoding.tests.test_readers import NESTED, VALUES
+from trefoilhook.decoding.tests.test_readers import DEEPLY_NESTED_JSON, VALUES
 from trefoilhook.exceptions import DecodeError
 from trefoilhook.scheduling import (
     Demand,
@@ -91,7 +91,7 @@
 
     def test_invalid_bytes(self):
         for decode, _ in VALID_RECORDS:
-            for data in (b"", b"\xff", b"[]", b"null", NESTED):
+            for data in (b"", b"\xff", b"[]", b"null", DEEPLY_NESTED_JSON):
                 with (
                     self.subTest(decode=decode.__name__, data=data[:9]),
                     self.assertRaises(DecodeError),
