--- a/trefoilhook/scheduling/tests/test_orders.py
+++ b/trefoilhook/scheduling/tests/test_orders.py
@@ -14,11 +14,11 @@
     StopOrder,
     TaskId,
     acknowledge,
+    apply_poll_answer,
     collect_changes,
     confirm_change,
     is_settled,
-    release_lapsed,
-    take_look,
+    release_expired,
 )
 from trefoilhook.scheduling.tests.cases import (
     SMALL,
@@ -40,7 +40,7 @@
         shard.submit(build_job())
         (first,) = shard.plan()
         shard.answer(first, OrderOutcome.NO_ANSWER)
-        shard.pass_time(150.0)
+        shard.advance_time(150.0)
         (second,) = shard.plan()
         self.assertEqual(second, first)
 
@@ -52,18 +52,18 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.pass_time(TASK_LEASE_MS * 1.015)
-        self.assertEqual(release_lapsed(shard.scheduler, shard.now_ms), [])
-        shard.pass_time(TASK_LEASE_MS * 0.04)
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual((lapse.worker_id, lapse.given_up), ("w0", ()))
-        self.assertEqual(lapse.awaited, 1)
-        self.assertEqual(release_lapsed(shard.scheduler, shard.now_ms), [])
+        shard.advance_time(TASK_LEASE_MS * 1.015)
+        self.assertEqual(release_expired(shard.scheduler, shard.now_ms), [])
+        shard.advance_time(TASK_LEASE_MS * 0.04)
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual((expiry.worker_id, expiry.given_up), ("w0", ()))
+        self.assertEqual(expiry.awaited, 1)
+        self.assertEqual(release_expired(shard.scheduler, shard.now_ms), [])
         self.assertEqual(len(shard.scheduler.waiting), 0)
-        shard.scheduler.unlist_worker("w0")
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
-        self.assertEqual(lapse.awaited, 0)
+        shard.scheduler.mark_unlisted("w0")
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual(expiry.given_up, ((order.task, order.attempt),))
+        self.assertEqual(expiry.awaited, 0)
         self.assertEqual(len(shard.scheduler.waiting), 1)
 
     def test_start_is_not_repeated_after_lease_expiry(self):
@@ -73,10 +73,10 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.pass_time(TASK_LEASE_MS * 1.1)
-        release_lapsed(shard.scheduler, shard.now_ms)
+        shard.advance_time(TASK_LEASE_MS * 1.1)
+        release_expired(shard.scheduler, shard.now_ms)
         self.assertEqual(shard.plan(), [])
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual([start.attempt for start in shard.plan()], [order.attempt])
 
     def test_long_running_task_does_not_wait_for_silent_worker(self):
@@ -86,10 +86,10 @@
         shard.submit(build_job(attrs.evolve(SMALL, long_running=True)))
         order = shard.start_one()
         shard.silence(order.worker_id)
-        shard.pass_time(TASK_LEASE_MS * 1.2)
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
-        shard.look("w1" if order.worker_id == "w0" else "w0")
+        shard.advance_time(TASK_LEASE_MS * 1.2)
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual(expiry.given_up, ((order.task, order.attempt),))
+        shard.poll("w1" if order.worker_id == "w0" else "w0")
         self.assertNotEqual(shard.start_one().worker_id, order.worker_id)
 
     def test_refused_retry_of_unanswered_start_is_followed_by_stop(self):
@@ -99,15 +99,15 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.pass_time(150.0)
+        shard.advance_time(150.0)
         (again,) = shard.plan()
         shard.answer(again, OrderOutcome.UNHEALTHY)
         (stop,) = shard.plan()
         self.assertIsInstance(stop, StopOrder)
         self.assertEqual(len(shard.scheduler.waiting), 0)
         shard.answer(stop, OrderOutcome.DONE)
-        shard.pass_time(10.0)
-        shard.look("w0")
+        shard.advance_time(10.0)
+        shard.poll("w0")
         self.assertEqual(len(shard.scheduler.waiting), 1)
 
     def test_definite_refusal_releases_task_immediately(self):
@@ -128,7 +128,7 @@
         shard.submit(build_job(whole))
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(list_starts(shard.plan()), [])
 
     def test_fenced_order_ends_ownership(self):
@@ -136,7 +136,7 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.FENCED)
-        self.assertTrue(shard.scheduler.deposed)
+        self.assertTrue(shard.scheduler.is_superseded)
 
 
 class LostWorkerTest(unittest.TestCase):
@@ -150,7 +150,7 @@
         order = shard.start_one()
         shard.workers["w9"] = FakeWorker(worker_id="w9")
         shard.add_worker("w9", host="w0")
-        shard.answer(order, OrderOutcome.OTHER_LIFE)
+        shard.answer(order, OrderOutcome.OTHER_INCARNATION)
         self.assertNotIn("w0", shard.scheduler.workers)
         # The next start only waits until the loss is recorded.
         self.assertEqual(shard.plan(), [])
@@ -178,13 +178,13 @@
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
-        shard.scheduler.unlist_worker(order.worker_id)
-        shard.pass_time(TASK_LEASE_MS * 0.9)
-        self.assertEqual(release_lapsed(shard.scheduler, shard.now_ms), [])
+        shard.scheduler.mark_unlisted(order.worker_id)
+        shard.advance_time(TASK_LEASE_MS * 0.9)
+        self.assertEqual(release_expired(shard.scheduler, shard.now_ms), [])
         self.assertEqual(list_starts(shard.plan()), [])
-        shard.pass_time(TASK_LEASE_MS * 0.2)
-        release_lapsed(shard.scheduler, shard.now_ms)
-        shard.look("w1" if order.worker_id == "w0" else "w0")
+        shard.advance_time(TASK_LEASE_MS * 0.2)
+        release_expired(shard.scheduler, shard.now_ms)
+        shard.poll("w1" if order.worker_id == "w0" else "w0")
         again = shard.start_one()
         self.assertNotEqual(again.worker_id, order.worker_id)
         self.assertGreater(again.attempt, order.attempt)
@@ -196,12 +196,12 @@
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
-        shard.scheduler.unlist_worker(order.worker_id)
-        shard.pass_time(TASK_LEASE_MS * 1.2)
-        release_lapsed(shard.scheduler, shard.now_ms)
+        shard.scheduler.mark_unlisted(order.worker_id)
+        shard.advance_time(TASK_LEASE_MS * 1.2)
+        release_expired(shard.scheduler, shard.now_ms)
         for worker_id in shard.workers:
             if worker_id != order.worker_id:
-                shard.look(worker_id)
+                shard.poll(worker_id)
         (again,) = list_starts(shard.plan())
         shard.workers[again.worker_id].run(again)
         shard.answer(again, OrderOutcome.DONE)
@@ -221,11 +221,11 @@
         shard.workers[order.worker_id].end(order.task, order.attempt, EndKind.DONE)
         shard.silence(order.worker_id)
         for _ in range(20):
-            shard.pass_time(TASK_LEASE_MS / 10.0)
-            release_lapsed(shard.scheduler, shard.now_ms)
-            shard.look("w1" if order.worker_id == "w0" else "w0")
+            shard.advance_time(TASK_LEASE_MS / 10.0)
+            release_expired(shard.scheduler, shard.now_ms)
+            shard.poll("w1" if order.worker_id == "w0" else "w0")
             self.assertEqual(list_starts(shard.plan()), [])
-        shard.look(order.worker_id)
+        shard.poll(order.worker_id)
         self.assertIs(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
         self.assertEqual(shard.plan(), [])
 
@@ -236,12 +236,12 @@
         shard = Shard()
         shard.submit(build_job())
         order = shard.start_one()
-        shard.scheduler.bar_worker(order.worker_id)
+        shard.scheduler.exclude_worker(order.worker_id)
         shard.silence(order.worker_id)
-        shard.pass_time(TASK_LEASE_MS * 1.2)
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
-        shard.look("w1" if order.worker_id == "w0" else "w0")
+        shard.advance_time(TASK_LEASE_MS * 1.2)
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual(expiry.given_up, ((order.task, order.attempt),))
+        shard.poll("w1" if order.worker_id == "w0" else "w0")
         self.assertNotEqual(shard.start_one().worker_id, order.worker_id)
 
     def test_run_missing_from_later_poll_is_over(self):
@@ -249,8 +249,8 @@
         shard.submit(build_job())
         order = shard.start_one()
         shard.workers["w0"].running.clear()
-        shard.pass_time(10.0)
-        shard.look("w0")
+        shard.advance_time(10.0)
+        shard.poll("w0")
         again = shard.start_one()
         self.assertGreater(again.attempt, order.attempt)
 
@@ -262,7 +262,7 @@
 
     def test_silent_worker_gets_no_new_task(self):
         shard = Shard(workers=1)
-        shard.pass_time(3000.0)
+        shard.advance_time(3000.0)
         shard.submit(build_job())
         self.assertEqual(shard.plan(), [])
 
@@ -278,8 +278,8 @@
         order = first.start_one()
         second = Shard(epoch=2, settled=False)
         second.workers = first.workers
-        second.submit(build_job(), certain=False)
-        second.look_all()
+        second.submit(build_job(), is_new=False)
+        second.poll_all()
         second.settled = True
         self.assertEqual(list_starts(second.step()), [])
         second.end(order, EndKind.DONE)
@@ -289,7 +289,7 @@
         # While a worker of the previous owner is unreachable, earlier jobs may be
         # running there, but not a job accepted since the takeover.
         shard = Shard(epoch=2, settled=False)
-        shard.submit(build_job(job_id="old"), certain=False)
+        shard.submit(build_job(job_id="old"), is_new=False)
         shard.submit(build_job(job_id="new"))
         starts = list_starts(shard.plan())
         self.assertEqual([order.task.job_id for order in starts], ["new"])
@@ -307,7 +307,7 @@
         past_ms = shard.scheduler.limits.settled_at_ms + 1.0
         self.assertFalse(is_settled(shard.scheduler, roster, past_ms - 2.0))
         self.assertFalse(is_settled(shard.scheduler, roster, past_ms))
-        shard.scheduler.unlist_worker("w0")
+        shard.scheduler.mark_unlisted("w0")
         self.assertTrue(is_settled(shard.scheduler, roster, past_ms))
 
     def test_unlisted_worker_may_run_earlier_task_until_lease_expiry(self):
@@ -326,14 +326,14 @@
         worker.has_reported_all = False
         for index in range(501):
             shard.workers["w0"].end(TaskId("x", 0, 0, index), 1, EndKind.DONE)
-        page = shard.workers["w0"].look(shard.now_ms)
+        page = shard.workers["w0"].answer_poll(shard.now_ms)
         first = attrs.evolve(page, ends=page.ends[:500])
         rest = attrs.evolve(page, ends=page.ends[500:])
-        for look, known in ((first, False), (rest, True)):
-            take_look(
+        for answer, known in ((first, False), (rest, True)):
+            apply_poll_answer(
                 shard.scheduler,
                 "w0",
-                look,
+                answer,
                 sent_ms=shard.now_ms,
                 now_ms=shard.now_ms,
             )
@@ -349,27 +349,27 @@
         order = first.start_one()
         second = Shard(epoch=2)
         second.workers = first.workers
-        second.submit(build_job(attrs.evolve(SMALL, long_running=True)), certain=False)
+        second.submit(build_job(attrs.evolve(SMALL, long_running=True)), is_new=False)
         for worker_id in second.workers:
             second.scheduler.workers.pop(worker_id)
             second.add_worker(worker_id)
         second.silence(order.worker_id)
-        second.pass_time(10.0)
-        self.assertEqual(release_lapsed(second.scheduler, second.now_ms), [])
-        second.pass_time(TASK_LEASE_MS * 1.04)
-        (lapse,) = release_lapsed(second.scheduler, second.now_ms)
-        self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
+        second.advance_time(10.0)
+        self.assertEqual(release_expired(second.scheduler, second.now_ms), [])
+        second.advance_time(TASK_LEASE_MS * 1.04)
+        (expiry,) = release_expired(second.scheduler, second.now_ms)
+        self.assertEqual(expiry.given_up, ((order.task, order.attempt),))
 
     def test_earlier_long_running_task_does_not_wait_for_silent_worker(self):
         # A worker in the roster is listed and silent. A long-running task of an earlier
         # owner is never completed and cannot run after the expiry of all leases.
         shard = Shard(epoch=2, settled=False)
         lasting = build_job(attrs.evolve(SMALL, long_running=True), job_id="lasting")
-        shard.submit(lasting, certain=False)
-        shard.submit(build_job(job_id="ending"), certain=False)
+        shard.submit(lasting, is_new=False)
+        shard.submit(build_job(job_id="ending"), is_new=False)
         self.assertEqual(list_starts(shard.plan()), [])
         shard.now_ms = shard.scheduler.limits.settled_at_ms
-        shard.look_all()
+        shard.poll_all()
         starts = list_starts(shard.plan())
         self.assertEqual([order.task.job_id for order in starts], ["lasting"])
 
@@ -378,7 +378,7 @@
         # which never expires. Guards against earlier jobs that wait forever.
         shard = Shard(workers=1, epoch=2, settled=False)
         shard.scheduler.workers["w0"].has_reported_all = False
-        shard.scheduler.bar_worker("w0")
+        shard.scheduler.exclude_worker("w0")
         past_ms = shard.scheduler.limits.settled_at_ms + 1.0
         self.assertTrue(is_settled(shard.scheduler, ("w0",), past_ms))
 
@@ -390,7 +390,7 @@
         order = first.start_one()
         first.end(order, EndKind.STOPPED)
         second = Shard(epoch=2)
-        second.submit(build_job(), certain=False)
+        second.submit(build_job(), is_new=False)
         self.assertGreater(second.start_one().attempt, order.attempt)
 
     def test_end_seen_by_two_owners_counts_once(self):
@@ -403,8 +403,8 @@
         progress = shard.scheduler.jobs["j"].progress
         second = Shard(workers=1, epoch=2, settled=False)
         second.workers = shard.workers
-        second.submit(build_job(), certain=False, progress=progress)
-        second.look_all()
+        second.submit(build_job(), is_new=False, progress=progress)
+        second.poll_all()
         state = second.scheduler.jobs["j"]
         self.assertEqual(state.count_failures(order.task), 1)
 
@@ -414,9 +414,9 @@
         first.start_one()
         second = Shard(workers=1, epoch=2)
         second.workers = first.workers
-        second.submit(build_job(), certain=False)
+        second.submit(build_job(), is_new=False)
         second.scheduler.cancel_job("j", revision=5)
-        second.look_all()
+        second.poll_all()
         second.step()
         self.assertEqual(second.count_running(), 0)
 
@@ -454,7 +454,7 @@
         other = Shard(workers=1, epoch=2)
         other.workers = shard.workers
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
-        other.look("w0")
+        other.poll("w0")
         worker = other.scheduler.workers["w0"]
         self.assertEqual(acknowledge(worker), 1)
 
--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -56,7 +56,7 @@
             rated += 1
             add(candidates, worker)
 
-        self.shard.pass_time(2000.0)
+        self.shard.advance_time(2000.0)
         with mock.patch.object(Candidates, "add_worker", count):
             self.shard.plan()
         return rated
@@ -72,7 +72,7 @@
         self.shard.submit(build_job(_FILLER, job_id="large"))
         small = attrs.evolve(_FILLER, demand=Demand(cpu=100, memory_mb=100))
         self.shard.submit(build_job(small, job_id="small"))
-        self.shard.pass_time(2000.0)
+        self.shard.advance_time(2000.0)
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"small"})
 
@@ -81,7 +81,7 @@
         small = attrs.evolve(_FILLER, demand=Demand(cpu=200, memory_mb=100))
         self.shard.submit(build_job(large, job_id="a-wide"))
         self.shard.submit(build_job(small, job_id="narrow"))
-        self.shard.pass_time(2000.0)
+        self.shard.advance_time(2000.0)
         starts = list_starts(self.shard.plan())
         self.assertEqual({start.task.job_id for start in starts}, {"narrow"})
 
@@ -114,7 +114,7 @@
             demand = Demand(cpu=choices.randrange(500, 6000, 250), memory_mb=100)
             step = attrs.evolve(_FILLER, count=1, image=image, demand=demand)
             shard.submit(build_job(step, job_id=f"f{number}"))
-            shard.look_all()
+            shard.poll_all()
             self._compare(shard)
             shard.step()
 
@@ -164,7 +164,7 @@
         scheduler.request_stop(worker, run, StopReason.NOT_NEEDED)
         self.assertEqual(len(self.shard.plan()), 1)
         run.in_flight = False
-        self.shard.pass_time(1000.0)
+        self.shard.advance_time(1000.0)
         self.assertEqual(len(self.shard.plan()), 1)
         self.assertIs(run.phase, RunPhase.STOPPING)
 
--- a/trefoilhook/scheduling/tests/test_sharing.py
+++ b/trefoilhook/scheduling/tests/test_sharing.py
@@ -168,7 +168,7 @@
 
     def _advance_load(self, shard, services, weights, lagged_shares, image) -> None:
         """Advance by 500 ms while fillers of an image are running."""
-        shard.pass_time(500.0)
+        shard.advance_time(500.0)
         kept = math.exp(-1.0)
         for name in lagged_shares:
             share = 2800.0 / 32_000 if name == image else 0.0
@@ -180,7 +180,7 @@
             shard.workers["w0"].update(
                 order.task, order.attempt, percent=100.0, load=round(tail_ms)
             )
-        shard.look("w0")
+        shard.poll("w0")
 
 
 class SharingTest(unittest.TestCase):
@@ -201,8 +201,8 @@
         worker = shard.workers["w0"]
         worker.update(service.task, service.attempt, load=tail_ms)
         worker.update(filler.task, filler.attempt, load=2000.0)
-        shard.pass_time(500.0)
-        shard.look("w0")
+        shard.advance_time(500.0)
+        shard.poll("w0")
         return [order for order in shard.plan() if isinstance(order, PaceOrder)]
 
     def test_filler_that_disturbs_service_is_throttled(self):
@@ -263,8 +263,8 @@
         shard, service, filler = self._start_service_and_filler()
         self._report_tail(shard, service, filler, 60.0)
         shard.add_worker("w1", cpu=16_000)
-        shard.pass_time(1000.0)
-        shard.look_all()
+        shard.advance_time(1000.0)
+        shard.poll_all()
         stops = [order for order in shard.step() if isinstance(order, StopOrder)]
         self.assertEqual([stop.reason for stop in stops], [StopReason.THROTTLED])
         order = shard.start_one()
--- a/trefoilhook/scheduling/tests/test_starvation.py
+++ b/trefoilhook/scheduling/tests/test_starvation.py
@@ -93,7 +93,7 @@
         starts = []
         for _ in range(10):
             starts = starts or list_starts(self.shard.plan())
-            self.shard.pass_time(100.0)
+            self.shard.advance_time(100.0)
         self.shard.answer(starts[0], OrderOutcome.DONE)
         paces = [order for order in self.shard.plan() if isinstance(order, PaceOrder)]
         self.assertEqual([order.task for order in paces], [starts[0].task])
--- a/trefoilhook/scheduling/tests/test_steps.py
+++ b/trefoilhook/scheduling/tests/test_steps.py
@@ -53,12 +53,12 @@
         job = build_job(repeats=2, first_due_ms=due_ms, interval_ms=500.0)
         shard.submit(job)
         self.assertEqual(shard.step(), [])
-        shard.pass_time(1000.0)
-        shard.look_all()
+        shard.advance_time(1000.0)
+        shard.poll_all()
         first = shard.start_one()
         self.assertEqual(first.task.occurrence, 0)
-        shard.pass_time(500.0)
-        shard.look_all()
+        shard.advance_time(500.0)
+        shard.poll_all()
         second = shard.start_one()
         self.assertEqual(second.task.occurrence, 1)
         shard.end(first, EndKind.DONE)
@@ -117,8 +117,8 @@
         shard.submit(build_job(job_id="b"))
         (stop,) = shard.plan()
         self.assertIsInstance(stop, StopOrder)
-        shard.pass_time(10.0)
-        shard.look_all()
+        shard.advance_time(10.0)
+        shard.poll_all()
         self.assertEqual(list_starts(shard.plan()), [])
 
     def test_filler_takes_memory_but_no_counted_processor_time(self):
@@ -209,8 +209,8 @@
             shard.scheduler.cancel_job(job_id, revision=2)
         shard.submit(build_job(job_id="z"))
         self.assertEqual(shard.step(), [])
-        shard.pass_time(3000.0)
-        shard.look_all()
+        shard.advance_time(3000.0)
+        shard.poll_all()
         self.assertEqual(shard.start_one().task.job_id, "z")
 
     def test_long_running_task_is_restarted_after_any_end(self):
@@ -269,20 +269,20 @@
         shard = Shard(workers=1)
         shard.submit(build_job())
         shard.end(shard.start_one(), EndKind.DONE)
-        shard.scheduler.forget_ended()
-        shard.scheduler.forget_ended()
+        shard.scheduler.remove_ended_jobs()
+        shard.scheduler.remove_ended_jobs()
         self.assertIn("j", shard.scheduler.jobs, "its end is not yet in the store")
         shard.save()
-        shard.scheduler.forget_ended()
+        shard.scheduler.remove_ended_jobs()
         self.assertIn("j", shard.scheduler.jobs)
-        shard.scheduler.forget_ended()
+        shard.scheduler.remove_ended_jobs()
         self.assertNotIn("j", shard.scheduler.jobs)
 
     def test_open_job_is_kept(self):
         shard = Shard(workers=0)
         shard.submit(build_job())
         for _ in range(3):
-            shard.scheduler.forget_ended()
+            shard.scheduler.remove_ended_jobs()
         self.assertIn("j", shard.scheduler.jobs)
 
 
--- a/trefoilhook/scheduling/tests/test_unread.py
+++ b/trefoilhook/scheduling/tests/test_unread.py
@@ -12,11 +12,11 @@
     StartOrder,
     StopOrder,
     TaskId,
-    UnreadRow,
+    UnreadableRow,
     acknowledge,
+    apply_poll_answer,
     is_settled,
-    release_lapsed,
-    take_look,
+    release_expired,
 )
 from trefoilhook.scheduling.fleet import RunPhase
 from trefoilhook.scheduling.tests.cases import SMALL, Shard, build_job, list_starts
@@ -25,18 +25,20 @@
 """More than the time after which an attempt without progress is stopped, in ms."""
 
 
-def poll_with(shard: Shard, *unread: UnreadRow) -> None:
+def poll_with(shard: Shard, *unreadable: UnreadableRow) -> None:
     """Poll the first worker, with unreadable rows in place of some ends."""
-    numbers = {row.number for row in unread}
-    complete = shard.workers["w0"].look(shard.now_ms)
+    numbers = {row.number for row in unreadable}
+    complete = shard.workers["w0"].answer_poll(shard.now_ms)
     ends = tuple(end for end in complete.ends if end.number not in numbers)
-    look = attrs.evolve(complete, ends=ends, unread=unread)
-    take_look(shard.scheduler, "w0", look, sent_ms=shard.now_ms, now_ms=shard.now_ms)
+    answer = attrs.evolve(complete, ends=ends, unreadable=unreadable)
+    apply_poll_answer(
+        shard.scheduler, "w0", answer, sent_ms=shard.now_ms, now_ms=shard.now_ms
+    )
 
 
-def build_unread(number: int, attempt=None) -> UnreadRow:
+def build_unreadable(number: int, attempt=None) -> UnreadableRow:
     """Build an unreadable row of an end."""
-    return UnreadRow(reason="how", is_end=True, number=number, attempt=attempt)
+    return UnreadableRow(reason="how", is_end=True, number=number, attempt=attempt)
 
 
 class UnusableEntryTest(unittest.TestCase):
@@ -46,7 +48,7 @@
         shard = Shard(workers=1)
         shard.submit(build_job())
         order = shard.start_one()
-        shard.scheduler.bar_worker("w0")
+        shard.scheduler.exclude_worker("w0")
         shard.submit(build_job(job_id="k"))
         self.assertEqual(shard.step(), [])
         worker = shard.scheduler.workers["w0"]
@@ -60,7 +62,7 @@
 
     def test_unknown_worker(self):
         shard = Shard(workers=0)
-        shard.scheduler.bar_worker("w0")
+        shard.scheduler.exclude_worker("w0")
         self.assertEqual(shard.scheduler.workers, {})
 
     def test_unanswered_start_is_not_repeated(self):
@@ -70,17 +72,17 @@
         shard.submit(build_job())
         (order,) = shard.plan()
         shard.answer(order, OrderOutcome.NO_ANSWER)
-        shard.scheduler.bar_worker("w0")
-        shard.pass_time(200.0)
+        shard.scheduler.exclude_worker("w0")
+        shard.advance_time(200.0)
         (stop,) = shard.plan()
         self.assertIsInstance(stop, StopOrder)
         shard.answer(stop, OrderOutcome.DONE)
-        shard.pass_time(100.0)
-        shard.look("w0")
+        shard.advance_time(100.0)
+        shard.poll("w0")
         self.assertEqual(shard.scheduler.workers["w0"].runs, {})
 
 
-class UnreadEndTest(unittest.TestCase):
+class UnreadableEndTest(unittest.TestCase):
     """Unreadable ends."""
 
     def test_attempt_is_held_until_end_is_readable(self):
@@ -93,16 +95,16 @@
         self.assertEqual(order.worker_id, "w0")
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
         for row in (
-            build_unread(1, (order.task, order.attempt)),
-            build_unread(1),
+            build_unreadable(1, (order.task, order.attempt)),
+            build_unreadable(1),
         ):
             with self.subTest(row=row):
-                shard.pass_time(_STALL_TIMEOUT_MS)
+                shard.advance_time(_STALL_TIMEOUT_MS)
                 poll_with(shard, row)
                 self.assertIn((order.task, order.attempt), worker.runs)
                 self.assertEqual(shard.plan(), [])
                 self.assertEqual(acknowledge(worker), 0)
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(worker.runs, {})
         shard.save()
         self.assertEqual(acknowledge(worker), 1)
@@ -115,13 +117,13 @@
         worker = shard.scheduler.workers["w0"]
         for order in (first, second):
             shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
-        shard.pass_time(10.0)
-        poll_with(shard, build_unread(1, (first.task, first.attempt)))
+        shard.advance_time(10.0)
+        poll_with(shard, build_unreadable(1, (first.task, first.attempt)))
         self.assertEqual(list(worker.runs), [(first.task, first.attempt)])
         shard.save()
         self.assertEqual(acknowledge(worker), 0)
         # The first end is readable now but not saved, so that neither is acknowledged.
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(worker.runs, {})
         self.assertEqual(acknowledge(worker), 0)
         shard.save()
@@ -133,13 +135,13 @@
         shard.submit(build_job())
         order = shard.start_one()
         shard.end(order, EndKind.FAILED)
-        shard.look("w0")
+        shard.poll("w0")
         state = shard.scheduler.jobs["j"]
         self.assertEqual(state.count_failures(order.task), 1)
         shard.save()
         worker = shard.scheduler.workers["w0"]
         self.assertEqual(acknowledge(worker), 1)
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(len(worker.unacknowledged), 0)
 
     def test_cancelled_job_releases_attempt(self):
@@ -149,7 +151,7 @@
         shard.submit(build_job())
         order = shard.start_one()
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
-        row = build_unread(1, (order.task, order.attempt))
+        row = build_unreadable(1, (order.task, order.attempt))
         poll_with(shard, row)
         worker = shard.scheduler.workers["w0"]
         self.assertEqual(len(worker.runs), 1)
@@ -165,26 +167,26 @@
         shard.submit(build_job())
         order = shard.start_one()
         shard.workers["w0"].end(order.task, order.attempt, EndKind.DONE)
-        poll_with(shard, build_unread(1, (order.task, order.attempt)))
+        poll_with(shard, build_unreadable(1, (order.task, order.attempt)))
         shard.silence("w0")
-        shard.pass_time(20_000.0)
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual((lapse.awaited, lapse.given_up), (1, ()))
-        shard.scheduler.unlist_worker("w0")
-        (lapse,) = release_lapsed(shard.scheduler, shard.now_ms)
-        self.assertEqual(lapse.given_up, ((order.task, order.attempt),))
+        shard.advance_time(20_000.0)
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual((expiry.awaited, expiry.given_up), (1, ()))
+        shard.scheduler.mark_unlisted("w0")
+        (expiry,) = release_expired(shard.scheduler, shard.now_ms)
+        self.assertEqual(expiry.given_up, ((order.task, order.attempt),))
 
     def test_worker_with_many_held_ends_gets_no_task(self):
         # An answer contains 500 ends at most, so that later ones would not be seen.
         shard = Shard(workers=1)
         worker = shard.scheduler.workers["w0"]
-        worker.unread_from = 1
+        worker.first_unreadable_end = 1
         for number in range(2, 253):
             worker.record_end(number, lambda: True)
         shard.submit(build_job())
         self.assertEqual(acknowledge(worker), 0)
         self.assertEqual(shard.plan(), [])
-        worker.unread_from = None
+        worker.first_unreadable_end = None
         acknowledge(worker)
         self.assertEqual(len(list_starts(shard.plan())), 1)
 
@@ -192,7 +194,7 @@
 class TakeoverTest(unittest.TestCase):
     """New owners that cannot read all rows of a worker."""
 
-    def _take_over(self, *unread: UnreadRow) -> tuple[Shard, StartOrder]:
+    def _take_over(self, *unreadable: UnreadableRow) -> tuple[Shard, StartOrder]:
         """Complete a task under one owner before the first poll of the next one."""
         earlier = Shard(workers=1)
         earlier.submit(build_job())
@@ -202,9 +204,9 @@
         later.workers = earlier.workers
         report = earlier.scheduler.workers["w0"].report
         later.scheduler.update_worker(report)
-        later.scheduler.workers["w0"].rostered = True
-        later.submit(build_job(), certain=False)
-        rows = unread or (build_unread(1, (order.task, order.attempt)),)
+        later.scheduler.workers["w0"].is_in_roster = True
+        later.submit(build_job(), is_new=False)
+        rows = unreadable or (build_unreadable(1, (order.task, order.attempt)),)
         poll_with(later, *rows)
         return later, order
 
@@ -215,36 +217,38 @@
         self.assertTrue(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         self.assertEqual(shard.plan(), [])
         for _ in range(2):
-            shard.pass_time(_STALL_TIMEOUT_MS)
-            poll_with(shard, build_unread(1, (order.task, order.attempt)))
+            shard.advance_time(_STALL_TIMEOUT_MS)
+            poll_with(shard, build_unreadable(1, (order.task, order.attempt)))
             self.assertEqual(shard.plan(), [])
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(shard.scheduler.jobs["j"].phase, JobPhase.COMPLETED)
         self.assertEqual(shard.plan(), [])
 
     def test_unreadable_row_without_attempt(self):
         # The same with an unknown task: until the row is readable, no task of the
         # earlier owner may start.
-        shard, _ = self._take_over(build_unread(1))
+        shard, _ = self._take_over(build_unreadable(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
-        shard.pass_time(2 * _STALL_TIMEOUT_MS)
-        poll_with(shard, UnreadRow(reason="task", is_end=False), build_unread(1))
+        shard.advance_time(2 * _STALL_TIMEOUT_MS)
+        poll_with(
+            shard, UnreadableRow(reason="task", is_end=False), build_unreadable(1)
+        )
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
-        shard.look("w0")
+        shard.poll("w0")
         self.assertTrue(is_settled(shard.scheduler, ["w0"], shard.now_ms))
 
     def test_unreadable_end_of_superseded_attempt(self):
         # A later attempt is known, so that the row refers to one that was given up.
         shard, order = self._take_over()
         state = shard.scheduler.jobs["j"].find_task(order.task)
-        shard.look("w0")
+        shard.poll("w0")
         state.done = False
         state.last_attempt = order.attempt + 1
-        poll_with(shard, build_unread(1, (order.task, order.attempt)))
+        poll_with(shard, build_unreadable(1, (order.task, order.attempt)))
         self.assertEqual(shard.scheduler.workers["w0"].runs, {})
 
 
-class UnreadRunningTest(unittest.TestCase):
+class UnreadableRunningTest(unittest.TestCase):
     """Unreadable rows of running attempts."""
 
     def test_attempt_possibly_in_unreadable_row_is_not_over(self):
@@ -254,15 +258,15 @@
         shard.submit(build_job())
         order = shard.start_one()
         worker = shard.scheduler.workers["w0"]
-        row = UnreadRow(reason="task", is_end=False)
+        row = UnreadableRow(reason="task", is_end=False)
         shard.workers["w0"].running.clear()
         for _ in range(3):
-            shard.pass_time(_STALL_TIMEOUT_MS)
-            shard.look("w1")
+            shard.advance_time(_STALL_TIMEOUT_MS)
+            shard.poll("w1")
             poll_with(shard, row)
             self.assertIn((order.task, order.attempt), worker.runs)
             self.assertEqual(shard.plan(), [])
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(worker.runs, {})
 
     def test_unreadable_values_keep_last_value(self):
@@ -271,10 +275,10 @@
         order = shard.start_one()
         run = shard.scheduler.workers["w0"].runs[order.task, order.attempt]
         shard.workers["w0"].update(order.task, order.attempt, percent=40.0, load=7.0)
-        shard.look("w0")
+        shard.poll("w0")
         shard.workers["w0"].update(order.task, order.attempt, percent=None, load=None)
-        shard.pass_time(_STALL_TIMEOUT_MS)
-        shard.look("w0")
+        shard.advance_time(_STALL_TIMEOUT_MS)
+        shard.poll("w0")
         self.assertEqual((run.percent, run.load), (40.0, 7.0))
         self.assertEqual(shard.plan(), [])
 
@@ -284,7 +288,7 @@
         odd = TaskId("j", 0, 7, 0)
         running = Running(task=odd, attempt=3, checkpoint="", percent=0.0, load=0.0)
         shard.workers["w0"].running[odd, 3] = running
-        shard.look("w0")
+        shard.poll("w0")
         orders = shard.plan()
         self.assertIn(odd, [o.task for o in orders if isinstance(o, StopOrder)])
 
@@ -296,18 +300,18 @@
         # A new owner cannot read a job's record. The job's attempts are not stopped,
         # and their ends remain with the workers until an owner can read the record.
         shard = Shard(workers=1)
-        shard.scheduler.held_back.add("gone")
+        shard.scheduler.unreadable_jobs.add("gone")
         task = TaskId("gone", 0, 0, 0)
         running = Running(task=task, attempt=3, checkpoint="", percent=0.0, load=0.0)
         shard.workers["w0"].running[task, 3] = running
-        shard.look("w0")
+        shard.poll("w0")
         worker = shard.scheduler.workers["w0"]
         self.assertIs(worker.runs[task, 3].phase, RunPhase.RUNNING)
         self.assertEqual(shard.plan(), [])
         shard.workers["w0"].end(task, 3, EndKind.DONE)
-        shard.look("w0")
+        shard.poll("w0")
         self.assertEqual(acknowledge(worker), 0)
-        shard.scheduler.held_back.discard("gone")
+        shard.scheduler.unreadable_jobs.discard("gone")
         self.assertEqual(acknowledge(worker), 1)
 
 
--- a/trefoilhook/scheduling/tests/test_waits.py
+++ b/trefoilhook/scheduling/tests/test_waits.py
@@ -45,7 +45,7 @@
 
     def test_unsettled_owner(self):
         shard = Shard(workers=1, settled=False)
-        shard.submit(build_job(), certain=False)
+        shard.submit(build_job(), is_new=False)
         self.assertIs(self.wait(shard), WaitReason.OWNER_NEW)
 
     def test_isolation(self):
@@ -57,7 +57,7 @@
             1, "w", 5000.0, proved=True
         )
         task.held_until_ms = shard.now_ms + 10_000.0
-        self.assertIs(self.wait(shard), WaitReason.ISOLATION)
+        self.assertIs(self.wait(shard), WaitReason.ISOLATED)
 
     def test_interference(self):
         service = Step(
@@ -117,7 +117,7 @@
         began_ms = shard.now_ms
         run.set_pace(25, began_ms + 1000.0)
         run.set_pace(100, began_ms + 3000.0)
-        self.assertEqual(run.measure_slowing(began_ms + 9000.0), 1500.0)
+        self.assertEqual(run.measure_throttling_loss(began_ms + 9000.0), 1500.0)
 
 
 class ShortfallTest(unittest.TestCase):
@@ -139,13 +139,13 @@
             self.shard.workers[order.worker_id].update(
                 order.task, order.attempt, percent=100.0, load=9.0
             )
-        self.shard.look_all()
+        self.shard.poll_all()
 
     def take(self) -> list:
         """Sample twice and return the shortfalls."""
         for _ in range(2):
             self.counter.sample(self.shard.scheduler)
-        return list(self.counter.take(self.shard.scheduler))
+        return list(self.counter.collect(self.shard.scheduler))
 
     def test_complete_job_is_not_reported(self):
         self.assertEqual(self.take(), [])
@@ -168,7 +168,7 @@
             self.shard.workers[order.worker_id].update(
                 order.task, order.attempt, load=30.0
             )
-        self.shard.look_all()
+        self.shard.poll_all()
         (shortfall,) = self.take()
         self.assertEqual((shortfall.over, shortfall.beside), (2.0, 1.0))
 
@@ -176,7 +176,7 @@
         self.shard.end(self.orders[0], EndKind.FAILED)
         self.counter.sample(self.shard.scheduler)
         self.shard.scheduler.cancel_job("j", revision=2)
-        self.assertEqual(list(self.counter.take(self.shard.scheduler)), [])
+        self.assertEqual(list(self.counter.collect(self.shard.scheduler)), [])
 
 
 if __name__ == "__main__":
--- a/trefoilhook/scheduling/tickets.py
+++ b/trefoilhook/scheduling/tickets.py
@@ -71,7 +71,7 @@
         """Return whether a worker is known not to be permitted to run a step."""
         return worker_id in self._refused.get(step, ())
 
-    def take(
+    def record_answer(
         self,
         request: AdviceRequest,
         grants: tuple[Grant, ...],
--- a/trefoilhook/scheduling/unread.py
+++ b/trefoilhook/scheduling/unread.py
@@ -11,14 +11,14 @@
 from collections.abc import Collection
 
 from trefoilhook.scheduling.fleet import Worker
-from trefoilhook.scheduling.messages import Look
+from trefoilhook.scheduling.messages import PollAnswer
 from trefoilhook.scheduling.models import TaskId
 
 __all__ = [
     "find_hidden_attempts",
     "has_too_many_held_ends",
     "identifies_all_attempts",
-    "record_unread",
+    "record_unreadable",
 ]
 
 _MAX_HELD_ENDS = 250
@@ -26,24 +26,27 @@
 half of the page of ends in a poll, so that the ends of current runs still fit."""
 
 
-def record_unread(worker: Worker, look: Look) -> None:
+def record_unreadable(worker: Worker, answer: PollAnswer) -> None:
     """Record the number from which ends must not be acknowledged.
 
     An end without a readable number may be any end, so that none is acknowledged.
     """
-    numbers = [row.number or 0 for row in look.unread if row.is_end]
-    worker.unread_from = min(numbers, default=None)
+    numbers = [row.number or 0 for row in answer.unreadable if row.is_end]
+    worker.first_unreadable_end = min(numbers, default=None)
 
 
 def find_hidden_attempts(
-    worker: Worker, look: Look, listed: Collection[tuple[TaskId, int]], now_ms: float
+    worker: Worker,
+    answer: PollAnswer,
+    listed: Collection[tuple[TaskId, int]],
+    now_ms: float,
 ) -> set[tuple[TaskId, int]]:
     """Return the unlisted attempts that an unreadable row may refer to.
 
     They count as progressing, which is unknown: a stalled attempt would otherwise be
     stopped repeatedly on a worker where it may already have ended.
     """
-    named = {row.attempt for row in look.unread}
+    named = {row.attempt for row in answer.unreadable}
     hidden = {
         key
         for key in worker.runs
@@ -54,11 +57,14 @@
     return hidden
 
 
-def identifies_all_attempts(look: Look) -> bool:
+def identifies_all_attempts(answer: PollAnswer) -> bool:
     """Return whether every unreadable row identifies its attempt."""
-    return all(row.attempt is not None for row in look.unread)
+    return all(row.attempt is not None for row in answer.unreadable)
 
 
 def has_too_many_held_ends(worker: Worker) -> bool:
     """Return whether too many ends are held back by an unreadable one."""
-    return worker.unread_from is not None and len(worker.ends_taken) > _MAX_HELD_ENDS
+    return (
+        worker.first_unreadable_end is not None
+        and len(worker.ends_taken) > _MAX_HELD_ENDS
+    )
--- a/trefoilhook/scheduling/waits.py
+++ b/trefoilhook/scheduling/waits.py
@@ -34,16 +34,16 @@
     INTERFERENCE = "not borne"
     """It is a filler, and service tasks on the workers would not tolerate it."""
 
-    ROUND_LIMIT = "behind others"
+    BEHIND_OTHERS = "behind others"
     """Too many similar steps before it were infeasible in the round."""
 
-    ISOLATION = "kept apart"
+    ISOLATED = "kept apart"
     """It is suspected of crashing its workers and waits to run in isolation."""
 
     OWNER_NEW = "owner new"
     """The owner does not know yet which tasks an earlier owner has started."""
 
-    LIST_STALE = "list stale"
+    WORKER_LIST_STALE = "list stale"
     """The worker entries in the store have not been read for too long."""
 
 
--- a/trefoilhook/settings/__init__.py
+++ b/trefoilhook/settings/__init__.py
@@ -1,11 +1,11 @@
 """Declaration, validation and documentation of settings."""
 
 from trefoilhook.settings.checks import (
+    check_choice,
+    check_name,
+    check_range,
     is_digest,
     is_host,
-    is_name,
-    is_one_of,
-    is_within,
 )
 from trefoilhook.settings.core import FieldError, declare, declare_section
 from trefoilhook.settings.page import render_page
@@ -49,9 +49,9 @@
     "dump_json",
     "is_digest",
     "is_host",
-    "is_name",
-    "is_one_of",
-    "is_within",
+    "check_name",
+    "check_choice",
+    "check_range",
     "load_settings",
     "parse_json",
     "read_message",
--- a/trefoilhook/settings/checks.py
+++ b/trefoilhook/settings/checks.py
@@ -7,13 +7,13 @@
 
 from trefoilhook.settings.core import Check
 
-__all__ = ["is_digest", "is_host", "is_name", "is_one_of", "is_within"]
+__all__ = ["is_digest", "is_host", "check_name", "check_choice", "check_range"]
 
 _NAME = re.compile(r"[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?")
 _DIGEST = re.compile(r"[0-9a-f]{64}")
 
 
-def is_within(low: float, high: float) -> Check:
+def check_range(low: float, high: float) -> Check:
     """Build a check that a number lies between two bounds, both inclusive."""
 
     def check(value: Any) -> str | None:
@@ -24,7 +24,7 @@
     return check
 
 
-def is_one_of(choices: Sequence[str]) -> Check:
+def check_choice(choices: Sequence[str]) -> Check:
     """Build a check that a string is one of ``choices``."""
 
     def check(value: Any) -> str | None:
@@ -33,7 +33,7 @@
     return check
 
 
-def is_name(value: Any) -> str | None:
+def check_name(value: Any) -> str | None:
     """Check that a string is a valid path segment: lower case, digits and hyphens."""
     if _NAME.fullmatch(value):
         return None
--- a/trefoilhook/settings/page.py
+++ b/trefoilhook/settings/page.py
@@ -102,14 +102,14 @@
     return field.name
 
 
-def render_page(cls: type[Any], *, head: str) -> str:
+def render_page(cls: type[Any], *, header: str) -> str:
     """Return the reference page of a settings class as Markdown.
 
     Parameters
     ----------
     cls : type
         The attrs class that holds all sections.
-    head : str
+    header : str
         Title and introduction of the page.
     """
-    return "\n".join((head.rstrip("\n"), *_render_section(cls, "", ""))) + "\n"
+    return "\n".join((header.rstrip("\n"), *_render_section(cls, "", ""))) + "\n"
--- a/trefoilhook/settings/sections.py
+++ b/trefoilhook/settings/sections.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from trefoilhook.settings.checks import is_digest, is_host, is_name, is_within
+from trefoilhook.settings.checks import check_name, check_range, is_digest, is_host
 from trefoilhook.settings.core import FieldError, declare, declare_section
 
 __all__ = [
@@ -18,8 +18,8 @@
     "TlsSettings",
 ]
 
-_PORT = is_within(0, 65_535)
-_REMOTE_PORT = is_within(1, 65_535)
+_PORT = check_range(0, 65_535)
+_REMOTE_PORT = check_range(1, 65_535)
 _MAX_SHARDS = 4_096
 _HOUR_MS = 3_600_000
 
@@ -31,13 +31,13 @@
     instance_id: str | None = declare(
         default=None,
         description="Name of the instance, never reused; random when not given.",
-        check=is_name,
+        check=check_name,
     )
     failure_domain: str = declare(
-        default="fd-1", description="Failure domain of the instance.", check=is_name
+        default="fd-1", description="Failure domain of the instance.", check=check_name
     )
     region: str = declare(
-        default="region-1", description="Region of the instance.", check=is_name
+        default="region-1", description="Region of the instance.", check=check_name
     )
 
 
@@ -122,7 +122,7 @@
         default=1_000,
         unit="ms",
         description="Longest wait for a response of the store.",
-        check=is_within(10, 60_000),
+        check=check_range(10, 60_000),
     )
 
 
@@ -140,13 +140,13 @@
         default=1_000,
         unit="ms",
         description="Longest wait for a response of the list.",
-        check=is_within(10, 60_000),
+        check=check_range(10, 60_000),
     )
     interval_ms: int = declare(
         default=1_000,
         unit="ms",
         description="Interval between two reads of the list.",
-        check=is_within(100, 60_000),
+        check=check_range(100, 60_000),
     )
 
 
@@ -165,12 +165,12 @@
     request_shards: int = declare(
         default=64,
         description="Number of shards for request keys and executors.",
-        check=is_within(1, _MAX_SHARDS),
+        check=check_range(1, _MAX_SHARDS),
     )
     worker_shards: int = declare(
         default=1,
         description="Number of shards for jobs and racks of workers.",
-        check=is_within(1, _MAX_SHARDS),
+        check=check_range(1, _MAX_SHARDS),
     )
 
 
@@ -188,13 +188,13 @@
     history_limit: int = declare(
         default=50,
         description="Changes kept in the history of a team's configuration.",
-        check=is_within(1, 1_000),
+        check=check_range(1, 1_000),
     )
     max_wait_ms: int = declare(
         default=60_000,
         unit="ms",
         description="Longest time that a call may wait for a revision to be in force.",
-        check=is_within(1, _HOUR_MS),
+        check=check_range(1, _HOUR_MS),
     )
 
 
--- a/trefoilhook/settings/tests/test_reader.py
+++ b/trefoilhook/settings/tests/test_reader.py
@@ -168,7 +168,7 @@
     """The reference page; the daemon's page is tested in `trefoilhook.command`."""
 
     def test_every_declaration_is_on_the_page(self):
-        page = render_page(_Outer, head="# Title\n")
+        page = render_page(_Outer, header="# Title\n")
         for part in (
             "# Title\n",
             "## `inner`\n\nThe inner one.",
--- a/trefoilhook/shards/__init__.py
+++ b/trefoilhook/shards/__init__.py
@@ -10,12 +10,12 @@
     choose_owner,
     decode_table,
     encode_table,
-    find_shard,
+    format_shard_id,
+    hash_to_shard,
     list_shards,
-    name_shard,
 )
 from trefoilhook.shards.owner import Ownership
-from trefoilhook.shards.rights import Evidence, Rights, evaluate_evidence
+from trefoilhook.shards.rights import Evidence, ServingGrounds, evaluate_evidence
 
 __all__ = [
     "ClaimPlan",
@@ -24,18 +24,18 @@
     "Ownership",
     "OwnershipChange",
     "PreviousOwner",
-    "Rights",
+    "ServingGrounds",
     "ShardKind",
     "ShardRow",
     "ShardTable",
     "choose_owner",
     "decode_table",
     "encode_table",
-    "find_shard",
+    "hash_to_shard",
     "hand_over",
     "evaluate_evidence",
     "list_shards",
-    "name_shard",
+    "format_shard_id",
     "plan_claims",
     "plan_handovers",
 ]
--- a/trefoilhook/shards/assignments.py
+++ b/trefoilhook/shards/assignments.py
@@ -6,7 +6,7 @@
 
 from trefoilhook.inner.messages_pb2 import ShardHandover
 from trefoilhook.shards.core import ShardRow
-from trefoilhook.shards.rights import Rights
+from trefoilhook.shards.rights import ServingGrounds
 
 __all__ = ["Assignment", "Owner", "OwnershipChange"]
 
@@ -41,7 +41,7 @@
         Whether the instance may now serve the shard.
     handover : ShardHandover or None
         Handover message of the previous owner; None if it sent none.
-    rights : Rights
+    grounds : ServingGrounds
         Why the instance may serve the shard.
     """
 
@@ -49,7 +49,7 @@
     epoch: int
     is_owned: bool
     handover: ShardHandover | None = None
-    rights: Rights = Rights.NO_PREVIOUS_OWNER
+    grounds: ServingGrounds = ServingGrounds.NO_PREVIOUS_OWNER
 
 
 @attrs.define(kw_only=True)
@@ -62,7 +62,7 @@
         The shard's row.
     claimed_at_ms : float
         Monotonic time at which the row was first seen, in ms.
-    rights : Rights
+    grounds : ServingGrounds
         Why the instance may serve the shard, or that it must wait.
     active_since_wall_ms : float
         Wall time since which it may serve the shard, in ms since the Unix epoch.
@@ -76,7 +76,7 @@
 
     row: ShardRow
     claimed_at_ms: float
-    rights: Rights = Rights.WAIT
+    grounds: ServingGrounds = ServingGrounds.WAIT
     active_since_wall_ms: float = math.inf
     is_releasing: bool = False
     sent_handover: ShardHandover | None = None
@@ -85,4 +85,4 @@
     @property
     def is_active(self) -> bool:
         """Whether the instance may serve the shard, apart from its lease."""
-        return self.rights is not Rights.WAIT and not self.is_releasing
+        return self.grounds is not ServingGrounds.WAIT and not self.is_releasing
--- a/trefoilhook/shards/claims.py
+++ b/trefoilhook/shards/claims.py
@@ -43,13 +43,13 @@
     *,
     table: ShardTable,
     members: Members,
-    me: Member,
+    local_member: Member,
     shard_ids: Iterable[str],
     is_promised_to: Callable[[str], bool],
     held: Container[str],
     may_claim: bool = True,
 ) -> ClaimPlan:
-    """Plan which shards ``me`` claims and which of its rows it refreshes.
+    """Plan which shards ``local_member`` claims and which of its rows it refreshes.
 
     Parameters
     ----------
@@ -59,16 +59,17 @@
         The members, read from the store after the table. In this order, an owner that
         has rejoined either has changed the table since, so that the write fails, or is
         among these members.
-    me : Member
+    local_member : Member
         The instance that plans.
     shard_ids : iterable of str
         All shards.
     is_promised_to : callable
-        Whether ``me`` has promised an owner not to claim its shards.
+        Whether ``local_member`` has promised an owner not to claim its shards.
     held : container of str
-        Shards that this process has held. A row may name ``me`` although this process
-        has not held the shard: a process restarted under the same instance id does not
-        know the keys and claims the shard at a new epoch, like any other claimant.
+        Shards that this process has held. A row may name ``local_member`` although this
+        process has not held the shard: a process restarted under the same instance id
+        does not know the keys and claims the shard at a new epoch, like any other
+        claimant.
     may_claim : bool
         Whether to claim shards; the rows of shards in ``held`` are refreshed in any
         case.
@@ -78,21 +79,21 @@
         # A live owner with another incarnation has rejoined and will refresh its row.
         if row.owner_id in members or is_promised_to(row.owner_id):
             return False
-        return choose_owner(shard_id, members) == me.instance_id
+        return choose_owner(shard_id, members) == local_member.instance_id
 
     rows = dict(table.rows)
     claimed: list[str] = []
     refreshed: list[str] = []
     for shard_id in shard_ids:
         row = table.get_row(shard_id)
-        is_mine = row.owner_id == me.instance_id
-        if is_mine and row.incarnation == me.incarnation:
+        is_mine = row.owner_id == local_member.instance_id
+        if is_mine and row.incarnation == local_member.incarnation:
             continue
         if is_mine and shard_id in held:
-            rows[shard_id] = _refresh_row(row, me)
+            rows[shard_id] = _refresh_row(row, local_member)
             refreshed.append(shard_id)
         elif may_claim and (is_mine or is_free(shard_id, row)):
-            rows[shard_id] = _claim_row(row, me)
+            rows[shard_id] = _claim_row(row, local_member)
             claimed.append(shard_id)
     return ClaimPlan(
         table=attrs.evolve(table, rows=rows),
@@ -102,15 +103,18 @@
 
 
 def plan_handovers(
-    *, table: ShardTable, members: Members, me: Member
+    *, table: ShardTable, members: Members, local_member: Member
 ) -> dict[str, Member]:
-    """Plan which of its shards ``me`` hands over, and to which member."""
+    """Plan which of its shards ``local_member`` hands over, and to which member."""
     moves: dict[str, Member] = {}
     for shard_id, row in table.rows.items():
-        if row.owner_id != me.instance_id or row.incarnation != me.incarnation:
+        if (
+            row.owner_id != local_member.instance_id
+            or row.incarnation != local_member.incarnation
+        ):
             continue
         chosen = choose_owner(shard_id, members)
-        if chosen is None or chosen == me.instance_id:
+        if chosen is None or chosen == local_member.instance_id:
             continue
         moves[shard_id] = members.by_id[chosen]
     return moves
--- a/trefoilhook/shards/core.py
+++ b/trefoilhook/shards/core.py
@@ -29,9 +29,9 @@
     "choose_owner",
     "decode_table",
     "encode_table",
-    "find_shard",
+    "hash_to_shard",
     "list_shards",
-    "name_shard",
+    "format_shard_id",
 ]
 
 TABLE_KEY = "root/shards"
@@ -115,7 +115,7 @@
         return self.rows.get(shard_id) or _UNCLAIMED_ROW
 
 
-def name_shard(kind: ShardKind, index: int) -> str:
+def format_shard_id(kind: ShardKind, index: int) -> str:
     """Build the name of a shard."""
     return f"{kind.value}-{index:03d}"
 
@@ -123,18 +123,20 @@
 def list_shards(settings: ShardSettings) -> tuple[str, ...]:
     """Return the names of all shards."""
     requests = (
-        name_shard(ShardKind.REQUEST, i) for i in range(settings.request_shards)
+        format_shard_id(ShardKind.REQUEST, i) for i in range(settings.request_shards)
+    )
+    workers = (
+        format_shard_id(ShardKind.WORKER, i) for i in range(settings.worker_shards)
     )
-    workers = (name_shard(ShardKind.WORKER, i) for i in range(settings.worker_shards))
     return (*requests, *workers)
 
 
-def find_shard(kind: ShardKind, name: bytes, settings: ShardSettings) -> str:
+def hash_to_shard(kind: ShardKind, name: bytes, settings: ShardSettings) -> str:
     """Return the shard that a key, an executor or a rack hashes to."""
     count = settings.request_shards
     if kind is ShardKind.WORKER:
         count = settings.worker_shards
-    return name_shard(kind, xxhash.xxh3_64_intdigest(name) % count)
+    return format_shard_id(kind, xxhash.xxh3_64_intdigest(name) % count)
 
 
 def choose_owner(shard_id: str, members: Members) -> str | None:
--- a/trefoilhook/shards/evidence.py
+++ b/trefoilhook/shards/evidence.py
@@ -9,7 +9,7 @@
 from trefoilhook.membership import Membership
 from trefoilhook.shards.assignments import Assignment
 from trefoilhook.shards.core import PreviousOwner
-from trefoilhook.shards.rights import Evidence, Rights, evaluate_evidence
+from trefoilhook.shards.rights import Evidence, ServingGrounds, evaluate_evidence
 
 __all__ = ["EvidenceCollector"]
 
@@ -52,16 +52,16 @@
             for o in sorted(unmet, key=lambda owner: owner.instance_id)
         )
 
-    def evaluate(self, assignment: Assignment) -> Rights:
+    def evaluate(self, assignment: Assignment) -> ServingGrounds:
         """Evaluate all previous owners: WAIT if any of them may still be serving."""
-        rights = Rights.NO_PREVIOUS_OWNER
+        grounds = ServingGrounds.NO_PREVIOUS_OWNER
         for owner in assignment.row.unmet:
-            rights = evaluate_evidence(
+            grounds = evaluate_evidence(
                 self._collect(assignment, owner), outage_limit_ms=self._outage_limit_ms
             )
-            if rights is Rights.WAIT:
-                return rights
-        return rights
+            if grounds is ServingGrounds.WAIT:
+                return grounds
+        return grounds
 
     def _collect(self, assignment: Assignment, owner: PreviousOwner) -> Evidence:
         membership = self._membership
--- a/trefoilhook/shards/owner.py
+++ b/trefoilhook/shards/owner.py
@@ -33,7 +33,7 @@
     list_shards,
 )
 from trefoilhook.shards.evidence import EvidenceCollector
-from trefoilhook.shards.rights import Rights
+from trefoilhook.shards.rights import ServingGrounds
 from trefoilhook.shards.tables import TableStore
 from trefoilhook.store import (
     ConflictError,
@@ -98,16 +98,18 @@
         self._release_hooks: list[ReleaseHook] = []
         self._handover_handlers: list[HandoverHandler] = []
         self._random = random.Random(membership.instance_id)
-        inner.handle(ShardHandover, self._receive_handover)
+        inner.register_handler(ShardHandover, self._receive_handover)
 
     @property
     def table(self) -> ShardTable:
         """The shard table as last read."""
         return self._table
 
-    def list_owned(self) -> tuple[str, ...]:
+    def list_served(self) -> tuple[str, ...]:
         """Return the shards that this instance may serve now."""
-        return tuple(s for s in self._assignments if self.owns(s) is not None)
+        return tuple(
+            s for s in self._assignments if self.get_serving_epoch(s) is not None
+        )
 
     def find_owner(self, shard_id: str) -> Owner | None:
         """Return the owner of a shard according to the mirror; None if it has none."""
@@ -116,7 +118,7 @@
             return None
         return Owner(instance_id=row.owner_id, epoch=row.epoch)
 
-    def owns(self, shard_id: str) -> int | None:
+    def get_serving_epoch(self, shard_id: str) -> int | None:
         """Return the epoch if this instance may serve the shard now, else None.
 
         The clock is read at each call, so that a process that was suspended beyond the
@@ -129,7 +131,7 @@
             return None
         return assignment.row.epoch
 
-    def own_since_wall_ms(self, shard_id: str) -> float:
+    def serving_since_wall_ms(self, shard_id: str) -> float:
         """Return since when the instance may serve, in ms since the Unix epoch."""
         assignment = self._assignments.get(shard_id)
         return math.inf if assignment is None else assignment.active_since_wall_ms
@@ -151,11 +153,11 @@
         self._subscribers.append(sender)
         return receiver
 
-    def add_releaser(self, hook: ReleaseHook) -> None:
+    def add_release_hook(self, hook: ReleaseHook) -> None:
         """Add a hook that ends work on a shard and returns its handover message."""
         self._release_hooks.append(hook)
 
-    def add_receiver(self, handler: HandoverHandler) -> None:
+    def add_handover_handler(self, handler: HandoverHandler) -> None:
         """Add a handler that applies the handover message of a previous owner.
 
         It is called before this instance may serve the shard. If the message were
@@ -211,7 +213,7 @@
         await self._activate_ready()
         return False
 
-    async def release_all(self) -> None:
+    async def wait_released(self) -> None:
         """Wait until every shard is being handed over, or the lease is not held.
 
         `Membership.announce_leaving` must have been called before.
@@ -280,7 +282,7 @@
         return plan_claims(
             table=table,
             members=members,
-            me=self._membership.member,
+            local_member=self._membership.member,
             shard_ids=self._shard_ids,
             is_promised_to=self._membership.is_promised_to,
             held=self._assignments,
@@ -296,7 +298,7 @@
         moves = plan_handovers(
             table=self._table,
             members=self._membership.members,
-            me=self._membership.member,
+            local_member=self._membership.member,
         )
         moves = {
             shard_id: new_owner
@@ -312,7 +314,7 @@
         rows = dict(self._table.rows)
         for shard_id, new_owner in moves.items():
             unmet = rows[shard_id].unmet
-            if self._assignments[shard_id].rights is not Rights.WAIT:
+            if self._assignments[shard_id].grounds is not ServingGrounds.WAIT:
                 unmet = ()
             rows[shard_id] = hand_over(rows[shard_id], new_owner, unmet=unmet)
         await self._write_table(attrs.evolve(self._table, rows=rows))
@@ -328,7 +330,7 @@
         """
         if self._membership.member.is_leaving:
             return True
-        return self._inner.peer_state(new_owner.instance_id) is PeerState.UP
+        return self._inner.get_peer_state(new_owner.instance_id) is PeerState.UP
 
     def _resume_cancelled_handovers(self, moves: dict[str, Member]) -> None:
         """Serve again the released shards that are no longer to be moved.
@@ -340,10 +342,10 @@
         for shard_id, assignment in self._assignments.items():
             if not assignment.is_releasing or shard_id in moves:
                 continue
-            if assignment.rights is not Rights.WAIT:
+            if assignment.grounds is not ServingGrounds.WAIT:
                 self._apply_handover(assignment.sent_handover)
             assignment.is_releasing = False
-            if assignment.rights is not Rights.WAIT:
+            if assignment.grounds is not ServingGrounds.WAIT:
                 assignment.active_since_wall_ms = self._clock.wall_ms()
                 self._publish_change(
                     shard_id, assignment, handover=assignment.sent_handover
@@ -359,7 +361,7 @@
         if assignment.is_releasing:
             return
         assignment.is_releasing = True
-        if assignment.rights is Rights.WAIT:
+        if assignment.grounds is ServingGrounds.WAIT:
             return
         self._publish_change(shard_id, assignment, is_owned=False)
         message = ShardHandover(shard_id=shard_id, epoch=assignment.row.epoch)
@@ -391,17 +393,17 @@
         waiting = {
             shard_id: assignment
             for shard_id, assignment in self._assignments.items()
-            if assignment.rights is Rights.WAIT and not assignment.is_releasing
+            if assignment.grounds is ServingGrounds.WAIT and not assignment.is_releasing
         }
         self._evidence_collector.probe(waiting.values())
         for shard_id, assignment in waiting.items():
-            rights = self._evidence_collector.evaluate(assignment)
-            if rights is Rights.WAIT:
+            grounds = self._evidence_collector.evaluate(assignment)
+            if grounds is ServingGrounds.WAIT:
                 await self._evidence_collector.request_attestations(assignment)
                 continue
             handover = self._pop_handover(shard_id, assignment.row)
             self._apply_handover(handover)
-            assignment.rights = rights
+            assignment.grounds = grounds
             # Nobody can have served the shard before its first claim.
             is_first = assignment.row.epoch == _FIRST_EPOCH
             assignment.active_since_wall_ms = (
@@ -448,7 +450,7 @@
             epoch=assignment.row.epoch,
             is_owned=is_owned,
             handover=handover,
-            rights=assignment.rights,
+            grounds=assignment.grounds,
         )
         for subscriber in self._subscribers:
             subscriber.send_nowait(change)
--- a/trefoilhook/shards/rights.py
+++ b/trefoilhook/shards/rights.py
@@ -9,10 +9,10 @@
 
 import attrs
 
-__all__ = ["Evidence", "Rights", "evaluate_evidence"]
+__all__ = ["Evidence", "ServingGrounds", "evaluate_evidence"]
 
 
-class Rights(enum.Enum):
+class ServingGrounds(enum.Enum):
     """Why a claimant may serve a shard, or that it must wait."""
 
     NO_PREVIOUS_OWNER = "nobody owned it, or its owner handed it over"
@@ -48,7 +48,7 @@
     waited_ms: float
 
 
-def evaluate_evidence(evidence: Evidence, *, outage_limit_ms: float) -> Rights:
+def evaluate_evidence(evidence: Evidence, *, outage_limit_ms: float) -> ServingGrounds:
     """Decide whether the claimant may serve the shard, and why.
 
     Parameters
@@ -60,11 +60,11 @@
         after the expiry, so waiting this long from the claim is always sufficient.
     """
     if evidence.is_in_view:
-        return Rights.IN_VIEW
+        return ServingGrounds.IN_VIEW
     if evidence.is_proved_dead:
-        return Rights.PROVED_DEAD
+        return ServingGrounds.PROVED_DEAD
     if evidence.is_attested:
-        return Rights.ATTESTED
+        return ServingGrounds.ATTESTED
     if evidence.waited_ms >= outage_limit_ms:
-        return Rights.OUTAGE_LIMIT
-    return Rights.WAIT
+        return ServingGrounds.OUTAGE_LIMIT
+    return ServingGrounds.WAIT
--- a/trefoilhook/shards/tables.py
+++ b/trefoilhook/shards/tables.py
@@ -9,7 +9,7 @@
     decode_table,
     encode_table,
 )
-from trefoilhook.store import StoreClient, build_nonce, swap_reading_back
+from trefoilhook.store import StoreClient, generate_nonce, swap_with_read_back
 
 __all__ = ["TableStore"]
 
@@ -64,8 +64,8 @@
         StoreError
             If the store did not confirm the write.
         """
-        value = encode_table(table, nonce=build_nonce())
-        revision = await swap_reading_back(
+        value = encode_table(table, nonce=generate_nonce())
+        revision = await swap_with_read_back(
             self._store,
             TABLE_KEY,
             value,
--- a/trefoilhook/shards/tests/cluster.py
+++ b/trefoilhook/shards/tests/cluster.py
@@ -115,7 +115,7 @@
         owners: dict[str, list[str]] = {each: [] for each in list_shards(SHARDS)}
         for instance in self.instances.values():
             if not instance.node.is_dead:
-                for shard_id in instance.ownership.list_owned():
+                for shard_id in instance.ownership.list_served():
                     owners[shard_id].append(instance.instance_id)
         return owners
 
@@ -125,14 +125,14 @@
             instance.instance_id
             for instance in self.instances.values()
             if not instance.node.is_dead
-            and instance.ownership.owns(shard_id) is not None
+            and instance.ownership.get_serving_epoch(shard_id) is not None
         ]
 
     def count_served(self) -> int:
         """Return how many shards are served now."""
         return sum(bool(self.find_owners(s)) for s in list_shards(SHARDS))
 
-    def forget_gaps(self) -> None:
+    def reset_gaps(self) -> None:
         """Reset the measurement of the longest gap."""
         self.unowned_since.clear()
         self.longest_gap_ms = 0.0
@@ -144,7 +144,7 @@
             for shard_id in list_shards(SHARDS)
             for instance in self.instances.values()
             if not instance.node.is_dead
-            and (epoch := instance.ownership.owns(shard_id)) is not None
+            and (epoch := instance.ownership.get_serving_epoch(shard_id)) is not None
         }
 
     async def sleep_s(self, duration_s: float) -> None:
--- a/trefoilhook/shards/tests/test_claims.py
+++ b/trefoilhook/shards/tests/test_claims.py
@@ -7,7 +7,7 @@
 from trefoilhook.membership import Member, Members
 from trefoilhook.shards.claims import hand_over, plan_claims, plan_handovers
 from trefoilhook.shards.core import PreviousOwner, ShardRow, ShardTable
-from trefoilhook.shards.rights import Evidence, Rights, evaluate_evidence
+from trefoilhook.shards.rights import Evidence, ServingGrounds, evaluate_evidence
 
 _SHARD = "req-000"
 _OUTAGE_LIMIT_MS = 60_000.0
@@ -59,7 +59,7 @@
                 plan = plan_claims(
                     table=ShardTable(rows={_SHARD: row}, revision=3),
                     members=_build_members(*live),
-                    me=_build_member("me"),
+                    local_member=_build_member("me"),
                     shard_ids=(_SHARD,),
                     is_promised_to=lambda each, promised=promised: each == promised,
                     held=() if "restarted" in name else (_SHARD,),
@@ -80,7 +80,7 @@
             if plan_claims(
                 table=ShardTable(rows={_SHARD: _build_row("gone")}),
                 members=_build_members(*names),
-                me=_build_member(name),
+                local_member=_build_member(name),
                 shard_ids=(_SHARD,),
                 is_promised_to=lambda _: False,
                 held=(),
@@ -97,7 +97,7 @@
         plan = plan_claims(
             table=ShardTable(rows={_SHARD: row}),
             members=_build_members("me"),
-            me=_build_member("me"),
+            local_member=_build_member("me"),
             shard_ids=(_SHARD,),
             is_promised_to=lambda _: False,
             held=(),
@@ -118,25 +118,25 @@
                 members = _build_members("next")
                 table = ShardTable(rows={_SHARD: row})
                 moves = plan_handovers(
-                    table=table, members=members, me=_build_member("me")
+                    table=table, members=members, local_member=_build_member("me")
                 )
                 self.assertEqual(_SHARD in moves, is_moved)
         handed = hand_over(_build_row("me"), _build_member("next"), unmet=())
         self.assertEqual((handed.owner_id, handed.epoch), ("next", 8))
 
 
-class RightsTest(unittest.TestCase):
+class ServingGroundsTest(unittest.TestCase):
     """A claimant waits until the previous owner is proved to have stopped."""
 
     def test_evidence(self):
-        # is_in_view, is_proved_dead, is_attested, waited_ms, expected rights
+        # is_in_view, is_proved_dead, is_attested, waited_ms, expected grounds
         cases = (
-            (False, False, False, 0.0, Rights.WAIT),
-            (False, False, False, _OUTAGE_LIMIT_MS - 1, Rights.WAIT),
-            (False, False, False, _OUTAGE_LIMIT_MS, Rights.OUTAGE_LIMIT),
-            (True, False, False, 0.0, Rights.IN_VIEW),
-            (False, True, False, 0.0, Rights.PROVED_DEAD),
-            (False, False, True, 0.0, Rights.ATTESTED),
+            (False, False, False, 0.0, ServingGrounds.WAIT),
+            (False, False, False, _OUTAGE_LIMIT_MS - 1, ServingGrounds.WAIT),
+            (False, False, False, _OUTAGE_LIMIT_MS, ServingGrounds.OUTAGE_LIMIT),
+            (True, False, False, 0.0, ServingGrounds.IN_VIEW),
+            (False, True, False, 0.0, ServingGrounds.PROVED_DEAD),
+            (False, False, True, 0.0, ServingGrounds.ATTESTED),
         )
         for in_view, dead, attested, waited_ms, verdict in cases:
             with self.subTest(verdict=verdict, waited_ms=waited_ms):
--- a/trefoilhook/shards/tests/test_guards.py
+++ b/trefoilhook/shards/tests/test_guards.py
@@ -45,14 +45,14 @@
             seen: list[int | None] = []
 
             async def release(shard_id: str, epoch: int) -> ShardHandover:
-                seen.append(leaver.ownership.owns(shard_id))
+                seen.append(leaver.ownership.get_serving_epoch(shard_id))
                 await cluster.sleep_s(0.05)
-                seen.append(leaver.ownership.owns(shard_id))
+                seen.append(leaver.ownership.get_serving_epoch(shard_id))
                 return ShardHandover()
 
-            leaver.ownership.add_releaser(release)
+            leaver.ownership.add_release_hook(release)
             await leaver.membership.announce_leaving()
-            await leaver.ownership.release_all()
+            await leaver.ownership.wait_released()
             self.assertGreater(len(seen), 0)
             self.assertEqual(set(seen), {None})
 
@@ -63,18 +63,20 @@
         # without the handover message, the request would be answered "unknown".
         async def scenario(cluster: Cluster) -> None:
             leaver, receiver = cluster.instances["i0"], cluster.instances["i1"]
-            moved = set(leaver.ownership.list_owned())
+            moved = set(leaver.ownership.list_served())
             seen: dict[str, int | None] = {}
 
             def record_epoch(handover: ShardHandover) -> None:
-                seen[handover.shard_id] = receiver.ownership.owns(handover.shard_id)
+                seen[handover.shard_id] = receiver.ownership.get_serving_epoch(
+                    handover.shard_id
+                )
 
-            receiver.ownership.add_receiver(record_epoch)
+            receiver.ownership.add_handover_handler(record_epoch)
             await leaver.membership.announce_leaving()
-            await leaver.ownership.release_all()
+            await leaver.ownership.wait_released()
             await cluster.sleep_s(1)
             self.assertEqual(seen, dict.fromkeys(moved))
-            self.assertLessEqual(moved, set(receiver.ownership.list_owned()))
+            self.assertLessEqual(moved, set(receiver.ownership.list_served()))
 
         run_cluster(scenario, size=2)
 
--- a/trefoilhook/shards/tests/test_ownership.py
+++ b/trefoilhook/shards/tests/test_ownership.py
@@ -57,7 +57,7 @@
             victim = _pick_owner(cluster)
             victim.client.is_cut = True
             await cluster.sleep_s(30)
-            self.assertEqual(victim.ownership.list_owned(), ())
+            self.assertEqual(victim.ownership.list_served(), ())
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             self._assert_no_overlap(cluster)
 
@@ -85,7 +85,7 @@
         # proves that it cannot claim, so the others need no promise from it.
         async def scenario(cluster: Cluster) -> None:
             victim = _pick_owner(cluster)
-            share = len(victim.ownership.list_owned())
+            share = len(victim.ownership.list_served())
             cluster.store.is_down = True
             await cluster.sleep_s(30)
             victim.kill()
@@ -135,7 +135,7 @@
             await cluster.sleep_s(30)
             cluster.store.is_down = True
             await cluster.sleep_s(60)
-            self.assertEqual(victim.ownership.list_owned(), ())
+            self.assertEqual(victim.ownership.list_served(), ())
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             self._assert_no_overlap(cluster)
 
@@ -152,7 +152,7 @@
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             newcomer = cluster.add("j0")
             await cluster.sleep_s(120)
-            self.assertEqual(newcomer.ownership.list_owned(), ())
+            self.assertEqual(newcomer.ownership.list_served(), ())
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             for instance in cluster.instances.values():
                 instance.client.is_cut = False
@@ -176,11 +176,11 @@
                 for newcomer in newcomers:
                     cluster.links.cut(instance.instance_id, newcomer.instance_id)
             await cluster.sleep_s(60)
-            self.assertEqual([n.ownership.list_owned() for n in newcomers], [()] * 3)
+            self.assertEqual([n.ownership.list_served() for n in newcomers], [()] * 3)
             for instance in old:
                 await newcomers[0].membership.declare_gone(instance.instance_id)
             await cluster.sleep_s(10)
-            served = sum(len(n.ownership.list_owned()) for n in newcomers)
+            served = sum(len(n.ownership.list_served()) for n in newcomers)
             self.assertEqual(served, _SHARD_COUNT)
 
         run_cluster(scenario)
@@ -191,10 +191,10 @@
         async def scenario(cluster: Cluster) -> None:
             newcomer = cluster.add("j0")
             await cluster.sleep_s(15)
-            self.assertGreater(len(newcomer.ownership.list_owned()), 0)
+            self.assertGreater(len(newcomer.ownership.list_served()), 0)
             leaver = _pick_owner(cluster)
             await leaver.membership.announce_leaving()
-            await leaver.ownership.release_all()
+            await leaver.ownership.wait_released()
             await leaver.membership.leave()
             leaver.kill()
             await cluster.sleep_s(15)
@@ -210,7 +210,7 @@
         # shows that the claim succeeded.
         async def scenario(cluster: Cluster) -> None:
             for instance in cluster.instances.values():
-                instance.client.answers_to_lose = 2
+                instance.client.responses_to_drop = 2
             _pick_owner(cluster).kill()
             await cluster.sleep_s(20)
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
@@ -224,14 +224,14 @@
         # run a caller's retry a second time.
         async def scenario(cluster: Cluster) -> None:
             victim = _pick_owner(cluster)
-            shard_id = victim.ownership.list_owned()[0]
-            epoch = victim.ownership.owns(shard_id)
+            shard_id = victim.ownership.list_served()[0]
+            epoch = victim.ownership.get_serving_epoch(shard_id)
             victim.kill()
             cluster.add(victim.instance_id)
             await cluster.sleep_s(20)
             owner = cluster.instances[cluster.find_owners(shard_id)[0]]
-            self.assertGreater(owner.ownership.owns(shard_id), epoch)
-            self.assertGreater(owner.ownership.own_since_wall_ms(shard_id), 0)
+            self.assertGreater(owner.ownership.get_serving_epoch(shard_id), epoch)
+            self.assertGreater(owner.ownership.serving_since_wall_ms(shard_id), 0)
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             self._assert_no_overlap(cluster)
 
@@ -250,7 +250,7 @@
             other.client.is_cut = True
             cluster.store.is_down = False
             await cluster.sleep_s(60)
-            self.assertEqual(other.ownership.list_owned(), ())
+            self.assertEqual(other.ownership.list_served(), ())
             self.assertEqual(cluster.count_served(), _SHARD_COUNT)
             self._assert_no_overlap(cluster)
 
--- a/trefoilhook/soak/core.py
+++ b/trefoilhook/soak/core.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from trefoilhook.clock import Clock, build_boot_clock
+from trefoilhook.clock import Clock, build_boottime_clock
 from trefoilhook.soak.checks import check_runs
 from trefoilhook.soak.clients import Clients
 from trefoilhook.soak.faults import FaultInjector, InjectedFault
@@ -83,7 +83,7 @@
 
 async def run_soak(settings: SoakSettings) -> SoakReport:
     """Run a soak and return its report."""
-    clock = build_boot_clock()
+    clock = build_boottime_clock()
     async with trio.open_nursery() as nursery:
         fleet = Fleet(
             nursery=nursery,
--- a/trefoilhook/soak/faults.py
+++ b/trefoilhook/soak/faults.py
@@ -241,7 +241,7 @@
 
 
 async def _forget_history(injector: FaultInjector) -> None:
-    injector.fleet.store.forget_history()
+    injector.fleet.store.compact_history()
 
 
 async def _change_configuration(injector: FaultInjector) -> None:
@@ -251,7 +251,7 @@
 async def _harm_link(injector: FaultInjector, link: TcpCut) -> None:
     kind = injector.rng.choice(("partition", "delay", "forget", "reset"))
     if kind == "forget":
-        link.forget_connections()
+        link.blackhole_connections()
         return
     if kind == "reset":
         await link.reset_connections()
--- a/trefoilhook/soak/fleet.py
+++ b/trefoilhook/soak/fleet.py
@@ -276,7 +276,7 @@
             task_ms=self._task_ms,
             clock_rate=_WORKER_CLOCK_RATE if worker_index % 2 else 1.0,
             failure_domain=FAILURE_DOMAINS[worker_index % len(FAILURE_DOMAINS)],
-            crashes=self.crash_delays_ms,
+            crash_delays_ms=self.crash_delays_ms,
             on_crash=lambda: self._nursery.start_soon(
                 self._restart_crashed_worker, worker_index, worker_id
             ),
--- a/trefoilhook/soak/tests/test_fleet.py
+++ b/trefoilhook/soak/tests/test_fleet.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from trefoilhook.clock import build_boot_clock
+from trefoilhook.clock import build_boottime_clock
 from trefoilhook.exceptions import TransportError
 from trefoilhook.http import JsonClient
 from trefoilhook.soak.fleet import find_free_port
@@ -41,7 +41,9 @@
         trio.run(self._check)
 
     async def _check(self) -> None:
-        worker = PlatformWorker(worker_id="w", clock=build_boot_clock(), task_ms=50.0)
+        worker = PlatformWorker(
+            worker_id="w", clock=build_boottime_clock(), task_ms=50.0
+        )
         body = {
             "task": "00000000000000a1.0.0.0",
             "attempt": 1,
@@ -56,7 +58,7 @@
             )
             worker.power_off()
             with self.assertRaises(TransportError):
-                await client.exchange(
+                await client.send_request(
                     "POST",
                     "/trefoilhook/run-start",
                     timeout_ms=1000.0,
--- a/trefoilhook/standins/cut.py
+++ b/trefoilhook/standins/cut.py
@@ -116,7 +116,7 @@
         """Forward new connections to another port of the target host."""
         self._target_port = port
 
-    def forget_connections(self) -> int:
+    def blackhole_connections(self) -> int:
         """Drop all further data of the open connections; new ones work.
 
         Returns
--- a/trefoilhook/standins/instances.py
+++ b/trefoilhook/standins/instances.py
@@ -9,7 +9,7 @@
 from trefoilhook.clock import Clock
 from trefoilhook.http import HttpRequest, HttpResponse
 from trefoilhook.instances import (
-    BackendPage,
+    BackendSnapshot,
     ExecutorRecord,
     InstanceState,
     WorkerRecord,
@@ -116,14 +116,14 @@
         """Current instances."""
         return self._versions[-1].lists
 
-    def change(self, lists: InstanceLists) -> None:
+    def set_lists(self, lists: InstanceLists) -> None:
         """Replace the current instances."""
         since_ms = self._clock.monotonic_ms()
         self._versions.append(_Version(since_ms=since_ms, lists=lists))
 
     def set_state(self, instance_id: str, state: InstanceState) -> None:
         """Change the state of one executor or worker."""
-        self.change(
+        self.set_lists(
             InstanceLists(
                 executors=_set_executor_state(self.lists.executors, instance_id, state),
                 workers=_set_worker_state(self.lists.workers, instance_id, state),
@@ -140,7 +140,7 @@
         if (request.method, request.path) != ("GET", "/v1/instances"):
             raise RefusalError(status=404, error="not_found")
         lists = self._find_reported_lists()
-        page = BackendPage(
+        page = BackendSnapshot(
             executors=lists.executors, workers=lists.workers, age_ms=self.lag_ms
         )
         return encode_answer(page)
@@ -156,7 +156,7 @@
     def _handle_control(self, request: HttpRequest) -> HttpResponse:
         route = (request.method, request.path)
         if route == ("PUT", "/lists"):
-            self.change(decode_body(request, InstanceLists))
+            self.set_lists(decode_body(request, InstanceLists))
         elif route == ("PUT", "/state"):
             change = decode_body(request, _StateOrder)
             self.set_state(change.instance_id, change.state)
--- a/trefoilhook/standins/platform_advice.py
+++ b/trefoilhook/standins/platform_advice.py
@@ -17,7 +17,7 @@
 
     Attributes
     ----------
-    asked : list of (str, tuple of str)
+    requests : list of (str, tuple of str)
         Steps and workers of the requests received.
     is_busy : bool
         Whether it rejects calls with status 429.
@@ -25,7 +25,7 @@
 
     def __init__(self, *, allowed: Collection[str]) -> None:
         self._allowed = allowed
-        self.asked: list[tuple[str, tuple[str, ...]]] = []
+        self.requests: list[tuple[str, tuple[str, ...]]] = []
         self.is_busy = False
         self.server = HttpServer(handler=self._handle_request, host="127.0.0.1", port=0)
 
@@ -33,7 +33,7 @@
         if request.path != "/trefoilhook/advise":
             return HttpResponse(status=404)
         body = request.parse_json()
-        self.asked.append((body["step"], tuple(body["workers"])))
+        self.requests.append((body["step"], tuple(body["workers"])))
         if self.is_busy:
             return HttpResponse(status=429)
         granted = [[w, f"{w}:{body['step']}"] for w in body["workers"]]
--- a/trefoilhook/standins/platform_foreign.py
+++ b/trefoilhook/standins/platform_foreign.py
@@ -3,9 +3,9 @@
 import json
 from typing import Any
 
-__all__ = ["NESTED", "build_foreign_entries"]
+__all__ = ["DEEPLY_NESTED_JSON", "build_foreign_entries"]
 
-NESTED = b"[" * 100_000
+DEEPLY_NESTED_JSON = b"[" * 100_000
 """JSON nested too deeply for Python's parser."""
 
 
@@ -37,4 +37,4 @@
         {**entry, "labels": "ab"},
     ]
     encoded = [json.dumps(table).encode() for table in tables]
-    return [*encoded, b"\xff\xfe\x00", b"", b"null", NESTED]
+    return [*encoded, b"\xff\xfe\x00", b"", b"null", DEEPLY_NESTED_JSON]
--- a/trefoilhook/standins/platform_store.py
+++ b/trefoilhook/standins/platform_store.py
@@ -97,7 +97,7 @@
         self._remove_expired_leases()
         return sorted(key for key in self._items if key.startswith(prefix))
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the history: watches from earlier revisions fail."""
         self._compacted_revision = self._revision
         self._history.clear()
--- a/trefoilhook/standins/platform_worker.py
+++ b/trefoilhook/standins/platform_worker.py
@@ -94,9 +94,9 @@
         Number of calls received.
     capacity : dict of str to int
         Reported capacity.
-    odd_running, odd_ends : list
+    malformed_running, malformed_ends : list
         Malformed rows, placed before the valid ones in responses.
-    words : dict of str to str
+    outcome_overrides : dict of str to str
         Replacements for reported task outcomes.
     """
 
@@ -110,10 +110,10 @@
         checks_token: bool = True,
         failure_domain: str = "z",
         port: int = 0,
-        crashes: Mapping[str, float] | None = None,
+        crash_delays_ms: Mapping[str, float] | None = None,
         on_crash: Callable[[], None] | None = None,
     ) -> None:
-        self._crashes = crashes if crashes is not None else {}
+        self._crashes = crash_delays_ms if crash_delays_ms is not None else {}
         self._on_crash = on_crash
         self._clock_rate = clock_rate
         self._checks_token = checks_token
@@ -130,13 +130,13 @@
         self._nursery: trio.Nursery | None = None
         self.records: list[TaskRecord] = []
         self.fault = WorkerFault.NONE
-        self.late_ms = 600.0
+        self.late_start_delay_ms = 600.0
         self.capacity = {"cpu": 4000, "mem_mb": 8000, "gpu": 0}
         self.calls = 0
         self._is_powered_off = False
-        self.odd_running: list[Any] = []
-        self.odd_ends: list[Any] = []
-        self.words: dict[str, str] = {}
+        self.malformed_running: list[Any] = []
+        self.malformed_ends: list[Any] = []
+        self.outcome_overrides: dict[str, str] = {}
         self.server = HttpServer(
             handler=self._handle_request, host="127.0.0.1", port=port
         )
@@ -273,7 +273,7 @@
         raise trio.BrokenResourceError
 
     async def _start_delayed(self, body: dict[str, Any]) -> None:
-        await self._clock.sleep_ms(self.late_ms)
+        await self._clock.sleep_ms(self.late_start_delay_ms)
         if not self._is_fenced(body):
             self._start(body)
 
@@ -318,13 +318,13 @@
                 await self._changed.wait()
         running = [[r.task, r.attempt, "", 10, 0] for r in self._list_running()]
         ends = [
-            [n, r.task, r.attempt, self.words.get(r.how, r.how), ""]
+            [n, r.task, r.attempt, self.outcome_overrides.get(r.how, r.how), ""]
             for n, r in self._unacknowledged_ends
         ]
         return self._reply(
             {
-                "running": [*self.odd_running, *running],
-                "finished": [*self.odd_ends, *ends],
+                "running": [*self.malformed_running, *running],
+                "finished": [*self.malformed_ends, *ends],
             }
         )
 
--- a/trefoilhook/standins/tests/test_cut.py
+++ b/trefoilhook/standins/tests/test_cut.py
@@ -40,7 +40,7 @@
     def test_forgotten_connection_is_silent_and_new_ones_work(self):
         async def scenario(cut: TcpCut, client: HttpClient) -> None:
             await client.send(_GET, timeout_ms=1_000)
-            self.assertEqual(cut.forget_connections(), 1)
+            self.assertEqual(cut.blackhole_connections(), 1)
             with self.assertRaises(AnswerLostError):
                 await client.send(_GET, timeout_ms=1_000)
             self.assertGreater(cut.dropped_bytes, 0)
--- a/trefoilhook/standins/virtual.py
+++ b/trefoilhook/standins/virtual.py
@@ -124,7 +124,7 @@
         Timeout of a call, in ms.
     is_cut : bool
         Whether the store is unreachable for this instance.
-    answers_to_lose : int
+    responses_to_drop : int
         Number of subsequent swaps that take effect but lose their response.
     is_watch_silent : bool
         Whether watches time out without a response.
@@ -135,7 +135,7 @@
     store: VirtualStore
     timeout_ms: float = 500.0
     is_cut: bool = False
-    answers_to_lose: int = 0
+    responses_to_drop: int = 0
     is_watch_silent: bool = False
     is_unsent: bool = False
 
@@ -212,8 +212,8 @@
                 raise StoreUnsentError("store is unreachable; request not sent")
             raise StoreUnavailableError("store did not respond")
         result = self.store.apply(kind, change)
-        if kind == "swap" and self.answers_to_lose:
-            self.answers_to_lose -= 1
+        if kind == "swap" and self.responses_to_drop:
+            self.responses_to_drop -= 1
             raise StoreUnavailableError("response from store was lost")
         return result
 
@@ -278,7 +278,7 @@
         self.is_dead = False
         links.nodes[instance_id] = self
 
-    def handle(
+    def register_handler(
         self,
         message_type: type[Message],
         handler: Callable[[Call], Awaitable[Message]],
@@ -290,15 +290,15 @@
         """Set the function that builds heartbeats."""
         self._heartbeat_source = source
 
-    def on_heartbeat(self, hear: Callable[[str, Heartbeat], None]) -> None:
+    def on_heartbeat(self, handler: Callable[[str, Heartbeat], None]) -> None:
         """Set the callback for received heartbeats."""
-        self._on_heartbeat = hear
+        self._on_heartbeat = handler
 
     def set_peers(self, peers: Iterable[PeerAddress]) -> None:
         """Set the peers to keep links to."""
         self._peers = {peer.instance_id for peer in peers}
 
-    def peer_state(self, instance_id: str) -> PeerState:
+    def get_peer_state(self, instance_id: str) -> PeerState:
         """Return the state of the link to a peer."""
         if instance_id not in self._peers:
             return PeerState.DOWN
@@ -315,7 +315,7 @@
             await self._links.clock.sleep_ms(_HEARTBEAT_MS)
             heartbeat = self._heartbeat_source()
             for peer_id in list(self._peers):
-                if self.peer_state(peer_id) is PeerState.UP:
+                if self.get_peer_state(peer_id) is PeerState.UP:
                     self._links.nodes[peer_id]._on_heartbeat(
                         self.instance_id, heartbeat
                     )
@@ -326,7 +326,7 @@
         """Send a message and return its reply."""
         target = self._links.nodes.get(instance_id)
         is_own = instance_id == self.instance_id
-        if not is_own and self.peer_state(instance_id) is not PeerState.UP:
+        if not is_own and self.get_peer_state(instance_id) is not PeerState.UP:
             raise NotSentError(f"no link to {instance_id}")
         if target is None:
             raise NotSentError(f"no link to {instance_id}")
@@ -341,7 +341,7 @@
             raise AnswerLostError(f"no answer from {instance_id}")
         return reply
 
-    def tell(self, instance_id: str, message: Message) -> bool:
+    def send_one_way(self, instance_id: str, message: Message) -> bool:
         """Drop a one-way message; tests do not use them."""
         return False
 
--- a/trefoilhook/standins/virtual_worker.py
+++ b/trefoilhook/standins/virtual_worker.py
@@ -44,7 +44,7 @@
         Whether the worker is unreachable.
     cut_owners : set of str
         Instances that cannot reach the worker.
-    answers_to_lose : int
+    responses_to_drop : int
         Number of subsequent calls that take effect but lose their response.
     """
 
@@ -52,7 +52,7 @@
     settings: WorkerSettings
     is_cut: bool = False
     cut_owners: set[str] = attrs.field(factory=set)
-    answers_to_lose: int = 0
+    responses_to_drop: int = 0
     state: WorkerState = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -76,7 +76,7 @@
     worker: VirtualWorker
     owner_id: str
 
-    async def take_lease(
+    async def acquire_lease(
         self, owner_id: str, epoch: int, ttl_ms: float
     ) -> WorkerInventory:
         """Take the lease of the worker."""
@@ -86,7 +86,7 @@
             epoch=epoch,
             ttl_ms=ttl_ms,
         )
-        return await self._call(lambda: self.worker.state.take_lease(request))
+        return await self._call(lambda: self.worker.state.acquire_lease(request))
 
     async def renew(self, epoch: int, ttl_ms: float) -> WorkerHeartbeat:
         """Renew the lease."""
@@ -110,8 +110,8 @@
             result = change()
         except RefusalError as refusal:
             raise _translate(refusal) from refusal
-        if self.worker.answers_to_lose:
-            self.worker.answers_to_lose -= 1
+        if self.worker.responses_to_drop:
+            self.worker.responses_to_drop -= 1
             raise AnswerLostError("response from worker was lost")
         return result
 
--- a/trefoilhook/standins/worker.py
+++ b/trefoilhook/standins/worker.py
@@ -130,7 +130,7 @@
         if request.path == "/v1/lease":
             lease = decode_body(request, LeaseRequest)
             self._check_worker_id(lease.worker_id)
-            return encode_answer(self.state.take_lease(lease))
+            return encode_answer(self.state.acquire_lease(lease))
         if request.path == "/v1/renew":
             renewal = decode_body(request, RenewRequest)
             self._check_worker_id(renewal.worker_id)
@@ -156,6 +156,6 @@
             self.change_settings(decode_body(request, WorkerSettings))
             return encode_answer(self.state.settings)
         if route == ("POST", "/lose-memory"):
-            self.state.lose_memory()
+            self.state.reset_state()
             return encode_answer(self.records)
         raise RefusalError(status=404, error="not_found")
--- a/trefoilhook/standins/worker_state.py
+++ b/trefoilhook/standins/worker_state.py
@@ -123,11 +123,11 @@
         self.refused_starts: list[WorkerCommand] = []
 
     @property
-    def held(self) -> Resources:
+    def reserved_resources(self) -> Resources:
         """Total resources reserved by running tasks."""
         total = _NO_RESOURCES
         for task in self._list_running():
-            total = _add(total, task.held)
+            total = _add(total, task.reserved_resources)
         return total
 
     def list_records(self, *, wall_offset_ms: float) -> tuple[StartRecord, ...]:
@@ -139,7 +139,7 @@
             for task in self._started
         )
 
-    def lose_memory(self) -> None:
+    def reset_state(self) -> None:
         """Lose all state, as after a crash and restart of the worker."""
         self.advance()
         for task in self._list_running():
@@ -151,7 +151,7 @@
         self._lease = None
         self._highest_epoch = 0
 
-    def take_lease(self, request: LeaseRequest) -> WorkerInventory:
+    def acquire_lease(self, request: LeaseRequest) -> WorkerInventory:
         """Grant the lease; refused if fenced or lost."""
         self.advance()
         self._check_takeover(request)
@@ -240,7 +240,9 @@
             return CommandStatus.ALREADY_DONE
         if self._is_stale(key):
             return CommandStatus.STALE_ATTEMPT
-        if not _fits(_add(self.held, command.resources), self.settings.capacity):
+        if not _fits(
+            _add(self.reserved_resources, command.resources), self.settings.capacity
+        ):
             self.refused_starts.append(command)
             return CommandStatus.NO_CAPACITY
         task = build_task(command)
@@ -248,7 +250,7 @@
         task.started_ms = self._advanced_to_ms
         self._tasks[key] = task
         self._started.append(task)
-        self.high_water = _get_maximum(self.high_water, self.held)
+        self.high_water = _get_maximum(self.high_water, self.reserved_resources)
         if self.settings.is_black_hole:
             task.end(TaskState.FAILED, at_ms=task.started_ms, result="failed at start")
         return CommandStatus.DONE
--- a/trefoilhook/standins/worker_task.py
+++ b/trefoilhook/standins/worker_task.py
@@ -119,7 +119,7 @@
         return (command.job_id, command.attempt_epoch, command.attempt_sequence)
 
     @property
-    def held(self) -> Resources:
+    def reserved_resources(self) -> Resources:
         """Reserved resources."""
         assert self.command.resources is not None
         return self.command.resources
@@ -139,7 +139,7 @@
             attempt_epoch=self.command.attempt_epoch,
             attempt_sequence=self.command.attempt_sequence,
             state=self.state,
-            resources=self.held,
+            resources=self.reserved_resources,
             task_class=self.command.task_class,
             checkpoint=self.checkpoint,
             result=self.result,
--- a/trefoilhook/store/__init__.py
+++ b/trefoilhook/store/__init__.py
@@ -11,7 +11,7 @@
     SwapRequest,
     WatchBatch,
 )
-from trefoilhook.store.swaps import build_nonce, swap_reading_back
+from trefoilhook.store.swaps import generate_nonce, swap_with_read_back
 
 __all__ = [
     "MAX_VALUE_BYTES",
@@ -23,6 +23,6 @@
     "StorePage",
     "SwapRequest",
     "WatchBatch",
-    "build_nonce",
-    "swap_reading_back",
+    "generate_nonce",
+    "swap_with_read_back",
 ]
--- a/trefoilhook/store/client.py
+++ b/trefoilhook/store/client.py
@@ -21,7 +21,12 @@
     StoreUnavailableError,
     StoreUnsentError,
 )
-from trefoilhook.exchange import PlatformClient, Query, decode_answer, read_error_name
+from trefoilhook.exchange import (
+    PlatformClient,
+    Query,
+    decode_response,
+    parse_error_name,
+)
 from trefoilhook.http import HttpResponse
 from trefoilhook.results import ResultCode
 from trefoilhook.store.core import (
@@ -245,7 +250,7 @@
         operation = f"{method} {path.split('/')[2]}"
         outcome = "no answer"
         try:
-            response = await self._platform.exchange(
+            response = await self._platform.send_request(
                 method, path, query=query, body=body, extra_ms=extra_ms
             )
             outcome = "ok" if response.status == 200 else "refused"
@@ -262,13 +267,13 @@
 
 def _decode(response: HttpResponse, kind: type[_T]) -> _T:
     try:
-        return decode_answer(response, kind)
+        return decode_response(response, kind)
     except AnswerLostError as error:
         raise StoreUnavailableError(str(error)) from error
 
 
 def _raise_store_error(response: HttpResponse) -> NoReturn:
-    name = read_error_name(response)
+    name = parse_error_name(response)
     if name == "conflict":
         current = _decode(response, _ConflictAnswer).current
         raise ConflictError("the key is at another revision", current=current)
--- a/trefoilhook/store/swaps.py
+++ b/trefoilhook/store/swaps.py
@@ -7,18 +7,18 @@
 from trefoilhook.store.client import StoreClient
 from trefoilhook.store.core import ConflictError
 
-__all__ = ["build_nonce", "swap_reading_back"]
+__all__ = ["generate_nonce", "swap_with_read_back"]
 
 _INITIAL_RETRY_DELAY_MS = 25.0
 _MAX_RETRY_DELAY_MS = 1_000.0
 
 
-def build_nonce() -> str:
+def generate_nonce() -> str:
     """Return a unique string to include in a value, to identify its write."""
     return uuid.uuid4().hex
 
 
-async def swap_reading_back(
+async def swap_with_read_back(
     client: StoreClient,
     key: str,
     value: bytes,
@@ -37,7 +37,7 @@
     key : str
         Path of the key.
     value : bytes
-        The new value. It must contain a nonce of this write (`build_nonce`), so that
+        The new value. It must contain a nonce of this write (`generate_nonce`), so that
         equal bytes at the key prove that this write took effect.
     expected_revision : int
         Revision that the key must have; 0 if it must be absent.
--- a/trefoilhook/store/tests/bench.py
+++ b/trefoilhook/store/tests/bench.py
@@ -13,7 +13,7 @@
 )
 from trefoilhook.store import (
     StoreClient,
-    build_nonce,
+    generate_nonce,
 )
 
 __all__ = ["StoreFixture", "run_with_store"]
@@ -57,7 +57,7 @@
 
     async def main() -> None:
         clock = build_system_clock()
-        token = build_nonce()
+        token = generate_nonce()
         store = StoreStandin(clock=clock, settings=settings, token=token)
         async with trio.open_nursery() as nursery:
             port = await nursery.start(store.run)
--- a/trefoilhook/store/tests/test_faults.py
+++ b/trefoilhook/store/tests/test_faults.py
@@ -15,8 +15,8 @@
 from trefoilhook.store import (
     ConflictError,
     StoreClient,
-    build_nonce,
-    swap_reading_back,
+    generate_nonce,
+    swap_with_read_back,
 )
 from trefoilhook.store.tests.bench import StoreFixture, run_with_store
 
@@ -65,7 +65,7 @@
                 async with trio.open_nursery() as calls:
                     for _ in range(4):
                         calls.start_soon(client.get, "a")
-                self.assertEqual(cut.forget_connections(), 4)
+                self.assertEqual(cut.blackhole_connections(), 4)
                 with self.assertRaises(StoreUnavailableError):
                     await client.get("a")
                 self.assertIsNone(await client.get("a"))
@@ -140,7 +140,9 @@
             await fixture.store.server.change_faults(
                 FaultSettings(lost_answers=2, lost_kind="swap")
             )
-            revision = await _swap_with_read_back(fixture, "a", build_nonce().encode())
+            revision = await _swap_with_read_back(
+                fixture, "a", generate_nonce().encode()
+            )
             self.assertEqual(revision, 1)
             self.assertEqual(fixture.store.state.revision, 1)
 
@@ -150,7 +152,7 @@
         async def scenario(fixture: StoreFixture) -> None:
             await fixture.client.swap("a", b"other", expected_revision=0)
             with self.assertRaises(ConflictError) as caught:
-                await _swap_with_read_back(fixture, "a", build_nonce().encode())
+                await _swap_with_read_back(fixture, "a", generate_nonce().encode())
             self.assertEqual(caught.exception.current.value, b"other")
 
         run_with_store(scenario)
@@ -170,7 +172,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(overwrite)
                 with self.assertRaises(StoreUnavailableError) as caught:
-                    await _swap_with_read_back(fixture, "a", build_nonce().encode())
+                    await _swap_with_read_back(fixture, "a", generate_nonce().encode())
             self.assertFalse(caught.exception.is_proved_unsent)
 
         run_with_store(scenario)
@@ -231,7 +233,7 @@
 async def _swap_with_read_back(
     fixture: StoreFixture, key, value, *, timeout_ms=10_000
 ) -> int:
-    return await swap_reading_back(
+    return await swap_with_read_back(
         fixture.client,
         key,
         value,
--- a/trefoilhook/workers/client.py
+++ b/trefoilhook/workers/client.py
@@ -15,7 +15,7 @@
     NotSentError,
     RequestError,
 )
-from trefoilhook.exchange import PlatformClient, decode_answer, read_error_name
+from trefoilhook.exchange import PlatformClient, decode_response, parse_error_name
 from trefoilhook.http import HttpResponse
 from trefoilhook.workers.core import (
     CommandResult,
@@ -69,7 +69,7 @@
             host=host, port=port, timeout_ms=timeout_ms, max_connections=4
         )
 
-    async def take_lease(
+    async def acquire_lease(
         self, owner_id: str, epoch: int, ttl_ms: float
     ) -> WorkerInventory:
         """Acquire the lease on the worker; its tasks keep running.
@@ -125,13 +125,13 @@
         await self._platform.close()
 
     async def _call(self, path: str, body: object, kind: type[_T]) -> _T:
-        response = await self._platform.exchange("POST", path, body=body)
+        response = await self._platform.send_request("POST", path, body=body)
         if response.status != 200:
             self._raise_for_error(response)
-        return decode_answer(response, kind)
+        return decode_response(response, kind)
 
     def _raise_for_error(self, response: HttpResponse) -> NoReturn:
-        name = read_error_name(response)
+        name = parse_error_name(response)
         if name == "fenced":
             raise FencedError(f"{self.worker_id} has seen a higher epoch")
         if name == "lease_lost":
--- a/trefoilhook/workers/tests/test_contract.py
+++ b/trefoilhook/workers/tests/test_contract.py
@@ -81,7 +81,7 @@
             client = WorkerClient(
                 worker_id="w1", host="127.0.0.1", port=port, clock=clock, timeout_ms=500
             )
-            await client.take_lease("one", 1, _TTL_MS)
+            await client.acquire_lease("one", 1, _TTL_MS)
             await scenario(WorkerFixture(clock=clock, worker=worker, client=client))
             nursery.cancel_scope.cancel()
 
@@ -109,13 +109,13 @@
 
     def _build_takeover(self, owner_id, epoch, error):
         async def scenario(bench: WorkerFixture) -> None:
-            await bench.client.take_lease("one", 3, _TTL_MS)
+            await bench.client.acquire_lease("one", 3, _TTL_MS)
             await bench.start("job", epoch=3)
             if error is not None:
                 with self.assertRaises(error):
-                    await bench.client.take_lease(owner_id, epoch, _TTL_MS)
+                    await bench.client.acquire_lease(owner_id, epoch, _TTL_MS)
                 return
-            inventory = await bench.client.take_lease(owner_id, epoch, _TTL_MS)
+            inventory = await bench.client.acquire_lease(owner_id, epoch, _TTL_MS)
             self.assertEqual(inventory.capacity, _CAPACITY)
             self.assertEqual(
                 [(task.job_id, task.state) for task in inventory.tasks],
@@ -129,7 +129,7 @@
         # When the old owner resumes, the worker must refuse its commands; otherwise a
         # job could run twice.
         async def scenario(bench: WorkerFixture) -> None:
-            await bench.client.take_lease("two", 2, _TTL_MS)
+            await bench.client.acquire_lease("two", 2, _TTL_MS)
             with self.assertRaises(FencedError):
                 await bench.start("job")
             with self.assertRaises(FencedError):
@@ -150,8 +150,8 @@
             with self.assertRaises(LeaseLostError):
                 await bench.start("other")
             with self.assertRaises(LeaseLostError):
-                await bench.client.take_lease("one", 1, _TTL_MS)
-            inventory = await bench.client.take_lease("one", 2, _TTL_MS)
+                await bench.client.acquire_lease("one", 1, _TTL_MS)
+            inventory = await bench.client.acquire_lease("one", 2, _TTL_MS)
             self.assertEqual(inventory.tasks[0].state, TaskState.STOPPED)
             record = bench.worker.records.starts[0]
             self.assertLessEqual(record.ended_ms - record.started_ms, _TTL_MS)
@@ -369,7 +369,7 @@
                 timeout_ms=500,
             )
             with self.assertRaises(NotSentError):
-                await stranger.take_lease("one", 9, _TTL_MS)
+                await stranger.acquire_lease("one", 9, _TTL_MS)
             await bench.client.renew(1, _TTL_MS)
 
         run_with_worker(scenario)
@@ -377,10 +377,10 @@
     def test_restarted_worker_has_no_tasks(self):
         async def scenario(bench: WorkerFixture) -> None:
             await bench.start("job")
-            bench.worker.state.lose_memory()
+            bench.worker.state.reset_state()
             with self.assertRaises(LeaseLostError):
                 await bench.client.renew(1, _TTL_MS)
-            inventory = await bench.client.take_lease("one", 2, _TTL_MS)
+            inventory = await bench.client.acquire_lease("one", 2, _TTL_MS)
             self.assertEqual(inventory.tasks, ())
             self.assertEqual(bench.worker.records.starts[0].state, "lost")
 
