--- a/trefoilhook/scheduling/advice_requests.py
+++ b/trefoilhook/scheduling/advice_requests.py
@@ -1,7 +1,7 @@
 """Choice of the step and the workers for the next request to the advice service."""
 
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.models import Advice
 from trefoilhook.scheduling.placing import list_open_workers, rate_worker
--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -3,8 +3,8 @@
 import attrs
 
 from trefoilhook.scheduling.candidates import Candidates
+from trefoilhook.scheduling.colocation import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import is_strongly_suspected
 from trefoilhook.scheduling.job_state import TaskState
--- a/trefoilhook/scheduling/candidates.py
+++ b/trefoilhook/scheduling/candidates.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.fleet import Worker
 from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.placing import can_host, score_worker
--- a/trefoilhook/scheduling/contention.py
+++ b/trefoilhook/scheduling/contention.py
@@ -10,7 +10,7 @@
 little, before the tails react, and sped up again when capacity becomes free.
 """
 
-from trefoilhook.scheduling.crowds import (
+from trefoilhook.scheduling.colocation import (
     FILLER_UTILISATION,
     FULL_PACE,
     MAX_UTILISATION,
--- a/trefoilhook/scheduling/evacuation_progress.py
+++ b/trefoilhook/scheduling/evacuation_progress.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from trefoilhook.scheduling.colocation import find_step
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import find_step
 from trefoilhook.scheduling.evacuations import Evacuation
 
 __all__ = ["EvacuatedDomain", "measure_evacuated"]
--- a/trefoilhook/scheduling/isolation.py
+++ b/trefoilhook/scheduling/isolation.py
@@ -10,8 +10,8 @@
 
 import attrs
 
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import Run, Worker
 from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.suspicion import STRONG_ODDS, compute_survival
--- a/trefoilhook/scheduling/pacing.py
+++ b/trefoilhook/scheduling/pacing.py
@@ -8,9 +8,9 @@
 
 import attrs
 
+from trefoilhook.scheduling.colocation import FULL_PACE, find_step
 from trefoilhook.scheduling.contention import compute_max_pace
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, find_step
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.messages import PaceOrder
 from trefoilhook.scheduling.models import Step
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -5,8 +5,8 @@
 other tasks are packed tightly.
 """
 
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import Worker
 from trefoilhook.scheduling.isolation import compute_risk_penalty
 from trefoilhook.scheduling.job_state import TaskState
--- a/trefoilhook/scheduling/polling.py
+++ b/trefoilhook/scheduling/polling.py
@@ -1,8 +1,8 @@
 """Applies the answers of polled workers to the state of a shard."""
 
+from trefoilhook.scheduling.colocation import learn_interference
 from trefoilhook.scheduling.core import Scheduler
 from trefoilhook.scheduling.crash_records import retract_exposure
-from trefoilhook.scheduling.crowds import learn_interference
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.job_state import Attempt
 from trefoilhook.scheduling.messages import AttemptEnd, EndKind, PollAnswer, Running
--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -6,8 +6,8 @@
 import attrs
 
 from trefoilhook.scheduling.candidates import Candidates
+from trefoilhook.scheduling.colocation import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.core import ATTEMPTS_PER_EPOCH, Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import Isolation
 from trefoilhook.scheduling.job_state import Attempt, TaskState
--- a/trefoilhook/scheduling/starvation.py
+++ b/trefoilhook/scheduling/starvation.py
@@ -12,7 +12,7 @@
 is never tried cannot be learned again.
 """
 
-from trefoilhook.scheduling.crowds import Colocation
+from trefoilhook.scheduling.colocation import Colocation
 from trefoilhook.scheduling.fleet import Worker
 from trefoilhook.scheduling.job_state import JobState, TaskState
 from trefoilhook.scheduling.placing import can_host
--- a/trefoilhook/scheduling/tests/test_round_cost.py
+++ b/trefoilhook/scheduling/tests/test_round_cost.py
@@ -14,7 +14,7 @@
 from trefoilhook.scheduling import Demand, Step, StopReason
 from trefoilhook.scheduling import planning as planning_module
 from trefoilhook.scheduling.candidates import Candidates
-from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.fleet import RunPhase
 from trefoilhook.scheduling.placing import rate_worker
 from trefoilhook.scheduling.rounds import AssignmentRound
--- a/trefoilhook/scheduling/tests/test_starvation.py
+++ b/trefoilhook/scheduling/tests/test_starvation.py
@@ -10,7 +10,7 @@
 import attrs
 
 from trefoilhook.scheduling import Demand, EndKind, OrderOutcome, PaceOrder, Step
-from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.starvation import STARVATION_DELAY_MS, THROTTLED_PACE
 from trefoilhook.scheduling.tests.cases import Shard, build_job, list_starts
 
