--- a/bench/capacity/running.py
+++ b/bench/capacity/running.py
@@ -31,7 +31,7 @@
     build_shard,
     learn_weights,
 )
-from trefoilhook.platform.looks import decode_poll_answer
+from trefoilhook.platform.worker_answers import decode_poll_answer
 from trefoilhook.scheduling import (
     PollAnswer,
     Running,
--- a/trefoilhook/platform/tests/test_answers.py
+++ b/trefoilhook/platform/tests/test_answers.py
@@ -21,7 +21,7 @@
     WorkerClient,
     read_client_timeout,
 )
-from trefoilhook.platform.looks import decode_poll_answer
+from trefoilhook.platform.worker_answers import decode_poll_answer
 from trefoilhook.scheduling import (
     AdviceRequest,
     Demand,
--- a/trefoilhook/platform/workers.py
+++ b/trefoilhook/platform/workers.py
@@ -13,7 +13,7 @@
 )
 from trefoilhook.http import HttpResponse, JsonClient
 from trefoilhook.platform.core import parse_response_object
-from trefoilhook.platform.looks import decode_poll_answer
+from trefoilhook.platform.worker_answers import decode_poll_answer
 from trefoilhook.scheduling import (
     OrderOutcome,
     PaceOrder,
