--- a/trefoilhook/http/__init__.py
+++ b/trefoilhook/http/__init__.py
@@ -2,7 +2,7 @@
 
 from trefoilhook.http.client import HttpClient
 from trefoilhook.http.core import HttpLimits, HttpRequest, HttpResponse
-from trefoilhook.http.exchange import JsonClient
+from trefoilhook.http.json_client import JsonClient
 from trefoilhook.http.server import HttpServer
 
 __all__ = [
