--- a/trefoilhook/logs/__init__.py
+++ b/trefoilhook/logs/__init__.py
@@ -1,9 +1,9 @@
 """Numbered log events, written as JSON lines."""
 
 from trefoilhook.logs.core import configure_logs, log_event
-from trefoilhook.logs.dependencies import CallFailure, OutageLog
 from trefoilhook.logs.events import Event, Level
 from trefoilhook.logs.lines import LineWriter, configure_line_logs
+from trefoilhook.logs.outages import CallFailure, OutageLog
 
 __all__ = [
     "CallFailure",
