--- a/trefoilhook/jobs/__init__.py
+++ b/trefoilhook/jobs/__init__.py
@@ -1,9 +1,9 @@
 """Job lifecycle: acceptance, placement, execution on one worker, and completion."""
 
-from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Attempt, Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
 from trefoilhook.jobs.messages import JobRecord, RecordKind, WorkerAddress
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.jobs.runner import ShardRunner
 from trefoilhook.jobs.service import JobService
 from trefoilhook.jobs.sessions import WorkerSession, compose_epoch
--- a/trefoilhook/jobs/planner.py
+++ b/trefoilhook/jobs/planner.py
@@ -2,9 +2,9 @@
 
 import numpy as np
 
-from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.quotas import FindQuota, TeamUsage, is_within_quota
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.logs import Event, log_event
 from trefoilhook.placement import (
     Impossible,
--- a/trefoilhook/jobs/runner.py
+++ b/trefoilhook/jobs/runner.py
@@ -13,7 +13,6 @@
     StoreError,
 )
 from trefoilhook.instances import InstanceState, WorkerRecord
-from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.commits import STORE_RETRY_MS, Committer
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
@@ -30,6 +29,7 @@
     react_to_reports,
 )
 from trefoilhook.jobs.quotas import FindQuota
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.jobs.reports import read_report
 from trefoilhook.jobs.sessions import (
     InventoryReceived,
--- a/trefoilhook/jobs/service.py
+++ b/trefoilhook/jobs/service.py
@@ -21,12 +21,12 @@
     JobView,
 )
 from trefoilhook.instances import WorkerRecord
-from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Job, JobSpec, JobState
 from trefoilhook.jobs.journal import JobJournal
 from trefoilhook.jobs.listing import WorkerPartition
 from trefoilhook.jobs.messages import WorkerAddress
 from trefoilhook.jobs.quotas import FindQuota, split_quota
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.jobs.runner import ShardRunner
 from trefoilhook.jobs.settings import JobSettings
 from trefoilhook.placement import Policy, Resources
--- a/trefoilhook/jobs/tests/test_event_sequences.py
+++ b/trefoilhook/jobs/tests/test_event_sequences.py
@@ -6,9 +6,9 @@
 
 from trefoilhook.instances import InstanceState
 from trefoilhook.jobs import JobState
-from trefoilhook.jobs.book import JobRegistry
 from trefoilhook.jobs.core import Attempt
 from trefoilhook.jobs.messages import OrderKind, TaskRef, TaskStatus, TaskUpdate
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.jobs.tests.shard import SETTINGS, Shard, build_spec, run_shard
 
 
