--- a/trefoilhook/configuration/tests/test_store.py
+++ b/trefoilhook/configuration/tests/test_store.py
@@ -10,7 +10,7 @@
 from trefoilhook.results import ResultCode
 from trefoilhook.standins import Availability, FaultSettings
 from trefoilhook.store import swap_with_read_back
-from trefoilhook.store.tests.bench import run_with_store
+from trefoilhook.store.tests.fixture import run_with_store
 
 _PATH = "quota/cores"
 _TIMEOUT_MS = 3_000.0
--- a/trefoilhook/store/tests/test_contract.py
+++ b/trefoilhook/store/tests/test_contract.py
@@ -17,7 +17,7 @@
     ConflictError,
     StoreClient,
 )
-from trefoilhook.store.tests.bench import StoreFixture, run_with_store
+from trefoilhook.store.tests.fixture import StoreFixture, run_with_store
 
 
 class ValuesTest(unittest.TestCase):
--- a/trefoilhook/store/tests/test_faults.py
+++ b/trefoilhook/store/tests/test_faults.py
@@ -18,7 +18,7 @@
     generate_nonce,
     swap_with_read_back,
 )
-from trefoilhook.store.tests.bench import StoreFixture, run_with_store
+from trefoilhook.store.tests.fixture import StoreFixture, run_with_store
 
 
 class FaultTest(unittest.TestCase):
