--- a/bench/capacity/running.py
+++ b/bench/capacity/running.py
@@ -247,14 +247,14 @@
         _fit_by_tasks(
             key="look_bytes",
             description="answer to a look",
-            module="platform.looks",
+            module="platform.worker_answers",
             unit="bytes",
             values=[len(data) for data in answers.values()],
         ),
         _fit_by_tasks(
             key="look_decode",
             description="the same, decoded",
-            module="platform.looks",
+            module="platform.worker_answers",
             unit="us",
             values=[
                 time_call(lambda d=d: decode_poll_answer(d)) for d in answers.values()
@@ -263,7 +263,7 @@
         _fit_by_tasks(
             key="look_take",
             description="the same, taken in",
-            module="scheduling.looks, scheduling.crowds",
+            module="scheduling.polling, scheduling.colocation",
             unit="us",
             values=[time_call(_build_poll_call(count)) for count in TASK_COUNTS],
         ),
@@ -290,7 +290,7 @@
             key="run_bytes",
             role="owner",
             description="memory of running tasks",
-            module="scheduling.fleet, scheduling.book, scheduling.slack",
+            module="scheduling.fleet, scheduling.job_state, scheduling.slack",
             axis="tasks",
             unit="bytes",
             sizes=[WORKER_COUNTS[0] * count for count in TASK_COUNTS],
--- a/bench/capacity/shard.py
+++ b/bench/capacity/shard.py
@@ -205,18 +205,18 @@
 def measure_registry() -> list[Slope]:
     """Measure job records and placement by workers, jobs and waiting jobs."""
     rows = (
-        ("life", "a job from accepted to recorded", "jobs.book, placement", "workers",
-         "us a job", WORKER_COUNTS, _time_lifecycle),
+        ("life", "a job from accepted to recorded", "jobs.registry, placement",
+         "workers", "us a job", WORKER_COUNTS, _time_lifecycle),
         ("step", "a step with nothing to place", "jobs.planner", "jobs in the book",
          "us", JOB_COUNTS, _time_idle_step),
         ("queue", "a step over jobs that wait", "placement.queue", "waiting jobs",
          "us", JOB_COUNTS, _time_queue),
         ("reports", "a usage report of every worker", "placement.observation",
          "workers", "us", WORKER_COUNTS, _time_reports),
-        ("takeover", "inventories taken in after a takeover", "jobs.book", "workers",
-         "us", WORKER_COUNTS, _time_takeover),
-        ("task_bytes", "memory of the tasks", "jobs.book, placement.records", "tasks",
-         "bytes", JOB_COUNTS[:3], _measure_bytes),
+        ("takeover", "inventories taken in after a takeover", "jobs.registry",
+         "workers", "us", WORKER_COUNTS, _time_takeover),
+        ("task_bytes", "memory of the tasks", "jobs.registry, placement.records",
+         "tasks", "bytes", JOB_COUNTS[:3], _measure_bytes),
     )  # fmt: skip
     return [
         fit_line(
--- a/trefoilhook/configuration/tests/test_store.py
+++ b/trefoilhook/configuration/tests/test_store.py
@@ -16,12 +16,12 @@
 _TIMEOUT_MS = 3_000.0
 
 
-def _build_editor(bench, *, get=None):
+def _build_editor(fixture, *, get=None):
     swap = functools.partial(
-        swap_with_read_back, bench.client, clock=bench.clock, timeout_ms=_TIMEOUT_MS
+        swap_with_read_back, fixture.client, clock=fixture.clock, timeout_ms=_TIMEOUT_MS
     )
     return ConfigurationEditor(
-        get=get or bench.client.get, swap=swap, root="root", clock=bench.clock
+        get=get or fixture.client.get, swap=swap, root="root", clock=fixture.clock
     )
 
 
@@ -31,10 +31,10 @@
     def test_a_lost_answer_is_an_accepted_change(self):
         # Guards against a false conflict: the store applies the change, its response is
         # lost, and the retried swap finds its own value.
-        async def scenario(bench):
-            editor = _build_editor(bench)
+        async def scenario(fixture):
+            editor = _build_editor(fixture)
             lost = FaultSettings(lost_answers=1, lost_kind="swap")
-            await bench.store.server.change_faults(lost)
+            await fixture.store.server.change_faults(lost)
             accepted = await editor.put("a", _PATH, 4, author="op")
             self.assertEqual(await editor.read("a", _PATH), accepted)
 
@@ -43,10 +43,10 @@
     def test_a_lost_answer_below_another_change_is_an_accepted_change(self):
         # As above, but another operator changes the document before the first change is
         # read back, so that the retried swap finds a foreign value.
-        async def scenario(bench):
-            editor, other = _build_editor(bench), _build_editor(bench)
+        async def scenario(fixture):
+            editor, other = _build_editor(fixture), _build_editor(fixture)
             lost = FaultSettings(lost_answers=1, lost_kind="swap")
-            await bench.store.server.change_faults(lost)
+            await fixture.store.server.change_faults(lost)
             accepted = []
 
             async def change():
@@ -54,8 +54,8 @@
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(change)
-                while not bench.store.state.get("root/config/teams/a"):
-                    await bench.clock.sleep_ms(1)
+                while not fixture.store.state.get("root/config/teams/a"):
+                    await fixture.clock.sleep_ms(1)
                 await other.put("a", "quota/accelerators", 1, author="other")
             history = await editor.read_history("a")
             self.assertEqual([row.author for row in history], ["other", "op"])
@@ -70,21 +70,21 @@
             (Availability.HANGING, ResultCode.COMMIT_UNKNOWN),
         ):
 
-            async def scenario(bench, availability=availability, code=code):
-                editor = _build_editor(bench)
+            async def scenario(fixture, availability=availability, code=code):
+                editor = _build_editor(fixture)
                 await editor.put("a", _PATH, 1, author="op")
                 fault = FaultSettings(availability=availability)
 
                 async def get_then_fail(key):
-                    entry = await bench.client.get(key)
-                    await bench.store.server.change_faults(fault)
+                    entry = await fixture.client.get(key)
+                    await fixture.store.server.change_faults(fault)
                     return entry
 
-                failing = _build_editor(bench, get=get_then_fail)
+                failing = _build_editor(fixture, get=get_then_fail)
                 with self.assertRaises(StoreUnavailableError) as caught:
                     await failing.put("a", _PATH, 2, author="op")
                 self.assertIs(caught.exception.code, code)
-                await bench.store.server.change_faults(FaultSettings())
+                await fixture.store.server.change_faults(FaultSettings())
                 self.assertEqual((await editor.read("a", _PATH)).value, 1)
 
             run_with_store(scenario)
@@ -92,8 +92,8 @@
     def test_twenty_operators_racing_lose_no_change(self):
         # Guards against lost updates: twenty operators add a service each and retry on
         # conflicts; every accepted service must be present afterwards.
-        async def scenario(bench):
-            editor = _build_editor(bench)
+        async def scenario(fixture):
+            editor = _build_editor(fixture)
 
             async def add(number):
                 while True:
--- a/trefoilhook/workers/tests/test_contract.py
+++ b/trefoilhook/workers/tests/test_contract.py
@@ -108,14 +108,14 @@
                 run_with_worker(self._build_takeover(owner_id, epoch, error))
 
     def _build_takeover(self, owner_id, epoch, error):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.client.acquire_lease("one", 3, _TTL_MS)
-            await bench.start("job", epoch=3)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.client.acquire_lease("one", 3, _TTL_MS)
+            await fixture.start("job", epoch=3)
             if error is not None:
                 with self.assertRaises(error):
-                    await bench.client.acquire_lease(owner_id, epoch, _TTL_MS)
+                    await fixture.client.acquire_lease(owner_id, epoch, _TTL_MS)
                 return
-            inventory = await bench.client.acquire_lease(owner_id, epoch, _TTL_MS)
+            inventory = await fixture.client.acquire_lease(owner_id, epoch, _TTL_MS)
             self.assertEqual(inventory.capacity, _CAPACITY)
             self.assertEqual(
                 [(task.job_id, task.state) for task in inventory.tasks],
@@ -128,13 +128,13 @@
         # An owner is suspended, and another one acquires its worker at a higher epoch.
         # When the old owner resumes, the worker must refuse its commands; otherwise a
         # job could run twice.
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.client.acquire_lease("two", 2, _TTL_MS)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.client.acquire_lease("two", 2, _TTL_MS)
             with self.assertRaises(FencedError):
-                await bench.start("job")
+                await fixture.start("job")
             with self.assertRaises(FencedError):
-                await bench.client.renew(1, _TTL_MS)
-            self.assertEqual(bench.worker.records.starts, ())
+                await fixture.client.renew(1, _TTL_MS)
+            self.assertEqual(fixture.worker.records.starts, ())
 
         run_with_worker(scenario)
 
@@ -142,18 +142,18 @@
         # A worker is cut off from all owners. Its tasks must stop when the lease
         # lapses, because they may then be started elsewhere, and the old lease cannot
         # be used or re-acquired at the same epoch.
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("job", run_ms=10 * _TTL_MS)
-            await bench.clock.sleep_ms(_TTL_MS + 1_000)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("job", run_ms=10 * _TTL_MS)
+            await fixture.clock.sleep_ms(_TTL_MS + 1_000)
             with self.assertRaises(LeaseLostError):
-                await bench.client.renew(1, _TTL_MS)
+                await fixture.client.renew(1, _TTL_MS)
             with self.assertRaises(LeaseLostError):
-                await bench.start("other")
+                await fixture.start("other")
             with self.assertRaises(LeaseLostError):
-                await bench.client.acquire_lease("one", 1, _TTL_MS)
-            inventory = await bench.client.acquire_lease("one", 2, _TTL_MS)
+                await fixture.client.acquire_lease("one", 1, _TTL_MS)
+            inventory = await fixture.client.acquire_lease("one", 2, _TTL_MS)
             self.assertEqual(inventory.tasks[0].state, TaskState.STOPPED)
-            record = bench.worker.records.starts[0]
+            record = fixture.worker.records.starts[0]
             self.assertLessEqual(record.ended_ms - record.started_ms, _TTL_MS)
 
         run_with_worker(scenario)
@@ -198,12 +198,12 @@
                 run_with_worker(self._build_row(before, command, expected, starts))
 
     def _build_row(self, before, command, expected, starts):
-        async def scenario(bench: WorkerFixture) -> None:
+        async def scenario(fixture: WorkerFixture) -> None:
             for kind, fields in before:
-                await bench.order(kind, "job", **fields)
-            result = await bench.order(command[0], "job", **command[1])
+                await fixture.order(kind, "job", **fields)
+            result = await fixture.order(command[0], "job", **command[1])
             self.assertEqual(result.status, expected)
-            self.assertEqual(len(bench.worker.records.starts), starts)
+            self.assertEqual(len(fixture.worker.records.starts), starts)
 
         return scenario
 
@@ -220,13 +220,13 @@
                 run_with_worker(self._build_capacity(wanted, started))
 
     def _build_capacity(self, wanted, started):
-        async def scenario(bench: WorkerFixture) -> None:
+        async def scenario(fixture: WorkerFixture) -> None:
             statuses = [
-                await bench.start(str(number), resources=resources)
+                await fixture.start(str(number), resources=resources)
                 for number, resources in enumerate(wanted)
             ]
             self.assertEqual(statuses.count(CommandStatus.DONE), started)
-            records = bench.worker.records
+            records = fixture.worker.records
             self.assertEqual(records.refused_starts, len(wanted) - started)
             self.assertLessEqual(records.high_water.memory_bytes, 10_000)
             self.assertLessEqual(records.high_water.cores, 4.0 + 1e-6)
@@ -234,37 +234,37 @@
         return scenario
 
     def test_results_are_kept_until_acknowledged(self):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("good", payload=json.dumps({"result": "42"}))
-            await bench.start("bad", payload=json.dumps({"is_failing": True}))
-            await bench.clock.sleep_ms(2_000)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("good", payload=json.dumps({"result": "42"}))
+            await fixture.start("bad", payload=json.dumps({"is_failing": True}))
+            await fixture.clock.sleep_ms(2_000)
             for _ in range(2):
-                heartbeat = await bench.client.renew(1, _TTL_MS)
+                heartbeat = await fixture.client.renew(1, _TTL_MS)
                 self.assertEqual(
                     [(task.job_id, task.state) for task in heartbeat.tasks],
                     [("good", TaskState.FINISHED), ("bad", TaskState.FAILED)],
                 )
                 self.assertEqual(heartbeat.tasks[0].result, "42")
-            await bench.order(CommandKind.ACKNOWLEDGE, "good")
-            heartbeat = await bench.client.renew(1, _TTL_MS)
+            await fixture.order(CommandKind.ACKNOWLEDGE, "good")
+            heartbeat = await fixture.client.renew(1, _TTL_MS)
             self.assertEqual([task.job_id for task in heartbeat.tasks], ["bad"])
 
         run_with_worker(scenario)
 
     def test_evicted_task_resumes_from_its_checkpoint(self):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("job", run_ms=10_000)
-            await bench.clock.sleep_ms(4_000)
-            evicted = await bench.order(CommandKind.CHECKPOINT_EVICT, "job")
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("job", run_ms=10_000)
+            await fixture.clock.sleep_ms(4_000)
+            evicted = await fixture.order(CommandKind.CHECKPOINT_EVICT, "job")
             self.assertEqual(evicted.task.state, TaskState.EVICTED)
-            await bench.start(
+            await fixture.start(
                 "job",
                 run_ms=10_000,
                 attempt_sequence=2,
                 checkpoint=evicted.task.checkpoint,
             )
-            await bench.clock.sleep_ms(7_000)
-            first, second = bench.worker.records.starts
+            await fixture.clock.sleep_ms(7_000)
+            first, second = fixture.worker.records.starts
             self.assertEqual(second.state, "finished")
             self.assertEqual(second.resumed_ms, first.done_ms)
             self.assertAlmostEqual(
@@ -274,9 +274,9 @@
         run_with_worker(scenario)
 
     def test_black_hole_fails_everything(self):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("job")
-            heartbeat = await bench.client.renew(1, _TTL_MS)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("job")
+            heartbeat = await fixture.client.renew(1, _TTL_MS)
             self.assertEqual(heartbeat.tasks[0].state, TaskState.FAILED)
 
         run_with_worker(scenario, is_black_hole=True)
@@ -291,17 +291,17 @@
         pair = PairSlowdown(victim_class="seat", neighbour_class="roster", factor=2.0)
         half = Resources(cores=2.0, memory_bytes=1)
 
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("a", run_ms=8_000, task_class="seat", resources=half)
-            await bench.start("b", run_ms=60_000, task_class="roster", resources=half)
-            await bench.clock.sleep_ms(4_500)
-            self.assertIsNone((await bench.client.renew(1, _TTL_MS)).report)
-            await bench.clock.sleep_ms(3_000)
-            report = (await bench.client.renew(1, _TTL_MS)).report
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("a", run_ms=8_000, task_class="seat", resources=half)
+            await fixture.start("b", run_ms=60_000, task_class="roster", resources=half)
+            await fixture.clock.sleep_ms(4_500)
+            self.assertIsNone((await fixture.client.renew(1, _TTL_MS)).report)
+            await fixture.clock.sleep_ms(3_000)
+            report = (await fixture.client.renew(1, _TTL_MS)).report
             self.assertEqual([usage.slowdown for usage in report.usages], [2.0, 1.0])
             self.assertGreaterEqual(report.age_ms, 5_000)
-            await bench.clock.sleep_ms(12_000)
-            record = bench.worker.records.starts[0]
+            await fixture.clock.sleep_ms(12_000)
+            record = fixture.worker.records.starts[0]
             self.assertAlmostEqual(
                 record.ended_ms - record.started_ms, 16_000, delta=500
             )
@@ -312,12 +312,12 @@
         pair = PairSlowdown(victim_class="seat", neighbour_class="roster", factor=2.0)
         half = Resources(cores=2.0, memory_bytes=1)
 
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("a", run_ms=60_000, task_class="seat", resources=half)
-            await bench.start("b", run_ms=60_000, task_class="roster", resources=half)
-            await bench.order(CommandKind.THROTTLE, "b", throttle_factor=0.5)
-            await bench.clock.sleep_ms(7_000)
-            usages = (await bench.client.renew(1, _TTL_MS)).report.usages
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("a", run_ms=60_000, task_class="seat", resources=half)
+            await fixture.start("b", run_ms=60_000, task_class="roster", resources=half)
+            await fixture.order(CommandKind.THROTTLE, "b", throttle_factor=0.5)
+            await fixture.clock.sleep_ms(7_000)
+            usages = (await fixture.client.renew(1, _TTL_MS)).report.usages
             self.assertEqual([usage.slowdown for usage in usages], [1.75, 1.0])
             self.assertEqual([usage.is_throttled for usage in usages], [False, True])
 
@@ -339,49 +339,49 @@
                 run_with_worker(self._build_fault(fault, error, is_done))
 
     def _build_fault(self, fault, error, is_done):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.worker.server.change_faults(fault)
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.worker.server.change_faults(fault)
             with self.assertRaises(error):
-                await bench.start("job")
-            self.assertEqual(len(bench.worker.records.starts), int(is_done))
+                await fixture.start("job")
+            self.assertEqual(len(fixture.worker.records.starts), int(is_done))
 
         return scenario
 
     def test_start_sent_again_after_a_lost_answer_runs_once(self):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.worker.server.change_faults(FaultSettings(lost_answers=1))
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.worker.server.change_faults(FaultSettings(lost_answers=1))
             with self.assertRaises(AnswerLostError):
-                await bench.start("job")
-            self.assertEqual(await bench.start("job"), CommandStatus.ALREADY_DONE)
-            self.assertEqual(len(bench.worker.records.starts), 1)
+                await fixture.start("job")
+            self.assertEqual(await fixture.start("job"), CommandStatus.ALREADY_DONE)
+            self.assertEqual(len(fixture.worker.records.starts), 1)
 
         run_with_worker(scenario)
 
     def test_replacement_worker_at_the_address_refuses_commands(self):
         # A worker is replaced by another one at the same address. Commands for the old
         # worker must not be executed by the new one, which the sender does not know.
-        async def scenario(bench: WorkerFixture) -> None:
+        async def scenario(fixture: WorkerFixture) -> None:
             stranger = WorkerClient(
                 worker_id="gone",
                 host="127.0.0.1",
-                port=bench.worker.server.port,
-                clock=bench.clock,
+                port=fixture.worker.server.port,
+                clock=fixture.clock,
                 timeout_ms=500,
             )
             with self.assertRaises(NotSentError):
                 await stranger.acquire_lease("one", 9, _TTL_MS)
-            await bench.client.renew(1, _TTL_MS)
+            await fixture.client.renew(1, _TTL_MS)
 
         run_with_worker(scenario)
 
     def test_restarted_worker_has_no_tasks(self):
-        async def scenario(bench: WorkerFixture) -> None:
-            await bench.start("job")
-            bench.worker.state.reset_state()
+        async def scenario(fixture: WorkerFixture) -> None:
+            await fixture.start("job")
+            fixture.worker.state.reset_state()
             with self.assertRaises(LeaseLostError):
-                await bench.client.renew(1, _TTL_MS)
-            inventory = await bench.client.acquire_lease("one", 2, _TTL_MS)
+                await fixture.client.renew(1, _TTL_MS)
+            inventory = await fixture.client.acquire_lease("one", 2, _TTL_MS)
             self.assertEqual(inventory.tasks, ())
-            self.assertEqual(bench.worker.records.starts[0].state, "lost")
+            self.assertEqual(fixture.worker.records.starts[0].state, "lost")
 
         run_with_worker(scenario)
