--- a/trefoilhook/daemon/tests/test_faults.py
+++ b/trefoilhook/daemon/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault tests with daemon processes that are killed, frozen or stopped under load.
+"""Fault tests with daemon processes that are killed, suspended or stopped under load.
 
 The answers that callers got are compared with the records of the stand-ins.
 """
@@ -65,9 +65,9 @@
 
         run_processes(scenario)
 
-    def test_frozen_owner(self):
-        # An owner is frozen with requests in progress until its lease has expired and
-        # other instances have taken over its shards, and is then resumed. It must
+    def test_suspended_owner(self):
+        # An owner is suspended with requests in progress until its lease has expired
+        # and other instances have taken over its shards, and is then resumed. It must
         # neither run a sale a second time nor use slots that the new owner counts as
         # free.
         async def scenario(cluster: ProcessCluster) -> None:
@@ -77,11 +77,11 @@
                     for _ in range(3):
                         nursery.start_soon(sales.run, daemon)
                 await trio.sleep(1)
-                frozen = cluster.daemons[0]
-                frozen.send_signal(signal.SIGSTOP)
-                await cluster.wait_settled(without=(frozen,))
+                suspended = cluster.daemons[0]
+                suspended.send_signal(signal.SIGSTOP)
+                await cluster.wait_settled(without=(suspended,))
                 await trio.sleep(1)
-                frozen.send_signal(signal.SIGCONT)
+                suspended.send_signal(signal.SIGCONT)
                 await trio.sleep(4)
                 nursery.cancel_scope.cancel()
             self._check(cluster, sales)
--- a/trefoilhook/jobs/registry.py
+++ b/trefoilhook/jobs/registry.py
@@ -108,7 +108,7 @@
         """Order the next attempt of a job, whose resources are already reserved.
 
         An idempotent job is started immediately: if the owner fails, its successor
-        finds the attempt on the worker or waits until the worker's lease has lapsed.
+        finds the attempt on the worker or waits until the worker's lease has expired.
         Any other job is started only after its start record is committed; otherwise a
         later owner could not tell a job that was never started from one whose worker
         was lost.
@@ -195,7 +195,7 @@
     def handle_worker_loss(
         self, worker_id: str, *, now_ms: float, wall_ms: float
     ) -> None:
-        """Handle the loss of a worker whose leases have all lapsed.
+        """Handle the loss of a worker whose leases have all expired.
 
         Its tasks have stopped by then.
         """
--- a/trefoilhook/jobs/sessions.py
+++ b/trefoilhook/jobs/sessions.py
@@ -120,7 +120,7 @@
 def compose_epoch(shard_epoch: int, generation: int) -> int:
     """Return the epoch for acquiring a worker's lease.
 
-    A lapsed lease can only be re-acquired at a higher epoch, so that no command sent
+    An expired lease can only be re-acquired at a higher epoch, so that no command sent
     under the old lease can still take effect. The generation counts the acquisitions
     within one ownership of the shard.
     """
@@ -252,7 +252,7 @@
             await self._report_expiry_if_due()
 
     async def _report_expiry_if_due(self) -> None:
-        """Report once that all leases on the worker must have lapsed.
+        """Report once that all leases on the worker must have expired.
 
         The time is measured from the last message that could have extended a lease, or
         from the start of the session.
--- a/trefoilhook/jobs/tests/test_event_sequences.py
+++ b/trefoilhook/jobs/tests/test_event_sequences.py
@@ -69,8 +69,9 @@
     """Owners that may not act, and workers whose responses are lost."""
 
     def test_owner_that_may_not_act_neither_renews_nor_places(self):
-        # The owner's store lease has lapsed and no peer has given a promise. It must
-        # let the worker's lease lapse: the next owner assumes that the tasks then stop.
+        # The owner's store lease has expired and no peer has given a promise. It must
+        # let the worker's lease expire: the next owner assumes that the tasks then
+        # stop.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000)
@@ -85,9 +86,9 @@
 
         run_shard(scenario)
 
-    def test_lease_lapses_when_responses_of_the_worker_are_lost(self):
+    def test_lease_expires_when_responses_of_the_worker_are_lost(self):
         # The next owner's requests reach the worker, but all responses are lost. If the
-        # owner kept retrying, the worker's lease would never lapse and the job could
+        # owner kept retrying, the worker's lease would never expire and the job could
         # never be started on another worker.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
@@ -105,8 +106,8 @@
         run_shard(scenario)
 
     def test_worker_that_comes_back_is_used_again(self):
-        # A worker is partitioned until its lease has lapsed, then reconnects. The
-        # lapsed lease can only be acquired at a higher epoch.
+        # A worker is partitioned until its lease has expired, then reconnects. The
+        # expired lease can only be acquired at a higher epoch.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=20_000)
--- a/trefoilhook/jobs/tests/test_runner.py
+++ b/trefoilhook/jobs/tests/test_runner.py
@@ -83,7 +83,7 @@
 
     def test_next_owner_does_not_reach_the_worker(self):
         # The next owner cannot reach the worker that runs the job. It may start the job
-        # elsewhere only when the worker's lease has certainly lapsed.
+        # elsewhere only when the worker's lease has certainly expired.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
             await shard.submit(first, "j1", run_ms=100_000)
@@ -134,7 +134,7 @@
 
         run_shard(scenario)
 
-    def test_job_that_is_done_unheard_is_started_again(self):
+    def test_job_with_unreported_end_is_started_again(self):
         # A job finishes on a partitioned worker, which keeps the result. Two lease
         # durations later no lease is left, which proves that the job is not running but
         # not that it has not finished, so it is started again. This is correct because
@@ -207,7 +207,7 @@
 
         run_shard(scenario)
 
-    def test_frozen_owner_is_fenced(self):
+    def test_suspended_owner_is_fenced(self):
         # An owner is suspended past its lease and resumes while its successor is
         # active. Its commands carry the old epoch, so the workers refuse them.
         async def scenario(shard: Shard) -> None:
--- a/trefoilhook/journal/core.py
+++ b/trefoilhook/journal/core.py
@@ -5,9 +5,9 @@
 created. The head names the current generation of pages. A compaction writes a new
 generation and then updates the head.
 
-A new owner fences its predecessor by writing its epoch into the head and the last page,
-and by creating the next page. Later writes of the predecessor fail because the revision
-of the page has changed, and the page contains the higher epoch.
+A new owner fences the previous owner by writing its epoch into the head and the last
+page, and by creating the next page. Later writes of the previous owner fail because the
+revision of the page has changed, and the page contains the higher epoch.
 """
 
 from collections.abc import Sequence
--- a/trefoilhook/journal/head.py
+++ b/trefoilhook/journal/head.py
@@ -95,10 +95,10 @@
     async def check_unchanged(self) -> None:
         """Check, after creating a page, that no later owner has changed the head.
 
-        A later owner that compacted the journal has deleted the pages that fence its
-        predecessors. A predecessor that was suspended meanwhile could create its next
-        page, whose records would never be read. If the head is unchanged after the page
-        was created, any later owner will find the page.
+        A later owner that compacted the journal has deleted the pages that fence
+        previous owners. A previous owner that was suspended meanwhile could create its
+        next page, whose records would never be read. If the head is unchanged after the
+        page was created, any later owner will find the page.
 
         Raises
         ------
--- a/trefoilhook/journal/tests/test_journal.py
+++ b/trefoilhook/journal/tests/test_journal.py
@@ -69,7 +69,7 @@
 
         self._run(scenario)
 
-    def test_former_owner_can_not_append(self):
+    def test_previous_owner_can_not_append(self):
         # An owner is suspended while its successor loads the journal. If it could still
         # append, records confirmed as durable would be missing for the successor.
         async def scenario() -> None:
@@ -165,7 +165,7 @@
 
         self._run(scenario)
 
-    def test_former_owner_can_not_compact(self):
+    def test_previous_owner_can_not_compact(self):
         # A suspended owner resumes in the middle of a compaction. If it could change
         # the head, the records of the next owner would be lost.
         async def scenario() -> None:
@@ -298,7 +298,7 @@
             with self.subTest(is_head_lost=is_head_lost):
                 self._run(functools.partial(scenario, is_head_lost))
 
-    def test_former_owner_opens_a_page_while_the_next_one_loads(self):
+    def test_previous_owner_opens_a_page_while_the_next_one_loads(self):
         # After the next owner has read the pages, the previous one appends before the
         # next one creates its page. Loading must still succeed, and the result of the
         # append must be correct.
@@ -317,7 +317,7 @@
 
         self._run(scenario)
 
-    def test_former_owner_does_not_delete_the_next_ones_pages(self):
+    def test_previous_owner_does_not_delete_the_next_ones_pages(self):
         # An owner is suspended after a compaction, before deleting the old pages. It
         # resumes after the next owner has compacted, and lists the pages of that owner,
         # which it must not delete.
@@ -338,7 +338,7 @@
 
         self._run(scenario)
 
-    def test_former_owner_finds_its_pages_deleted(self):
+    def test_previous_owner_finds_its_pages_deleted(self):
         # An owner is suspended while loading, or with a full or partly filled page. The
         # next owner compacts, which deletes the pages that fence the first one, so that
         # it can create its next page or finds its own page deleted. Its records would
--- a/trefoilhook/platform/worker_answers.py
+++ b/trefoilhook/platform/worker_answers.py
@@ -35,7 +35,7 @@
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
-    "lapsed": EndKind.LAPSED,
+    "lapsed": EndKind.LEASE_EXPIRED,
     "broken": EndKind.PEER_ENDED,
     "alone": EndKind.PEERS_MISSING,
 }
--- a/trefoilhook/requests/slots.py
+++ b/trefoilhook/requests/slots.py
@@ -120,8 +120,9 @@
     def count_usable(self, now_ms: float) -> int:
         """Return the number of slots that serve requests, free or in use.
 
-        Unproved slots do not count, but they become free again and are worth waiting
-        for. At least one slot therefore counts while the executor accepts requests.
+        Unconfirmed slots do not count, but they become free again and are worth
+        waiting for. At least one slot therefore counts while the executor accepts
+        requests.
         """
         if self.is_leaving:
             return 0
--- a/trefoilhook/requests/tests/test_loads.py
+++ b/trefoilhook/requests/tests/test_loads.py
@@ -111,7 +111,7 @@
     def test_never_added_executor_is_handed_over_as_idle(self):
         # An instance hands a shard over right after startup, before it has added the
         # shard's executors. The next owner must use them at once instead of waiting for
-        # requests that were never sent. It must still wait if an earlier owner existed
+        # requests that were never sent. It must still wait if a previous owner existed
         # or the executor had been added before.
         for fault in ("none", "earlier owner", "seen before"):
             with self.subTest(fault):
--- a/trefoilhook/requests/tests/test_takeover.py
+++ b/trefoilhook/requests/tests/test_takeover.py
@@ -135,7 +135,7 @@
         codes = [each.code for each in answers]
         self.assertEqual(codes, [ResultCode.OK] * 10)
 
-    def test_late_handover_of_earlier_owner_is_ignored(self):
+    def test_late_handover_of_previous_owner_is_ignored(self):
         # A handover is delayed while another instance owns the shard and uses the
         # executor. It does not cover that instance's requests, so its slot counts must
         # be ignored.
--- a/trefoilhook/requests/upkeep.py
+++ b/trefoilhook/requests/upkeep.py
@@ -127,7 +127,7 @@
         An instance may hand a shard over right after startup, before it has added the
         shard's executors. Without this list the handover would omit them, and the next
         owner would wait for requests that were never sent. The first owner of a shard
-        has no predecessor and sends nothing to executors that it has not added.
+        has no previous owner and sends nothing to executors that it has not added.
         """
         components = self.components
         if components.ownership.serving_since_wall_ms(shard_id) != -math.inf:
--- a/trefoilhook/runtime/commits.py
+++ b/trefoilhook/runtime/commits.py
@@ -1,6 +1,6 @@
 """Writes a shard's changes to the store in batches.
 
-Every transaction requires an unchanged owner key, so that a former owner can't write,
+Every transaction requires an unchanged owner key, so that a previous owner can't write,
 and each row at its last known revision, so that an unanswered write that takes effect
 late can't overwrite a newer one.
 """
--- a/trefoilhook/runtime/ownership.py
+++ b/trefoilhook/runtime/ownership.py
@@ -2,8 +2,8 @@
 
 The owner's key is attached to a store lease. The epoch key is persistent and increases
 with each ownership. The epoch is the fencing token of every order, so an owner that was
-frozen or partitioned and has been replaced without noticing is refused by every worker
-that the new owner has reached.
+suspended or partitioned and has been replaced without noticing is refused by every
+worker that the new owner has reached.
 """
 
 import json
--- a/trefoilhook/runtime/shard.py
+++ b/trefoilhook/runtime/shard.py
@@ -372,8 +372,8 @@
     def _plan_once(self, nursery: trio.Nursery, worker_feed: WorkerFeed) -> None:
         now_ms = self._clock.monotonic_ms()
         if now_ms >= self._ownership.valid_until_ms:
-            # The lease may have expired while the machine was frozen. Another owner may
-            # have started the tasks that are still queued here.
+            # The lease may have expired while the machine was suspended. Another owner
+            # may have started the tasks that are still queued here.
             return
         scheduler = self._scheduler
         if scheduler.is_superseded:
--- a/trefoilhook/runtime/tests/test_lag.py
+++ b/trefoilhook/runtime/tests/test_lag.py
@@ -113,7 +113,7 @@
         self.assertEqual(set(logged.values()), {1200.0})
         self.assertEqual(len(logged), 2)
 
-    def test_lag_gauge_does_not_keep_a_former_owner_alive(self):
+    def test_lag_gauge_does_not_keep_a_previous_owner_alive(self):
         # Guards against a memory leak: a gauge that refers to the owner keeps the
         # scheduler with all its jobs alive after the ownership has ended.
         async def scenario(cluster: Cluster) -> None:
--- a/trefoilhook/runtime/tests/test_logs.py
+++ b/trefoilhook/runtime/tests/test_logs.py
@@ -227,7 +227,7 @@
 class TakeoverLineTest(unittest.TestCase):
     """Log lines of a takeover."""
 
-    def test_unheard_worker_is_logged_at_takeover(self):
+    def test_unreported_worker_is_logged_at_takeover(self):
         # Guards against a takeover whose delay is unexplained: the roster contains a
         # worker that has just left, so no task is started for 7 s. The log must name
         # it.
--- a/trefoilhook/runtime/tests/test_unfenced.py
+++ b/trefoilhook/runtime/tests/test_unfenced.py
@@ -1,6 +1,6 @@
-"""Tests of protection from a former owner's orders without checks of fencing tokens.
+"""Tests of protection from a previous owner's orders without checks of fencing tokens.
 
-After a takeover, the former owner resumes, or one of its orders arrives late. Workers
+After a takeover, the previous owner resumes, or one of its orders arrives late. Workers
 that don't check fencing tokens would run tasks twice without other protection.
 """
 
@@ -19,7 +19,7 @@
 
 _JOB = "00000000000000c1"
 _TASK = _JOB + ".0.0.0"
-_FREEZE_MS = 2200.0
+_SUSPENSION_MS = 2200.0
 """Longer than the owner's lease, but too short for workers to seem unresponsive, in
 ms."""
 
@@ -53,23 +53,23 @@
 class UnfencedTest(unittest.TestCase):
     """Workers that accept any token."""
 
-    def test_frozen_owner_sends_no_orders_on_resuming(self):
-        # The owner's machine freezes for longer than its lease. Another owner may have
-        # started the tasks that are still queued when it resumes.
-        frozen_ms = 0.0
+    def test_suspended_owner_sends_no_orders_on_resuming(self):
+        # The owner's machine is suspended for longer than its lease. Another owner may
+        # have started the tasks that are still queued when it resumes.
+        suspended_ms = 0.0
 
         async def scenario(cluster: Cluster) -> None:
-            nonlocal frozen_ms
+            nonlocal suspended_ms
             worker = await cluster.start_worker("w0", checks_token=False)
             real = cluster.clock
             clock = attrs.evolve(
-                real, monotonic_ms=lambda: real.monotonic_ms() + frozen_ms
+                real, monotonic_ms=lambda: real.monotonic_ms() + suspended_ms
             )
             first = await cluster.start_instance(clock=clock)
             await cluster.wait_until(lambda: first.process.is_owner)
             await cluster.send(first, "POST", PREFIX + _JOB, build_body())
             await cluster.wait_for_state(first, _JOB, "completed")
-            frozen_ms = _FREEZE_MS
+            suspended_ms = _SUSPENSION_MS
             job = _JOB.replace("c1", "c2")
             await cluster.send(first, "POST", PREFIX + job, build_body())
             await cluster.wait_for_state(first, job, "completed")
--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -42,10 +42,10 @@
 def _is_previous_run_expired(
     scheduler: Scheduler, state: TaskState, now_ms: float
 ) -> bool:
-    """Return whether no run of an earlier owner can exist for a long-running task.
+    """Return whether no run of a previous owner can exist for a long-running task.
 
     A long-running task is never completed, so that it does not wait for a worker that
-    may report its completion: after the longest lease no run of an earlier owner is
+    may report its completion: after the longest lease no run of a previous owner is
     left.
     """
     return state.step.long_running and now_ms >= scheduler.limits.settled_at_ms
--- a/trefoilhook/scheduling/core.py
+++ b/trefoilhook/scheduling/core.py
@@ -24,7 +24,7 @@
 ATTEMPTS_PER_EPOCH = 1_000_000
 """Number of attempts of one task reserved for each owner. Starts are not persisted, so
 a new owner numbers attempts from its epoch times this value, above all numbers used by
-earlier owners. At one failure per second a task would need eleven days to use them up.
+previous owners. At one failure per second a task would need eleven days to use them up.
 """
 
 
@@ -39,7 +39,7 @@
     longest_stop_ms : float
         Maximum time that a task takes to stop, in ms.
     settled_at_ms : float
-        Time from which no unknown run of an earlier owner can still exist, in ms.
+        Time from which no unknown run of a previous owner can still exist, in ms.
     overload_ms : float
         Maximum time for which a service task may exceed its latency limit, in ms.
     drain_notice_ms : float
@@ -295,7 +295,7 @@
 
     def _release_all(self, worker: Worker) -> None:
         for run in list(worker.runs.values()):
-            self.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
+            self.finish_run(worker, run, EndKind.LEASE_EXPIRED, run.checkpoint)
 
     def finish_run(
         self, worker: Worker, run: Run, kind: EndKind, checkpoint: str
--- a/trefoilhook/scheduling/crash_records.py
+++ b/trefoilhook/scheduling/crash_records.py
@@ -69,7 +69,7 @@
 
 
 def resolve_recorded(scheduler: Scheduler, now_ms: float) -> None:
-    """Evaluate the attempts that an earlier owner recorded and that are not running.
+    """Evaluate the attempts that a previous owner recorded and that are not running.
 
     Called once every worker that may run them has answered or is lost.
     """
--- a/trefoilhook/scheduling/fleet.py
+++ b/trefoilhook/scheduling/fleet.py
@@ -216,7 +216,7 @@
         Whether its entry is in the store.
     has_answered_token : bool
         Whether it has answered under the owner's fencing token, so that it executes no
-        more orders of earlier owners.
+        more orders of previous owners.
     has_reported_all : bool
         Whether it has reported all runs and ends to this owner. A full page of ends may
         omit a completed one.
--- a/trefoilhook/scheduling/job_state.py
+++ b/trefoilhook/scheduling/job_state.py
@@ -97,7 +97,7 @@
     phase : JobPhase
         Phase of the job.
     is_new : bool
-        Whether no earlier owner can have started a task of it.
+        Whether no previous owner can have started a task of it.
     queue : Queue or None
         Its queue in the latest configuration that contains it.
     version, saved_version : int
--- a/trefoilhook/scheduling/lease_expiry.py
+++ b/trefoilhook/scheduling/lease_expiry.py
@@ -42,7 +42,7 @@
     """
     state = scheduler.jobs.get(run.task.job_id)
     task = state.find_task(run.task) if state is not None else None
-    scheduler.finish_run(worker, run, EndKind.LAPSED, "")
+    scheduler.finish_run(worker, run, EndKind.LEASE_EXPIRED, "")
     if state is not None and task is not None and task.step.gang:
         for member in state.list_unit(task.unit):
             scheduler.stop_attempts(member)
@@ -65,7 +65,7 @@
         if worker.is_known_alive and _may_have_completed(scheduler, run):
             awaited += 1
             continue
-        scheduler.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
+        scheduler.finish_run(worker, run, EndKind.LEASE_EXPIRED, run.checkpoint)
         given_up.append((run.task, run.attempt))
     return LeaseExpiry(
         worker_id=worker.report.worker_id,
--- a/trefoilhook/scheduling/messages.py
+++ b/trefoilhook/scheduling/messages.py
@@ -33,7 +33,7 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     PEER_ENDED = "peer ended"
     PEERS_MISSING = "peers missing"
 
@@ -182,7 +182,7 @@
     silent_ms : float
         Time since its last answer, in ms.
     given_up : tuple of (TaskId, int)
-        Tasks and attempts that now count as lapsed; the tasks wait again.
+        Tasks and attempts that now count as expired; the tasks wait again.
     awaited : int
         Number of runs that may have been completed; their tasks wait for the worker's
         report.
--- a/trefoilhook/scheduling/outcomes.py
+++ b/trefoilhook/scheduling/outcomes.py
@@ -83,7 +83,7 @@
         # that out.
         scheduler.request_stop(worker, run, StopReason.UNCERTAIN)
         return
-    scheduler.finish_run(worker, run, EndKind.LAPSED, "")
+    scheduler.finish_run(worker, run, EndKind.LEASE_EXPIRED, "")
 
 
 def apply_stop_outcome(
--- a/trefoilhook/scheduling/planning.py
+++ b/trefoilhook/scheduling/planning.py
@@ -28,21 +28,21 @@
 
 
 def is_settled(scheduler: Scheduler, roster: Iterable[str], now_ms: float) -> bool:
-    """Return whether the outcome of all tasks started by earlier owners is known.
+    """Return whether the outcome of all tasks started by previous owners is known.
 
     Parameters
     ----------
     scheduler : Scheduler
         Scheduler of the shard.
     roster : iterable of str
-        Ids of workers on which an earlier owner may have started a task.
+        Ids of workers on which a previous owner may have started a task.
     now_ms : float
         Current time, in ms.
 
     Notes
     -----
     Once a worker has answered under this owner's fencing token, it executes no more
-    orders of earlier owners, and the answer contains its runs and its ends. An
+    orders of previous owners, and the answer contains its runs and its ends. An
     unreachable worker is given up once the longest lease has expired and its entry is
     no longer in the store. While the entry exists, the worker is alive and may hold the
     end of a completed task, which would run twice if it were started again elsewhere.
@@ -74,7 +74,7 @@
     scheduler : Scheduler
         Scheduler of the shard; it records the returned orders as in flight.
     settled : bool
-        Whether the outcome of all tasks started by earlier owners is known.
+        Whether the outcome of all tasks started by previous owners is known.
     now_ms, wall_ms : float
         Current time, in ms.
     """
--- a/trefoilhook/scheduling/polling.py
+++ b/trefoilhook/scheduling/polling.py
@@ -35,7 +35,7 @@
 in which most crashes caused by a task occur."""
 
 _UNKNOWN_PACE = 99
-"""Pace assumed for an attempt that an earlier owner started: any value except full
+"""Pace assumed for an attempt that a previous owner started: any value except full
 speed."""
 
 
@@ -69,7 +69,7 @@
         # The worker answered an order for this run before this poll was sent: if it is
         # neither running nor ended now, it will never run there.
         if key not in listed and run.confirmed_ms < sent_ms:
-            scheduler.finish_run(worker, run, EndKind.LAPSED, run.checkpoint)
+            scheduler.finish_run(worker, run, EndKind.LEASE_EXPIRED, run.checkpoint)
 
 
 def _record_answer(
@@ -79,8 +79,8 @@
     worker.read_clock(answer, now_ms)
     if not worker.has_answered_token:
         scheduler.suspects.retract_losses(worker.report.worker_id)
-        # An earlier owner may have just renewed the leases here. Without assuming a
-        # full lease, the runs would count as lapsed and be started again immediately.
+        # A previous owner may have just renewed the leases here. Without assuming a
+        # full lease, the runs would count as expired and be started again immediately.
         earlier_ms = answer.clock_ms + scheduler.limits.task_lease_ms
         worker.lease_until_ms = max(worker.lease_until_ms, earlier_ms)
     worker.has_answered_token = True
@@ -102,7 +102,7 @@
     if run is not None:
         scheduler.finish_run(worker, run, end.kind, end.checkpoint)
     elif state is not None:
-        # An attempt of an earlier owner, or one that counted as lapsed.
+        # An attempt of a previous owner, or one that counted as expired.
         task = state.find_task(end.task)
         if task is not None:
             task.last_attempt = max(task.last_attempt, end.attempt)
@@ -171,7 +171,7 @@
     run = worker.runs.get(key)
     if not state.is_open or task.done:
         if run is not None:
-            scheduler.finish_run(worker, run, EndKind.LAPSED, "")
+            scheduler.finish_run(worker, run, EndKind.LEASE_EXPIRED, "")
         return
     if run is None and not task.attempts and attempt >= task.last_attempt:
         running = Running(
@@ -181,7 +181,7 @@
 
 
 def _estimate_age(step: Step, running: Running) -> float:
-    """Return the approximate running time of an earlier owner's attempt, in ms.
+    """Return the approximate running time of a previous owner's attempt, in ms.
 
     Guards against a task that appears to have just started when its worker crashes only
     because the owner has changed.
@@ -196,7 +196,7 @@
 def _adopt(
     scheduler: Scheduler, worker: Worker, running: Running, now_ms: float
 ) -> Run:
-    """Add an attempt that an earlier owner started."""
+    """Add an attempt that a previous owner started."""
     state = scheduler.jobs.get(running.task.job_id)
     task = state.find_task(running.task) if state is not None else None
     run = Run(
@@ -207,7 +207,7 @@
         phase=RunPhase.RUNNING,
         started_ms=now_ms - (_estimate_age(task.step, running) if task else 0.0),
         confirmed_ms=now_ms,
-        # It may have been throttled by the earlier owner; this has its pace ordered
+        # It may have been throttled by the previous owner; this has its pace ordered
         # again.
         pace=_UNKNOWN_PACE,
     )
--- a/trefoilhook/scheduling/suspects.py
+++ b/trefoilhook/scheduling/suspects.py
@@ -34,7 +34,7 @@
     jobs : set of JobState
         Open jobs with suspected tasks.
     recorded : list of TaskState
-        Tasks with an attempt recorded by an earlier owner, until it is evaluated.
+        Tasks with an attempt recorded by a previous owner, until it is evaluated.
     drained : set of str
         Removed workers that had announced their shutdown; kept while recorded attempts
         exist.
@@ -74,7 +74,7 @@
             self.jobs.discard(task.job)
 
     def load_suspicions(self, state: JobState) -> None:
-        """Load the suspicions that earlier owners recorded for a job's tasks."""
+        """Load the suspicions that previous owners recorded for a job's tasks."""
         for (occurrence, step, index), suspicion in state.progress.suspicions.items():
             task = state.find_task(TaskId(state.job.job_id, occurrence, step, index))
             if task is None:
--- a/trefoilhook/scheduling/tests/test_orders.py
+++ b/trefoilhook/scheduling/tests/test_orders.py
@@ -340,7 +340,7 @@
             settled = is_settled(shard.scheduler, ("w0",), shard.now_ms)
             self.assertEqual(settled, known)
 
-    def test_adopted_run_has_lease_of_earlier_owner(self):
+    def test_adopted_run_has_lease_of_previous_owner(self):
         # Guards against two concurrent runs: a new owner polls a worker once, and its
         # next order is unanswered. The adopted run has a full lease of the earlier
         # owner, and must not be given up 10 ms later.
--- a/trefoilhook/scheduling/tests/test_steps.py
+++ b/trefoilhook/scheduling/tests/test_steps.py
@@ -170,7 +170,7 @@
         self.assertEqual(shard.step(), [])
 
     def test_other_ends_are_not_failures(self):
-        for kind in (EndKind.STOPPED, EndKind.LAPSED, EndKind.PEER_ENDED):
+        for kind in (EndKind.STOPPED, EndKind.LEASE_EXPIRED, EndKind.PEER_ENDED):
             with self.subTest(kind=kind):
                 shard = Shard(workers=1)
                 shard.submit(build_job())
--- a/trefoilhook/scheduling/tests/test_unread.py
+++ b/trefoilhook/scheduling/tests/test_unread.py
@@ -226,7 +226,7 @@
 
     def test_unreadable_row_without_attempt(self):
         # The same with an unknown task: until the row is readable, no task of the
-        # earlier owner may start.
+        # previous owner may start.
         shard, _ = self._take_over(build_unreadable(1))
         self.assertFalse(is_settled(shard.scheduler, ["w0"], shard.now_ms))
         shard.advance_time(2 * _STALL_TIMEOUT_MS)
--- a/trefoilhook/scheduling/waits.py
+++ b/trefoilhook/scheduling/waits.py
@@ -41,7 +41,7 @@
     """It is suspected of crashing its workers and waits to run in isolation."""
 
     OWNER_NEW = "owner new"
-    """The owner does not know yet which tasks an earlier owner has started."""
+    """The owner does not know yet which tasks a previous owner has started."""
 
     WORKER_LIST_STALE = "list stale"
     """The worker entries in the store have not been read for too long."""
--- a/trefoilhook/soak/faults.py
+++ b/trefoilhook/soak/faults.py
@@ -217,10 +217,10 @@
 
 async def _freeze_instance(injector: FaultInjector) -> None:
     instance = injector.choose_instance()
-    frozen = instance.process
+    suspended = instance.process
     instance.send_signal(signal.SIGSTOP)
     await injector.wait_fault_duration()
-    if instance.process is frozen:
+    if instance.process is suspended:
         instance.send_signal(signal.SIGCONT)
 
 
--- a/trefoilhook/store/tests/test_contract.py
+++ b/trefoilhook/store/tests/test_contract.py
@@ -241,16 +241,16 @@
         # reads a keep-alive before its timers fire; this must not renew the lease.
         async def main() -> None:
             now_ms = [0.0]
-            frozen = Clock(
+            clock = Clock(
                 monotonic_ms=lambda: now_ms[0],
                 wall_ms=lambda: now_ms[0],
                 sleep_ms=lambda _: trio.sleep_forever(),
             )
-            store = StoreStandin(clock=frozen)
+            store = StoreStandin(clock=clock)
             async with trio.open_nursery() as nursery:
                 port = await nursery.start(store.run)
                 client = StoreClient(
-                    host="127.0.0.1", port=port, clock=frozen, timeout_ms=60_000
+                    host="127.0.0.1", port=port, clock=clock, timeout_ms=60_000
                 )
                 lease = await client.grant_lease(1_000)
                 now_ms[0] = 1_001.0
--- a/trefoilhook/workers/client.py
+++ b/trefoilhook/workers/client.py
@@ -55,7 +55,7 @@
     Notes
     -----
     Every method raises ``FencedError`` if the worker has seen a higher epoch (or the
-    same epoch from another owner), ``LeaseLostError`` if the lease has lapsed,
+    same epoch from another owner), ``LeaseLostError`` if the lease has expired,
     ``NotSentError`` if the request did not reach the worker, and ``AnswerLostError`` if
     it is unknown whether the call took effect. All calls are idempotent.
     """
@@ -80,10 +80,10 @@
             Id of the calling instance.
         epoch : int
             Epoch of the lease, higher than any that the worker has seen. The same owner
-            may repeat the call at the same epoch until the lease lapses.
+            may repeat the call at the same epoch until the lease expires.
         ttl_ms : float
-            Time to live of the lease without renewal, in ms. When the lease lapses, the
-            worker stops all its tasks.
+            Time to live of the lease without renewal, in ms. When the lease expires,
+            the worker stops all its tasks.
         """
         request = LeaseRequest(
             worker_id=self.worker_id, owner_id=owner_id, epoch=epoch, ttl_ms=ttl_ms
@@ -135,7 +135,7 @@
         if name == "fenced":
             raise FencedError(f"{self.worker_id} has seen a higher epoch")
         if name == "lease_lost":
-            raise LeaseLostError(f"the lease of {self.worker_id} has lapsed")
+            raise LeaseLostError(f"the lease of {self.worker_id} has expired")
         if name == "wrong_worker":
             raise NotSentError(
                 f"another worker answers at the address of {self.worker_id}"
--- a/trefoilhook/workers/tests/test_contract.py
+++ b/trefoilhook/workers/tests/test_contract.py
@@ -91,7 +91,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """Lease acquisition, fencing by epoch, and lapse."""
+    """Lease acquisition, fencing by epoch, and expiry."""
 
     def test_takeovers(self):
         # (owner, epoch, error) against a lease held by "one" at epoch 3.
@@ -138,9 +138,9 @@
 
         run_with_worker(scenario)
 
-    def test_lapsed_lease_stops_tasks_and_stays_lapsed(self):
+    def test_expired_lease_stops_tasks_and_stays_expired(self):
         # A worker is cut off from all owners. Its tasks must stop when the lease
-        # lapses, because they may then be started elsewhere, and the old lease cannot
+        # expires, because they may then be started elsewhere, and the old lease cannot
         # be used or re-acquired at the same epoch.
         async def scenario(fixture: WorkerFixture) -> None:
             await fixture.start("job", run_ms=10 * _TTL_MS)
