--- a/trefoilhook/platform/__init__.py
+++ b/trefoilhook/platform/__init__.py
@@ -16,8 +16,8 @@
 )
 from trefoilhook.platform.entry import (
     READINESS_PATH,
-    answer_pending,
-    answer_state,
+    build_pending_response,
+    build_state_response,
     read_client_timeout,
 )
 from trefoilhook.platform.messages import (
@@ -67,8 +67,8 @@
     "Put",
     "Transaction",
     "WorkerClient",
-    "answer_pending",
-    "answer_state",
+    "build_pending_response",
+    "build_state_response",
     "decode_configuration",
     "decode_evacuation",
     "decode_job",
--- a/trefoilhook/platform/advice.py
+++ b/trefoilhook/platform/advice.py
@@ -13,15 +13,15 @@
 
 
 def _decode_grants(data: bytes) -> tuple[Grant, ...]:
-    """Decode an answer, or refuse it as a whole.
+    """Decode a response, or refuse it as a whole.
 
-    A partly decoded answer would exclude workers permanently, as a worker that is not
+    A partly decoded response would exclude workers permanently, as a worker that is not
     listed counts as refused.
     """
     grants: list[Grant] = []
     for row in read_list(parse_object(data), "granted"):
         if not isinstance(row, list) or len(row) < 2:
-            raise DecodeError("granted: not a whole row")
+            raise DecodeError("granted: row is incomplete")
         worker_id, ticket = (check_string(part, "granted") for part in row[:2])
         grants.append(Grant(worker_id=worker_id, ticket=ticket))
     return tuple(grants)
@@ -42,12 +42,12 @@
     async def ask(
         self, request: AdviceRequest, *, timeout_ms: float
     ) -> tuple[Grant, ...] | None:
-        """Return the workers that may run the step, or None if there was no answer.
+        """Return the workers that may run the step, or None if there was no response.
 
         Raises
         ------
         DecodeError
-            If the answer is invalid.
+            If the response is invalid.
         """
         body = {
             "step": ".".join(str(part) for part in request.step),
--- a/trefoilhook/platform/core.py
+++ b/trefoilhook/platform/core.py
@@ -53,4 +53,4 @@
     try:
         return parse_object(response.body)
     except DecodeError as error:
-        raise AnswerLostError(f"invalid answer: {error}") from error
+        raise AnswerLostError(f"invalid response: {error}") from error
--- a/trefoilhook/platform/entry.py
+++ b/trefoilhook/platform/entry.py
@@ -6,20 +6,20 @@
 
 __all__ = [
     "READINESS_PATH",
-    "answer_pending",
-    "answer_state",
+    "build_pending_response",
+    "build_state_response",
     "read_client_timeout",
 ]
 
 READINESS_PATH = "/trefoilhook/readyz"
 
 
-def answer_state(state: str) -> HttpResponse:
+def build_state_response(state: str) -> HttpResponse:
     """Build the response with the state of a job."""
     return HttpResponse.from_json({"state": state})
 
 
-def answer_pending(count: int) -> HttpResponse:
+def build_pending_response(count: int) -> HttpResponse:
     """Build the response with the number of jobs of a queue that have not started."""
     return HttpResponse.from_json({"pending": count})
 
--- a/trefoilhook/platform/store.py
+++ b/trefoilhook/platform/store.py
@@ -145,7 +145,7 @@
     Outages are logged here, once for all callers. A caller that handles an error and
     retries does not need to log it.
 
-    Every method raises ``StoreUnavailableError`` if no answer was received: a change
+    Every method raises ``StoreUnavailableError`` if no response was received: a change
     may have taken effect, or may still do so, unless the error's ``is_proved_unsent``
     is set. ``StoreRateError`` means that nothing was changed.
     """
@@ -235,7 +235,7 @@
             raise LeaseLostError("the lease has expired")
         if response.status == 412:
             items = self._read(response, _decode_current_items)
-            raise PreconditionError("a key has a different revision", items=items)
+            raise PreconditionError("a key has another revision", items=items)
         return self._read(response, lambda table: read_integer(table, "revision"))
 
     async def grant_lease(self, ttl_ms: int) -> int:
@@ -305,13 +305,13 @@
     def _read(
         self, response: HttpResponse, decode: Callable[[dict[str, Any]], _Answer]
     ) -> _Answer:
-        """Decode an answer; an unreadable one counts as no answer."""
+        """Decode a response; an unreadable one counts as no response."""
         try:
             return decode(parse_object(response.body))
         except DecodeError as error:
             now_ms = self._clock.monotonic_ms()
             self._fail("read", CallFailure.UNREADABLE, now_ms, str(error))
-            raise StoreUnavailableError(f"invalid answer: {error}") from error
+            raise StoreUnavailableError(f"invalid response: {error}") from error
 
     def _fail(self, name: str, why: CallFailure, sent_ms: float, detail: str) -> None:
         self.failures += 1
@@ -332,7 +332,7 @@
     if failure is CallFailure.RATE_LIMITED:
         return StoreRateError("the store's rate limit is exceeded")
     if failure is CallFailure.UNAVAILABLE:
-        return StoreUnsentError("the store turned the call away")
+        return StoreUnsentError("the store is unavailable; the call was not executed")
     if failure is CallFailure.INTERNAL:
         return StoreUnavailableError(f"the store failed: status {status}")
     return StoreError(f"the store refused the call: status {status}")
--- a/trefoilhook/platform/worker_answers.py
+++ b/trefoilhook/platform/worker_answers.py
@@ -44,7 +44,7 @@
 def _check_row(value: Any, min_length: int) -> list[Any]:
     """Check that a row has enough fields; newer workers may add more."""
     if not isinstance(value, list) or len(value) < min_length:
-        raise DecodeError("not a whole row")
+        raise DecodeError("row is incomplete")
     return value
 
 
@@ -83,7 +83,7 @@
     task, attempt = _check_attempt(row[1], row[2])
     kind = _END_KINDS.get(check_string(row[3], "how"))
     if kind is None:
-        raise DecodeError("how: unknown word")
+        raise DecodeError("how: unknown value")
     return AttemptEnd(
         number=check_integer(row[0], "number", minimum=1),
         task=task,
--- a/trefoilhook/runtime/job_api.py
+++ b/trefoilhook/runtime/job_api.py
@@ -26,8 +26,8 @@
     PreconditionError,
     Put,
     Transaction,
-    answer_pending,
-    answer_state,
+    build_pending_response,
+    build_state_response,
     decode_job,
     read_client_timeout,
 )
@@ -283,7 +283,7 @@
     async def _read(self, target: _Target) -> HttpResponse:
         phase = self._ended_phases.get(target.job_id)
         if phase is not None:
-            return answer_state(phase.value)
+            return build_state_response(phase.value)
         try:
             item = await self._store.get(keys.job_key(keys.SHARD, target.job_id))
             if item is None:
@@ -295,11 +295,11 @@
             if phase is JobPhase.OPEN:
                 progress = keys.progress_key(keys.SHARD, target.job_id)
                 has_begun = await self._store.get(progress) is not None
-                return answer_state("running" if has_begun else "queued")
+                return build_state_response("running" if has_begun else "queued")
         except StoreError as error:
             return _refuse_request(target, str(error))
         self._cache_phase(target.job_id, phase)
-        return answer_state(phase.value)
+        return build_state_response(phase.value)
 
     def _cache_phase(self, job_id: str, phase: JobPhase) -> None:
         """Cache the phase of an ended job, which never changes again."""
@@ -316,7 +316,7 @@
             log_event(Event.REQUEST_REFUSED, queue=queue.name, why=str(error))
             return _build_unavailable()
         markers = [keys.read_job_id(item.key) for item in listing.items]
-        return answer_pending(
+        return build_pending_response(
             sum(bool(_JOB_ID.fullmatch(marker)) for marker in markers)
         )
 
--- a/trefoilhook/standins/virtual.py
+++ b/trefoilhook/standins/virtual.py
@@ -104,11 +104,11 @@
 def _translate(refusal: RefusalError) -> StoreError:
     if refusal.status == 409:
         current = getattr(refusal.details, "current", None)
-        return ConflictError("key has another revision", current=current)
+        return ConflictError("the key has another revision", current=current)
     if refusal.status == 404:
-        return LeaseLostError("store lease has expired")
+        return LeaseLostError("the lease has expired")
     if refusal.status == 429:
-        return StoreRateError("store rate limit exceeded")
+        return StoreRateError("the store's rate limit is exceeded")
     return StoreError(refusal.error)
 
 
@@ -195,7 +195,7 @@
             self._check_reachable()
             if self.is_watch_silent:
                 await self.store.clock.sleep_ms(wait_ms + self.timeout_ms)
-                raise StoreUnavailableError("watch timed out without a response")
+                raise StoreUnavailableError("no complete response from the store")
             self.store.expire_leases()
             state = self.store.state
             batch = state.read_changes(prefix, after_revision=after_revision)
@@ -209,17 +209,17 @@
         if self.store.is_down or self.is_cut:
             await self.store.clock.sleep_ms(self.timeout_ms)
             if self.is_unsent:
-                raise StoreUnsentError("store is unreachable; request not sent")
-            raise StoreUnavailableError("store did not respond")
+                raise StoreUnsentError("no connection to the store")
+            raise StoreUnavailableError("no complete response from the store")
         result = self.store.apply(kind, change)
         if kind == "swap" and self.responses_to_drop:
             self.responses_to_drop -= 1
-            raise StoreUnavailableError("response from store was lost")
+            raise StoreUnavailableError("no complete response from the store")
         return result
 
     def _check_reachable(self) -> None:
         if self.store.is_down or self.is_cut:
-            raise StoreUnavailableError("store did not respond")
+            raise StoreUnavailableError("no complete response from the store")
 
 
 @attrs.define(kw_only=True)
@@ -338,7 +338,9 @@
         if reply is None or (
             not is_own and self._links.is_cut(self.instance_id, instance_id)
         ):
-            raise AnswerLostError(f"no answer from {instance_id}")
+            raise AnswerLostError(
+                f"no reply from {instance_id} before the call timed out"
+            )
         return reply
 
     def send_one_way(self, instance_id: str, message: Message) -> bool:
--- a/trefoilhook/standins/virtual_worker.py
+++ b/trefoilhook/standins/virtual_worker.py
@@ -105,20 +105,20 @@
         await self.worker.clock.sleep_ms(_CALL_MS)
         if self.worker.is_cut or self.owner_id in self.worker.cut_owners:
             await self.worker.clock.sleep_ms(_TIMEOUT_MS)
-            raise NotSentError("worker is unreachable")
+            raise NotSentError("no connection to the worker")
         try:
             result = change()
         except RefusalError as refusal:
             raise _translate(refusal) from refusal
         if self.worker.responses_to_drop:
             self.worker.responses_to_drop -= 1
-            raise AnswerLostError("response from worker was lost")
+            raise AnswerLostError("no complete response from the worker")
         return result
 
 
 def _translate(refusal: RefusalError) -> TrefoilhookError:
     if refusal.error == "fenced":
-        return FencedError("worker has seen a higher epoch")
+        return FencedError("the worker has seen a higher epoch")
     if refusal.error == "lease_lost":
-        return LeaseLostError("worker lease has expired")
+        return LeaseLostError("the lease of the worker has expired")
     return AnswerLostError(refusal.error)
--- a/trefoilhook/store/client.py
+++ b/trefoilhook/store/client.py
@@ -89,7 +89,7 @@
 
     Notes
     -----
-    Every method raises ``StoreUnavailableError`` if no answer was received: a change
+    Every method raises ``StoreUnavailableError`` if no response was received: a change
     may have taken effect, unless the error's ``is_proved_unsent`` is set. Every method
     raises ``StoreRateError`` if the store's rate limit was exceeded; in that case
     nothing has changed.
@@ -162,7 +162,7 @@
         Raises
         ------
         ConflictError
-            If the key is at another revision; carries the current entry.
+            If the key has another revision; carries the current entry.
         LeaseLostError
             If the lease has expired; nothing has changed.
         RequestError
@@ -224,7 +224,7 @@
             Return only later changes; the revision of the last batch or page.
         wait_ms : float
             Longest wait at the store, in ms, after which an empty batch is returned.
-            The call fails if no answer arrives within this time and the timeout.
+            The call fails if no response arrives within this time and the timeout.
         """
         query: Query = {
             "prefix": prefix,
@@ -276,11 +276,11 @@
     name = parse_error_name(response)
     if name == "conflict":
         current = _decode(response, _ConflictAnswer).current
-        raise ConflictError("the key is at another revision", current=current)
+        raise ConflictError("the key has another revision", current=current)
     if name == "rate_exceeded":
         raise StoreRateError("the store's rate limit is exceeded")
     if name == "lease_lost":
         raise LeaseLostError("the lease has expired")
     if response.status >= _SERVER_ERROR_STATUS:
-        raise StoreUnavailableError(f"the store answered with status {response.status}")
+        raise StoreUnavailableError(f"the store returned status {response.status}")
     raise StoreError(f"the store refused the call: {response.status} {name}")
--- a/trefoilhook/store/core.py
+++ b/trefoilhook/store/core.py
@@ -47,7 +47,7 @@
 
 
 class ConflictError(StoreError):
-    """A compare-and-swap failed because the key is at another revision.
+    """A compare-and-swap failed because the key has another revision.
 
     Parameters
     ----------
--- a/trefoilhook/store/swaps.py
+++ b/trefoilhook/store/swaps.py
@@ -1,4 +1,4 @@
-"""Compare-and-swap that determines its outcome when the answer is lost."""
+"""Compare-and-swap that determines its outcome when the response is lost."""
 
 import uuid
 
@@ -28,7 +28,7 @@
     timeout_ms: float,
     lease_id: str | None = None,
 ) -> int:
-    """Compare-and-swap; if the answer is lost, find out whether it took effect.
+    """Compare-and-swap; if the response is lost, find out whether it took effect.
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
 
     Notes
     -----
-    If the store applies a swap and its answer is lost, sending the swap again results
+    If the store applies a swap and its response is lost, sending the swap again results
     in a conflict with its own effect, and the caller would report a failure for a write
     that succeeded. The nonce in the value distinguishes this from a conflict with
     another write. Sending the swap again is safe, since at most one of several swaps
@@ -75,36 +75,36 @@
     """
     deadline_ms = clock.monotonic_ms() + timeout_ms
     delay_ms = _INITIAL_RETRY_DELAY_MS
-    lost_answer: StoreUnavailableError | None = None
+    lost_error: StoreUnavailableError | None = None
     while True:
         try:
             return await client.swap(
                 key, value, expected_revision=expected_revision, lease_id=lease_id
             )
         except ConflictError as conflict:
-            return _resolve_conflict(conflict, value=value, lost_answer=lost_answer)
+            return _resolve_conflict(conflict, value=value, lost_error=lost_error)
         except StoreRateError:
-            if lost_answer is None:
+            if lost_error is None:
                 raise
         except StoreUnavailableError as error:
-            if error.is_proved_unsent and lost_answer is None:
+            if error.is_proved_unsent and lost_error is None:
                 raise
-            lost_answer = lost_answer or error
+            lost_error = lost_error or error
         if clock.monotonic_ms() + delay_ms >= deadline_ms:
-            raise lost_answer
+            raise lost_error
         await clock.sleep_ms(delay_ms)
         delay_ms = min(2 * delay_ms, _MAX_RETRY_DELAY_MS)
 
 
 def _resolve_conflict(
-    conflict: ConflictError, *, value: bytes, lost_answer: StoreUnavailableError | None
+    conflict: ConflictError, *, value: bytes, lost_error: StoreUnavailableError | None
 ) -> int:
     """Return the revision of this write if the conflict is with itself, else raise."""
     current = conflict.current
     if current is not None and current.value == value:
         return current.revision
-    if lost_answer is None:
+    if lost_error is None:
         raise conflict
     # The current value is another writer's, but an earlier attempt of this write may
     # have been applied before and overwritten: the outcome is unknown.
-    raise lost_answer
+    raise lost_error
--- a/trefoilhook/workers/client.py
+++ b/trefoilhook/workers/client.py
@@ -141,9 +141,7 @@
                 f"another worker answers at the address of {self.worker_id}"
             )
         if response.status >= _FIRST_SERVER_ERROR:
-            raise AnswerLostError(
-                f"{self.worker_id} answered with status {response.status}"
-            )
+            raise AnswerLostError(f"{self.worker_id} returned status {response.status}")
         raise RequestError(
             f"{self.worker_id} refused the call: {response.status} {name}"
         )
