--- a/trefoilhook/store/client.py
+++ b/trefoilhook/store/client.py
@@ -169,7 +169,7 @@
             If the value is too large; nothing has changed.
         """
         if value is not None and len(value) > MAX_VALUE_BYTES:
-            message = f"value of {len(value)} bytes is too large for key {key}"
+            message = f"{len(value)} bytes are too many for {key}"
             raise RequestError(message, code=ResultCode.TOO_LARGE)
         request = SwapRequest(
             key=key,
