--- a/trefoilhook/logs/tests/test_dependencies.py
+++ b/trefoilhook/logs/tests/test_dependencies.py
@@ -37,7 +37,7 @@
         return [name for name, _ in self.lines]
 
 
-class DependencyLogTest(unittest.TestCase):
+class OutageLogTest(unittest.TestCase):
     """Lines written for sequences of answers and failures."""
 
     def test_lines_table(self):
