--- a/trefoilhook/http/client.py
+++ b/trefoilhook/http/client.py
@@ -187,7 +187,7 @@
             h11.RemoteProtocolError,
         ) as error:
             raise AnswerLostError(
-                f"no complete response from {self._host}:{self._port}",
+                f"no whole answer from {self._host}:{self._port}",
                 failure=_classify_failure(error, connection.protocol),
             ) from error
 
--- a/trefoilhook/platform/store.py
+++ b/trefoilhook/platform/store.py
@@ -332,7 +332,7 @@
     if failure is CallFailure.RATE_LIMITED:
         return StoreRateError("the store's rate limit is exceeded")
     if failure is CallFailure.UNAVAILABLE:
-        return StoreUnsentError("the store is unavailable; the call was not executed")
+        return StoreUnsentError("the store turned the call away")
     if failure is CallFailure.INTERNAL:
         return StoreUnavailableError(f"the store failed: status {status}")
     return StoreError(f"the store refused the call: status {status}")
