--- a/trefoilhook/jobs/tests/test_event_sequences.py
+++ b/trefoilhook/jobs/tests/test_event_sequences.py
@@ -6,24 +6,24 @@
 
 from trefoilhook.instances import InstanceState
 from trefoilhook.jobs import JobState
-from trefoilhook.jobs.book import JobBook
 from trefoilhook.jobs.core import Attempt
-from trefoilhook.jobs.messages import OrderKind, TaskNews, TaskRef, TaskStatus
+from trefoilhook.jobs.messages import OrderKind, TaskRef, TaskStatus, TaskUpdate
+from trefoilhook.jobs.registry import JobRegistry
 from trefoilhook.jobs.tests.shard import SETTINGS, Shard, build_spec, run_shard
 
 
 class StaleUpdateTest(unittest.TestCase):
     """A partitioned worker reconnects and reports an earlier attempt."""
 
-    def _build(self) -> tuple[JobBook, TaskRef]:
-        """Return a book whose job runs on w1, and a reference to its attempt on w0."""
-        book = JobBook(epoch=2)
-        book.accept(build_spec("j1"))
-        job = book.jobs["j1"]
+    def _build(self) -> tuple[JobRegistry, TaskRef]:
+        """Return a registry whose job runs on w1, and a ref to its attempt on w0."""
+        registry = JobRegistry(epoch=2)
+        registry.accept(build_spec("j1"))
+        job = registry.jobs["j1"]
         job.state, job.worker_id = JobState.RUNNING, "w1"
         job.attempt = Attempt(epoch=2, sequence=1)
         old = Attempt(epoch=1, sequence=9)
-        return book, TaskRef(worker_id="w0", job_id="j1", attempt=old)
+        return registry, TaskRef(worker_id="w0", job_id="j1", attempt=old)
 
     def test_earlier_attempt_does_not_end_the_present_one(self):
         # If the updates were applied to the current attempt, its resources would be
@@ -35,31 +35,33 @@
             (TaskStatus.EVICTED, OrderKind.ACKNOWLEDGE),
         ):
             with self.subTest(status=status):
-                book, ref = self._build()
-                update = TaskNews(ref=ref, status=status, checkpoint="early")
-                book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-                job = book.jobs["j1"]
+                registry, ref = self._build()
+                update = TaskUpdate(ref=ref, status=status, checkpoint="early")
+                registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+                job = registry.jobs["j1"]
                 self.assertEqual((job.state, job.worker_id), (JobState.RUNNING, "w1"))
                 self.assertEqual(job.checkpoint, "")
-                orders = [(each.kind, each.ref) for each in book.take_orders()["w0"]]
+                orders = [
+                    (each.kind, each.ref) for each in registry.take_orders()["w0"]
+                ]
                 self.assertEqual(orders, [(kind, ref)])
 
     def test_result_of_an_earlier_attempt_stops_the_present_one(self):
-        book, ref = self._build()
-        update = TaskNews(ref=ref, status=TaskStatus.FINISHED, result="done")
-        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-        self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
-        stops = [each.kind for each in book.take_orders()["w1"]]
+        registry, ref = self._build()
+        update = TaskUpdate(ref=ref, status=TaskStatus.FINISHED, result="done")
+        registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+        self.assertEqual(registry.jobs["j1"].state, JobState.ENDED)
+        stops = [each.kind for each in registry.take_orders()["w1"]]
         self.assertEqual(stops, [OrderKind.STOP])
 
     def test_attempt_of_an_ended_job_is_stopped(self):
-        book, ref = self._build()
-        book.jobs["j1"].state = JobState.ENDED
-        book.jobs["j1"].attempt = None
-        update = TaskNews(ref=ref, status=TaskStatus.RUNNING)
-        book.apply_news(update, now_ms=1.0, wall_ms=1.0)
-        self.assertEqual(book.jobs["j1"].state, JobState.ENDED)
-        stops = [each.kind for each in book.take_orders()["w0"]]
+        registry, ref = self._build()
+        registry.jobs["j1"].state = JobState.ENDED
+        registry.jobs["j1"].attempt = None
+        update = TaskUpdate(ref=ref, status=TaskStatus.RUNNING)
+        registry.apply_update(update, now_ms=1.0, wall_ms=1.0)
+        self.assertEqual(registry.jobs["j1"].state, JobState.ENDED)
+        stops = [each.kind for each in registry.take_orders()["w0"]]
         self.assertEqual(stops, [OrderKind.STOP])
 
 
@@ -67,8 +69,9 @@
     """Owners that may not act, and workers whose responses are lost."""
 
     def test_owner_that_may_not_act_neither_renews_nor_places(self):
-        # The owner's store lease has lapsed and no peer has given a promise. It must
-        # let the worker's lease lapse: the next owner assumes that the tasks then stop.
+        # The owner's store lease has expired and no peer has given a promise. It must
+        # let the worker's lease expire: the next owner assumes that the tasks then
+        # stop.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=60_000)
@@ -76,16 +79,16 @@
             owner.may_act = False
             await owner.runner.submit(build_spec("j2"))
             await shard.sleep_s(2.0 * SETTINGS.worker_lease_ms / 1000.0)
-            self.assertEqual(owner.runner.book.jobs["j2"].state, JobState.QUEUED)
+            self.assertEqual(owner.runner.registry.jobs["j2"].state, JobState.QUEUED)
             states = [start.state for start in shard.list_starts("j1")]
             self.assertEqual(states, ["stopped"])
             self.assertEqual(shard.list_starts("j2"), [])
 
         run_shard(scenario)
 
-    def test_lease_lapses_when_responses_of_the_worker_are_lost(self):
+    def test_lease_expires_when_responses_of_the_worker_are_lost(self):
         # The next owner's requests reach the worker, but all responses are lost. If the
-        # owner kept retrying, the worker's lease would never lapse and the job could
+        # owner kept retrying, the worker's lease would never expire and the job could
         # never be started on another worker.
         async def scenario(shard: Shard) -> None:
             first = shard.start_owner("i0")
@@ -93,7 +96,7 @@
             await shard.sleep_s(3)
             worker_id = shard.list_starts("j1")[0].worker_id
             first.scope.cancel()
-            shard.workers[worker_id].answers_to_lose = 1_000_000
+            shard.workers[worker_id].responses_to_drop = 1_000_000
             shard.start_owner("i1")
             await shard.sleep_s(120)
             starts = shard.list_starts("j1")
@@ -103,8 +106,8 @@
         run_shard(scenario)
 
     def test_worker_that_comes_back_is_used_again(self):
-        # A worker is partitioned until its lease has lapsed, then reconnects. The
-        # lapsed lease can only be acquired at a higher epoch.
+        # A worker is partitioned until its lease has expired, then reconnects. The
+        # expired lease can only be acquired at a higher epoch.
         async def scenario(shard: Shard) -> None:
             owner = shard.start_owner("i0")
             await shard.submit(owner, "j1", run_ms=20_000)
@@ -113,7 +116,7 @@
             await shard.sleep_s(60)
             shard.workers["w0"].is_cut = False
             await shard.sleep_s(60)
-            self.assertEqual(owner.runner.book.jobs["j1"].state, JobState.ENDED)
+            self.assertEqual(owner.runner.registry.jobs["j1"].state, JobState.ENDED)
             states = [start.state for start in shard.list_starts("j1")]
             self.assertEqual(states, ["stopped", "finished"])
 
@@ -132,7 +135,7 @@
             await shard.sleep_s(60)
             self.assertEqual(len(shard.list_starts("j1")), 1)
             self.assertEqual(shard.find_overlaps(), [])
-            self.assertEqual(owner.runner.book.jobs["j1"].state, JobState.ENDED)
+            self.assertEqual(owner.runner.registry.jobs["j1"].state, JobState.ENDED)
 
         run_shard(scenario, workers=1)
 
@@ -168,6 +171,6 @@
             await shard.submit(second, "j2")
             await shard.sleep_s(20)
             self.assertEqual(shard.list_starts("j2"), [])
-            self.assertEqual(second.runner.book.jobs["j1"].state, JobState.RUNNING)
+            self.assertEqual(second.runner.registry.jobs["j1"].state, JobState.RUNNING)
 
         run_shard(scenario, workers=1)
--- a/trefoilhook/journal/head.py
+++ b/trefoilhook/journal/head.py
@@ -8,7 +8,7 @@
 from trefoilhook.store import (
     ConflictError,
     StoreClient,
-    build_nonce,
+    generate_nonce,
 )
 
 __all__ = ["JournalHead", "SwapFunction"]
@@ -76,7 +76,7 @@
         StoreUnavailableError
             If the outcome of the change is unknown; call `resolve` to determine it.
         """
-        head = Head(epoch=self._epoch, nonce=build_nonce(), generation=generation)
+        head = Head(epoch=self._epoch, nonce=generate_nonce(), generation=generation)
         try:
             revision = await self._swap(self._key, encode_head(head), self._revision)
         except ConflictError as conflict:
@@ -95,10 +95,10 @@
     async def check_unchanged(self) -> None:
         """Check, after creating a page, that no later owner has changed the head.
 
-        A later owner that compacted the journal has deleted the pages that fence its
-        predecessors. A predecessor that was suspended meanwhile could create its next
-        page, whose records would never be read. If the head is unchanged after the page
-        was created, any later owner will find the page.
+        A later owner that compacted the journal has deleted the pages that fence
+        previous owners. A previous owner that was suspended meanwhile could create its
+        next page, whose records would never be read. If the head is unchanged after the
+        page was created, any later owner will find the page.
 
         Raises
         ------
--- a/trefoilhook/scheduling/advice_requests.py
+++ b/trefoilhook/scheduling/advice_requests.py
@@ -1,20 +1,20 @@
 """Choice of the step and the workers for the next request to the advice service."""
 
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.job_state import TaskState
 from trefoilhook.scheduling.models import Advice
 from trefoilhook.scheduling.placing import list_open_workers, rate_worker
 from trefoilhook.scheduling.tickets import AdviceRequest, StepName, name_step
 
-__all__ = ["choose_advised"]
+__all__ = ["choose_advice_request"]
 
 _MAX_WORKERS_PER_REQUEST = 30
 """Maximum number of workers per request: a job's objective allows for one request of
 this size, and each worker takes time of the service."""
 
 
-def choose_advised(
+def choose_advice_request(
     scheduler: Scheduler, now_ms: float
 ) -> tuple[AdviceRequest, Advice] | None:
     """Choose a step, and workers with capacity for it, for the next request."""
--- a/trefoilhook/scheduling/assignment.py
+++ b/trefoilhook/scheduling/assignment.py
@@ -3,8 +3,8 @@
 import attrs
 
 from trefoilhook.scheduling.candidates import Candidates
+from trefoilhook.scheduling.colocation import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import is_strongly_suspected
 from trefoilhook.scheduling.job_state import TaskState
@@ -42,10 +42,10 @@
 def _is_previous_run_expired(
     scheduler: Scheduler, state: TaskState, now_ms: float
 ) -> bool:
-    """Return whether no run of an earlier owner can exist for a long-running task.
+    """Return whether no run of a previous owner can exist for a long-running task.
 
     A long-running task is never completed, so that it does not wait for a worker that
-    may report its completion: after the longest lease no run of an earlier owner is
+    may report its completion: after the longest lease no run of a previous owner is
     left.
     """
     return state.step.long_running and now_ms >= scheduler.limits.settled_at_ms
@@ -80,7 +80,7 @@
         group = _get_placement_group(state)
         if state.job.queue is None or not (
             settled
-            or state.job.certain
+            or state.job.is_new
             or _is_previous_run_expired(scheduler, state, now_ms)
         ):
             waiting.add(group[0])
@@ -129,10 +129,10 @@
             )
             continue
         if not assignment_round.isolation.may_start(tasks[0], assignment_round.now_ms):
-            waits.record(step, WaitReason.ISOLATION, assignment_round.now_ms)
+            waits.record(step, WaitReason.ISOLATED, assignment_round.now_ms)
             continue
         if infeasible_fillers >= _MAX_INFEASIBLE_FILLER_STEPS and tasks[0].step.filler:
-            waits.record(step, WaitReason.ROUND_LIMIT, assignment_round.now_ms)
+            waits.record(step, WaitReason.BEHIND_OTHERS, assignment_round.now_ms)
             continue
         if tasks[0].step.gang:
             infeasible = _assign_gang(assignment_round, tasks[0])
--- a/trefoilhook/scheduling/placing.py
+++ b/trefoilhook/scheduling/placing.py
@@ -5,8 +5,8 @@
 other tasks are packed tightly.
 """
 
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.core import Scheduler
-from trefoilhook.scheduling.crowds import ColocationCache
 from trefoilhook.scheduling.fleet import Worker
 from trefoilhook.scheduling.isolation import compute_risk_penalty
 from trefoilhook.scheduling.job_state import TaskState
@@ -71,8 +71,8 @@
     """Return whether a worker takes new tasks."""
     return (
         worker.listed
-        and worker.fenced
-        and worker.rostered
+        and worker.has_answered_token
+        and worker.is_in_roster
         and worker.usable
         and not has_too_many_held_ends(worker)
         and worker.silence is None
--- a/trefoilhook/scheduling/rounds.py
+++ b/trefoilhook/scheduling/rounds.py
@@ -6,8 +6,8 @@
 import attrs
 
 from trefoilhook.scheduling.candidates import Candidates
+from trefoilhook.scheduling.colocation import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.core import ATTEMPTS_PER_EPOCH, Scheduler
-from trefoilhook.scheduling.crowds import FULL_PACE, ColocationCache
 from trefoilhook.scheduling.fleet import Run, RunPhase, Worker
 from trefoilhook.scheduling.isolation import Isolation
 from trefoilhook.scheduling.job_state import Attempt, TaskState
@@ -265,7 +265,7 @@
     )
     worker.hold(run)
     # Fillers of the worker may have to be throttled by this plan.
-    worker.is_news = True
+    worker.has_changed = True
     if state.waiting_since_ms is not None:
         run.waited_ms = assignment_round.now_ms - state.waiting_since_ms
         run.wait_reason = assignment_round.scheduler.waits.get_main_reason(
--- a/trefoilhook/scheduling/tests/test_starvation.py
+++ b/trefoilhook/scheduling/tests/test_starvation.py
@@ -10,7 +10,7 @@
 import attrs
 
 from trefoilhook.scheduling import Demand, EndKind, OrderOutcome, PaceOrder, Step
-from trefoilhook.scheduling.crowds import ColocationCache
+from trefoilhook.scheduling.colocation import ColocationCache
 from trefoilhook.scheduling.starvation import STARVATION_DELAY_MS, THROTTLED_PACE
 from trefoilhook.scheduling.tests.cases import Shard, build_job, list_starts
 
@@ -93,7 +93,7 @@
         starts = []
         for _ in range(10):
             starts = starts or list_starts(self.shard.plan())
-            self.shard.pass_time(100.0)
+            self.shard.advance_time(100.0)
         self.shard.answer(starts[0], OrderOutcome.DONE)
         paces = [order for order in self.shard.plan() if isinstance(order, PaceOrder)]
         self.assertEqual([order.task for order in paces], [starts[0].task])
--- a/trefoilhook/soak/faults.py
+++ b/trefoilhook/soak/faults.py
@@ -217,10 +217,10 @@
 
 async def _freeze_instance(injector: FaultInjector) -> None:
     instance = injector.choose_instance()
-    frozen = instance.process
+    suspended = instance.process
     instance.send_signal(signal.SIGSTOP)
     await injector.wait_fault_duration()
-    if instance.process is frozen:
+    if instance.process is suspended:
         instance.send_signal(signal.SIGCONT)
 
 
@@ -241,7 +241,7 @@
 
 
 async def _forget_history(injector: FaultInjector) -> None:
-    injector.fleet.store.forget_history()
+    injector.fleet.store.compact_history()
 
 
 async def _change_configuration(injector: FaultInjector) -> None:
@@ -251,7 +251,7 @@
 async def _harm_link(injector: FaultInjector, link: TcpCut) -> None:
     kind = injector.rng.choice(("partition", "delay", "forget", "reset"))
     if kind == "forget":
-        link.forget_connections()
+        link.blackhole_connections()
         return
     if kind == "reset":
         await link.reset_connections()
--- a/trefoilhook/store/client.py
+++ b/trefoilhook/store/client.py
@@ -21,7 +21,12 @@
     StoreUnavailableError,
     StoreUnsentError,
 )
-from trefoilhook.exchange import PlatformClient, Query, decode_answer, read_error_name
+from trefoilhook.exchange import (
+    PlatformClient,
+    Query,
+    decode_response,
+    parse_error_name,
+)
 from trefoilhook.http import HttpResponse
 from trefoilhook.results import ResultCode
 from trefoilhook.store.core import (
@@ -84,7 +89,7 @@
 
     Notes
     -----
-    Every method raises ``StoreUnavailableError`` if no answer was received: a change
+    Every method raises ``StoreUnavailableError`` if no response was received: a change
     may have taken effect, unless the error's ``is_proved_unsent`` is set. Every method
     raises ``StoreRateError`` if the store's rate limit was exceeded; in that case
     nothing has changed.
@@ -157,14 +162,14 @@
         Raises
         ------
         ConflictError
-            If the key is at another revision; carries the current entry.
+            If the key has another revision; carries the current entry.
         LeaseLostError
             If the lease has expired; nothing has changed.
         RequestError
             If the value is too large; nothing has changed.
         """
         if value is not None and len(value) > MAX_VALUE_BYTES:
-            message = f"value of {len(value)} bytes is too large for key {key}"
+            message = f"{len(value)} bytes are too many for {key}"
             raise RequestError(message, code=ResultCode.TOO_LARGE)
         request = SwapRequest(
             key=key,
@@ -219,7 +224,7 @@
             Return only later changes; the revision of the last batch or page.
         wait_ms : float
             Longest wait at the store, in ms, after which an empty batch is returned.
-            The call fails if no answer arrives within this time and the timeout.
+            The call fails if no response arrives within this time and the timeout.
         """
         query: Query = {
             "prefix": prefix,
@@ -245,7 +250,7 @@
         operation = f"{method} {path.split('/')[2]}"
         outcome = "no answer"
         try:
-            response = await self._platform.exchange(
+            response = await self._platform.send_request(
                 method, path, query=query, body=body, extra_ms=extra_ms
             )
             outcome = "ok" if response.status == 200 else "refused"
@@ -262,20 +267,20 @@
 
 def _decode(response: HttpResponse, kind: type[_T]) -> _T:
     try:
-        return decode_answer(response, kind)
+        return decode_response(response, kind)
     except AnswerLostError as error:
         raise StoreUnavailableError(str(error)) from error
 
 
 def _raise_store_error(response: HttpResponse) -> NoReturn:
-    name = read_error_name(response)
+    name = parse_error_name(response)
     if name == "conflict":
         current = _decode(response, _ConflictAnswer).current
-        raise ConflictError("the key is at another revision", current=current)
+        raise ConflictError("the key has another revision", current=current)
     if name == "rate_exceeded":
         raise StoreRateError("the store's rate limit is exceeded")
     if name == "lease_lost":
         raise LeaseLostError("the lease has expired")
     if response.status >= _SERVER_ERROR_STATUS:
-        raise StoreUnavailableError(f"the store answered with status {response.status}")
+        raise StoreUnavailableError(f"the store returned status {response.status}")
     raise StoreError(f"the store refused the call: {response.status} {name}")
--- a/trefoilhook/workers/client.py
+++ b/trefoilhook/workers/client.py
@@ -15,7 +15,7 @@
     NotSentError,
     RequestError,
 )
-from trefoilhook.exchange import PlatformClient, decode_answer, read_error_name
+from trefoilhook.exchange import PlatformClient, decode_response, parse_error_name
 from trefoilhook.http import HttpResponse
 from trefoilhook.workers.core import (
     CommandResult,
@@ -55,7 +55,7 @@
     Notes
     -----
     Every method raises ``FencedError`` if the worker has seen a higher epoch (or the
-    same epoch from another owner), ``LeaseLostError`` if the lease has lapsed,
+    same epoch from another owner), ``LeaseLostError`` if the lease has expired,
     ``NotSentError`` if the request did not reach the worker, and ``AnswerLostError`` if
     it is unknown whether the call took effect. All calls are idempotent.
     """
@@ -69,7 +69,7 @@
             host=host, port=port, timeout_ms=timeout_ms, max_connections=4
         )
 
-    async def take_lease(
+    async def acquire_lease(
         self, owner_id: str, epoch: int, ttl_ms: float
     ) -> WorkerInventory:
         """Acquire the lease on the worker; its tasks keep running.
@@ -80,10 +80,10 @@
             Id of the calling instance.
         epoch : int
             Epoch of the lease, higher than any that the worker has seen. The same owner
-            may repeat the call at the same epoch until the lease lapses.
+            may repeat the call at the same epoch until the lease expires.
         ttl_ms : float
-            Time to live of the lease without renewal, in ms. When the lease lapses, the
-            worker stops all its tasks.
+            Time to live of the lease without renewal, in ms. When the lease expires,
+            the worker stops all its tasks.
         """
         request = LeaseRequest(
             worker_id=self.worker_id, owner_id=owner_id, epoch=epoch, ttl_ms=ttl_ms
@@ -125,25 +125,23 @@
         await self._platform.close()
 
     async def _call(self, path: str, body: object, kind: type[_T]) -> _T:
-        response = await self._platform.exchange("POST", path, body=body)
+        response = await self._platform.send_request("POST", path, body=body)
         if response.status != 200:
             self._raise_for_error(response)
-        return decode_answer(response, kind)
+        return decode_response(response, kind)
 
     def _raise_for_error(self, response: HttpResponse) -> NoReturn:
-        name = read_error_name(response)
+        name = parse_error_name(response)
         if name == "fenced":
             raise FencedError(f"{self.worker_id} has seen a higher epoch")
         if name == "lease_lost":
-            raise LeaseLostError(f"the lease of {self.worker_id} has lapsed")
+            raise LeaseLostError(f"the lease of {self.worker_id} has expired")
         if name == "wrong_worker":
             raise NotSentError(
                 f"another worker answers at the address of {self.worker_id}"
             )
         if response.status >= _FIRST_SERVER_ERROR:
-            raise AnswerLostError(
-                f"{self.worker_id} answered with status {response.status}"
-            )
+            raise AnswerLostError(f"{self.worker_id} returned status {response.status}")
         raise RequestError(
             f"{self.worker_id} refused the call: {response.status} {name}"
         )
