--- a/tools/tests/test_docs.py
+++ b/tools/tests/test_docs.py
@@ -21,8 +21,10 @@
 _TOP_FOLDERS = ("trefoilhook/", "bench/", "deploy/", "docs/", "tools/")
 _TEST = re.compile(r"test_\w+")
 _DOTTED = re.compile(r"(?:trefoilhook|bench|tools)(?:\.\w+)+")
-_PROOF_TEST = re.compile(r"(\w+) (test_\w+)(?: \(process\))?")
+_PROOF_TEST = re.compile(r"(?:(\w+) )?\b(test_\w+)")
 _PROOF_GUARD = re.compile(r"(\w+(?:\.\w+)+) (\w+)(?: (?:[(.]|\w).*)?")
+_NOTE = re.compile(r"\([^)]*\)")
+_GUARD_NAME = re.compile(r"[\w./]*[A-Za-z]\w*")
 
 
 def _list_pages() -> list[pathlib.Path]:
@@ -111,6 +113,31 @@
             yield cells[1], cells[2]
 
 
+@functools.cache
+def _read_package_tests(package: str) -> frozenset[str]:
+    """Return the names of the test functions and test modules of a package."""
+    paths = list((PACKAGE / package / "tests").glob("test_*.py"))
+    functions = {name for path in paths for name in _read_names(path)}
+    return frozenset(functions | {path.stem for path in paths})
+
+
+def _is_guard(name: str, packages: set[str]) -> bool:
+    """Return whether a word of a guard is a module or a name in one of the packages.
+
+    Guards name modules with their package, or as modules of the package of the test.
+    """
+    if (ROOT / name).with_suffix(".py").is_file():
+        return True
+    if _find_module(name, inside=PACKAGE):
+        return True
+    last = name.rpartition(".")[2]
+    return any(
+        path.stem == last or last in _read_names(path)
+        for package in packages
+        for path in (PACKAGE / package).glob("*.py")
+    )
+
+
 class NamesTest(unittest.TestCase):
     """Paths, modules, tests and guards that the pages name."""
 
@@ -120,17 +147,27 @@
                 self.assertEqual(sorted(set(_find_missing(page))), [])
 
     def test_proofs_name_tests_that_exist(self):
-        rows = [_PROOF_TEST.fullmatch(test) for test, _ in _read_proofs()]
-        found = [match.groups() for match in rows if match]
-        self.assertGreater(len(found), 50)
-        for package, test in found:
-            folder = PACKAGE / package / "tests"
-            names = [_read_names(path) for path in folder.glob("test_*.py")]
-            modules = {path.stem for path in folder.glob("test_*.py")}
-            with self.subTest(package=package, test=test):
-                self.assertTrue(test in modules or any(test in each for each in names))
+        rows = list(_read_proofs())
+        self.assertGreater(len(rows), 100)
+        for cell, _ in rows:
+            package = cell.partition(" ")[0]
+            for package_name, test in _PROOF_TEST.findall(cell):
+                package = package_name or package
+                with self.subTest(package=package, test=test):
+                    self.assertIn(test, _read_package_tests(package))
 
     def test_proofs_name_guards_that_exist(self):
+        rows = list(_read_proofs())
+        self.assertGreater(len(rows), 100)
+        for cell, guards in rows:
+            for guard in _NOTE.sub("", guards).split(";"):
+                names = _GUARD_NAME.findall(guard)
+                packages = {*re.findall(r"\w+", cell), *names[0].split(".")}
+                for name in names:
+                    with self.subTest(test=cell, guard=name):
+                        self.assertTrue(_is_guard(name, packages))
+
+    def test_proofs_name_guards_of_the_given_modules(self):
         rows = [_PROOF_GUARD.fullmatch(guard) for _, guard in _read_proofs()]
         found = [match.groups() for match in rows if match]
         self.assertGreater(len(found), 50)
